--- a/api/client.go
+++ b/api/client.go
@@ -15,22 +15,22 @@
 
 // Outcomes of a vote that was not counted, or may not have been.
 var (
-	ErrMoot    = errors.New("api: the vote is not for the present build or stage")
-	ErrFull    = errors.New("api: more votes than the platform takes")
-	ErrUnknown = errors.New("api: no answer in time; the vote may count")
+	ErrStaleVote          = errors.New("api: the vote is not for the present build or stage")
+	ErrTooManyVotes       = errors.New("api: more votes than the platform takes")
+	ErrVoteOutcomeUnknown = errors.New("api: no answer in time; the vote may count")
 )
 
 // Client speaks to one server. It is safe for concurrent use.
 type Client struct {
-	Base string // such as http://127.0.0.1:7000
-	HTTP *http.Client
-	// Silence is how long a watch may say nothing before it counts as broken.
-	Silence time.Duration
+	BaseURL string // such as http://127.0.0.1:7000
+	HTTP    *http.Client
+	// WatchIdleTimeout is how long a watch may say nothing before it counts as broken.
+	WatchIdleTimeout time.Duration
 }
 
 // NewClient makes a client with connections of its own; Close ends them.
 func NewClient(base string) *Client {
-	return &Client{Base: base, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}, Silence: 3 * time.Second}
+	return &Client{BaseURL: base, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}, WatchIdleTimeout: 3 * time.Second}
 }
 
 // Close drops idle connections.
@@ -40,10 +40,10 @@
 func (c *Client) Watch(ctx context.Context, path string, query url.Values, on func(line []byte) error) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	quiet := time.AfterFunc(c.Silence, func() { stop(errors.New("the watch fell silent")) })
+	quiet := time.AfterFunc(c.WatchIdleTimeout, func() { stop(errors.New("the watch fell silent")) })
 	defer quiet.Stop()
 	query.Set("watch", "1")
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.Base+path+"?"+query.Encode(), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.BaseURL+path+"?"+query.Encode(), nil)
 	if err != nil {
 		return fmt.Errorf("watch %s: %w", path, err)
 	}
@@ -61,7 +61,7 @@
 		if err != nil {
 			return fmt.Errorf("watch %s: %w", path, cause(ctx, err))
 		}
-		quiet.Reset(c.Silence)
+		quiet.Reset(c.WatchIdleTimeout)
 		if err := on(bytes.TrimSpace(line)); err != nil {
 			return fmt.Errorf("watch %s: %w", path, err)
 		}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return out, err
 	}
-	url := fmt.Sprintf("%s/v1/releases/%d/votes", c.Base, v.Build)
+	url := fmt.Sprintf("%s/v1/releases/%d/votes", c.BaseURL, v.Build)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return out, fmt.Errorf("vote: %w", err)
@@ -92,14 +92,14 @@
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
 		if ctx.Err() != nil {
-			return out, ErrUnknown
+			return out, ErrVoteOutcomeUnknown
 		}
 		return out, fmt.Errorf("vote: %w", err)
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
 	if err != nil {
-		return out, ErrUnknown
+		return out, ErrVoteOutcomeUnknown
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -108,9 +108,9 @@
 		}
 		return out, nil
 	case http.StatusConflict:
-		return out, ErrMoot
+		return out, ErrStaleVote
 	case http.StatusTooManyRequests:
-		return out, ErrFull
+		return out, ErrTooManyVotes
 	}
 	return out, fmt.Errorf("vote: status %d", resp.StatusCode)
 }
--- a/chart/chart.go
+++ b/chart/chart.go
@@ -25,8 +25,8 @@
 	X, Y      []float64
 	Low, High []float64
 	Color     color.Color // nil: by its place
-	Dots      bool        // points rather than a line
-	Steps     bool
+	Points    bool        // points rather than a line
+	Stepped   bool
 }
 
 // Axes name a chart's axes. LogX and LogY draw them as powers of ten; every figure is above 0 then.
@@ -35,8 +35,8 @@
 	LogX, LogY bool
 }
 
-// Lines draws a chart as SVG.
-func Lines(title string, axes Axes, all []Series) (string, error) {
+// LineChart draws a chart as SVG.
+func LineChart(title string, axes Axes, all []Series) (string, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, axes.X, axes.Y
 	p.Legend.Top = true
@@ -76,7 +76,7 @@
 			band.Color, band.LineStyle.Width = color.NRGBA{uint8(r >> 8), uint8(g >> 8), uint8(b >> 8), 40}, 0
 			p.Add(band)
 		}
-		if s.Dots {
+		if s.Points {
 			dots, err := plotter.NewScatter(points)
 			if err != nil {
 				return "", fmt.Errorf("chart: %s: %w", s.Name, err)
@@ -91,7 +91,7 @@
 			return "", fmt.Errorf("chart: %s: %w", s.Name, err)
 		}
 		l.Color = c
-		if s.Steps {
+		if s.Stepped {
 			l.StepStyle = plotter.PostStep
 		}
 		p.Add(l)
--- a/cmd/dunegrade/trace.go
+++ b/cmd/dunegrade/trace.go
@@ -122,7 +122,7 @@
 		t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(t, "  worker\tbuild\tin hand\tof\ttimes the usual time\tagainst it")
 		for _, w := range list {
-			fmt.Fprintf(t, "  %s\t%d\t%d\t%.1f\t%.2f\t%s\n", w.Worker, w.Rel, w.Open, w.Limit, w.Slow, w.Against)
+			fmt.Fprintf(t, "  %s\t%d\t%d\t%.1f\t%.2f\t%s\n", w.Worker, w.Rel, w.Open, w.Limit, w.Slowdown, w.Reason)
 		}
 		t.Flush()
 	}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -28,7 +28,7 @@
 			t.Errorf("%s: got %v, want %v", name, e.Module[name], want)
 		}
 	}
-	if e.Routes[1].Product != 1 || e.Products[0].Expiry != time.Second || e.Door.Head != 16<<10 {
+	if e.Routes[1].Product != 1 || e.Products[0].Expiry != time.Second || e.ClientLimits.MaxHeadBytes != 16<<10 {
 		t.Errorf("read as %+v", e)
 	}
 }
@@ -93,7 +93,7 @@
 
 func TestWhatIsMissingIsToldOnce(t *testing.T) {
 	_, err := ParseEdge("e.sexp", `(edge (listen "127.0.0.1:1"))`)
-	if faults, ok := err.(Faults); !ok || len(faults) != 4 { // source, product, route, release
+	if faults, ok := err.(FileErrors); !ok || len(faults) != 4 { // source, product, route, release
 		t.Errorf("got %v", err)
 	}
 }
@@ -101,17 +101,17 @@
 func TestAllFaultsAtOnce(t *testing.T) {
 	bad := strings.NewReplacer("300ms", "x", "(free 3)", "(free x)", "inquiry-like", "safe").Replace(good)
 	_, err := ParseEdge("e.sexp", bad)
-	if faults, ok := err.(Faults); !ok || len(faults) != 3 {
+	if faults, ok := err.(FileErrors); !ok || len(faults) != 3 {
 		t.Errorf("got %v", err)
 	}
 }
 
 func TestList(t *testing.T) {
-	l, err := ParseList("l", `(worker a (address "127.0.0.1:1") (build 3) (started 2026-12-01T10:00:00Z)) (release (build 3))`)
+	l, err := ParseWorkerList("l", `(worker a (address "127.0.0.1:1") (build 3) (started 2026-12-01T10:00:00Z)) (release (build 3))`)
 	if err != nil || len(l.Workers) != 1 || l.Workers[0].Build != 3 || l.Workers[0].StartedAt == 0 || l.Release.Cap != 1 {
 		t.Errorf("read as %+v, %v", l, err)
 	}
-	if _, err = ParseList("l", `(worker a (address "x") (build 70000)) (worker a (address "127.0.0.1:2"))`); err == nil || len(err.(Faults)) != 4 {
+	if _, err = ParseWorkerList("l", `(worker a (address "x") (build 70000)) (worker a (address "127.0.0.1:2"))`); err == nil || len(err.(FileErrors)) != 4 {
 		t.Errorf("got %v, want four faults", err)
 	}
 }
@@ -126,7 +126,7 @@
 	} {
 		taken := 0
 		for n := 0; n <= len(text); n++ {
-			if l, err := ParseList("l", text[:n]); err == nil {
+			if l, err := ParseWorkerList("l", text[:n]); err == nil {
 				if taken++; len(l.Workers) != 2 || n < len(text) {
 					t.Errorf("%d of %d bytes were taken as whole: %+v", n, len(text), l)
 				}
--- a/config/form.go
+++ b/config/form.go
@@ -58,22 +58,22 @@
 	return "a list"
 }
 
-// Fault is one thing wrong with a file.
-type Fault struct {
+// FileError is one thing wrong with a file.
+type FileError struct {
 	File         string
 	Line, Column int
 	Found        string
 	Wanted       string
 }
 
-func (f Fault) Error() string {
+func (f FileError) Error() string {
 	return fmt.Sprintf("%s:%d:%d: found %s, wanted %s", f.File, f.Line, f.Column, f.Found, f.Wanted)
 }
 
-// Faults are all that is wrong with a file, in the order of its text.
-type Faults []Fault
+// FileErrors are all that is wrong with a file, in the order of its text.
+type FileErrors []FileError
 
-func (f Faults) Error() string {
+func (f FileErrors) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
 		lines[i] = f[i].Error()
@@ -85,7 +85,7 @@
 type Reader struct {
 	file   string
 	root   *Form
-	faults Faults
+	faults FileErrors
 }
 
 // ReadFile parses a file. The error is Faults where the text is no S-expression, else that of reading.
@@ -101,12 +101,12 @@
 func Read(file, text string) (*Reader, error) {
 	doc, err := grammar.ParseString(file, text)
 	if err != nil {
-		f := Fault{File: file, Line: 1, Column: 1, Found: "text that is no S-expression", Wanted: "balanced parentheses and quotes"}
+		f := FileError{File: file, Line: 1, Column: 1, Found: "text that is no S-expression", Wanted: "balanced parentheses and quotes"}
 		if pe, ok := err.(participle.Error); ok {
 			f.Line, f.Column = pe.Position().Line, pe.Position().Column
 			f.Found = pe.Message()
 		}
-		return nil, Faults{f}
+		return nil, FileErrors{f}
 	}
 	r := &Reader{file: file}
 	r.root = &Form{r: r, name: "file", items: doc.Items, asked: map[string]bool{}}
@@ -130,7 +130,7 @@
 }
 
 func (r *Reader) fault(at lexer.Position, found, wanted string) {
-	r.faults = append(r.faults, Fault{r.file, at.Line, at.Column, found, wanted})
+	r.faults = append(r.faults, FileError{r.file, at.Line, at.Column, found, wanted})
 }
 
 // Form is a list that opens with a word: (name item ...). Its items are values, or fields: forms in turn.
@@ -146,8 +146,8 @@
 // Name is the form's first word.
 func (f *Form) Name() string { return f.name }
 
-// Fault records that what stands here is not what is wanted.
-func (f *Form) Fault(found, wanted string) {
+// AddError records that what stands here is not what is wanted.
+func (f *Form) AddError(found, wanted string) {
 	if !f.ghost {
 		f.r.fault(f.pos, found, wanted)
 	}
@@ -160,8 +160,8 @@
 	return &Form{r: f.r, pos: n.Pos, name: *n.List.Items[0].Word, items: n.List.Items[1:], asked: map[string]bool{}}
 }
 
-// Many gives all fields of a name, in order.
-func (f *Form) Many(name string) []*Form {
+// Fields gives all fields of a name, in order.
+func (f *Form) Fields(name string) []*Form {
 	f.asked[name] = true
 	var out []*Form
 	for _, n := range f.items {
@@ -172,32 +172,32 @@
 	return out
 }
 
-// Sub gives the one field of a name, or nil where there is none; a second one is a fault.
-func (f *Form) Sub(name string) *Form {
+// Field gives the one field of a name, or nil where there is none; a second one is a fault.
+func (f *Form) Field(name string) *Form {
 	first := !f.asked[name]
-	all := f.Many(name)
+	all := f.Fields(name)
 	if len(all) == 0 {
 		return nil
 	}
 	if first {
 		for _, g := range all[1:] {
-			g.Fault(fmt.Sprintf("a second (%s ...)", name), fmt.Sprintf("one (%s ...) in (%s ...)", name, f.name))
+			g.AddError(fmt.Sprintf("a second (%s ...)", name), fmt.Sprintf("one (%s ...) in (%s ...)", name, f.name))
 		}
 	}
 	return all[0]
 }
 
-// Must is Sub, but a field that is missing is a fault; then it gives an empty form.
-func (f *Form) Must(name string) *Form {
-	if g := f.Sub(name); g != nil {
+// RequireField is Sub, but a field that is missing is a fault; then it gives an empty form.
+func (f *Form) RequireField(name string) *Form {
+	if g := f.Field(name); g != nil {
 		return g
 	}
-	f.Fault(fmt.Sprintf("(%s ...) without (%s ...)", f.name, name), fmt.Sprintf("a field (%s ...)", name))
+	f.AddError(fmt.Sprintf("(%s ...) without (%s ...)", f.name, name), fmt.Sprintf("a field (%s ...)", name))
 	return &Form{r: f.r, pos: f.pos, name: name, asked: map[string]bool{}, ghost: true}
 }
 
-// Done records a fault for each item that no call has asked for. Call it when all fields were read.
-func (f *Form) Done() {
+// RejectUnknown records a fault for each item that no call has asked for. Call it when all fields were read.
+func (f *Form) RejectUnknown() {
 	var names []string
 	for n := range f.asked {
 		names = append(names, n)
@@ -221,7 +221,7 @@
 	}
 	switch {
 	case len(f.items) == 0:
-		f.Fault(fmt.Sprintf("(%s) without a value", f.name), wanted)
+		f.AddError(fmt.Sprintf("(%s) without a value", f.name), wanted)
 	case len(f.items) > 1:
 		f.r.fault(f.items[1].Pos, f.items[1].String(), "one value only: "+wanted)
 	default:
@@ -239,7 +239,7 @@
 
 // parsed reads the value of the field by a parser; a field that is absent gives otherwise.
 func parsed[T any](f *Form, name string, otherwise T, wanted string, parse func(string) (T, bool)) T {
-	g := f.Sub(name)
+	g := f.Field(name)
 	if g == nil {
 		return otherwise
 	}
@@ -260,8 +260,8 @@
 	return parsed(f, name, otherwise, "a text", func(s string) (string, bool) { return s, s != "" })
 }
 
-// Flag reads true or false.
-func (f *Form) Flag(name string, otherwise bool) bool {
+// Bool reads true or false.
+func (f *Form) Bool(name string, otherwise bool) bool {
 	return parsed(f, name, otherwise, "true or false", func(s string) (bool, bool) { return s == "true", s == "true" || s == "false" })
 }
 
@@ -286,8 +286,8 @@
 		})
 }
 
-// Num reads a number from least to most; a share may be written in percent.
-func (f *Form) Num(name string, otherwise, least, most float64) float64 {
+// Float reads a number from least to most; a share may be written in percent.
+func (f *Form) Float(name string, otherwise, least, most float64) float64 {
 	return parsed(f, name, otherwise, fmt.Sprintf("a number from %g to %g", least, most), func(s string) (float64, bool) {
 		return number(s, least, most)
 	})
@@ -303,8 +303,8 @@
 	return v, err == nil && !math.IsNaN(v) && v >= least && v <= most
 }
 
-// Span reads a length of time with its unit, such as 250ms or 1.5s, from least to most.
-func (f *Form) Span(name string, otherwise, least, most time.Duration) time.Duration {
+// Duration reads a length of time with its unit, such as 250ms or 1.5s, from least to most.
+func (f *Form) Duration(name string, otherwise, least, most time.Duration) time.Duration {
 	return parsed(f, name, otherwise, fmt.Sprintf("a time from %v to %v, such as 250ms or 1.5s", least, most),
 		func(s string) (time.Duration, bool) {
 			v, err := time.ParseDuration(s)
@@ -317,8 +317,8 @@
 	many int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}, {"", 1}}
 
-// Size reads a number of bytes, such as 64KiB, from least to most.
-func (f *Form) Size(name string, otherwise, least, most int64) int64 {
+// Bytes reads a number of bytes, such as 64KiB, from least to most.
+func (f *Form) Bytes(name string, otherwise, least, most int64) int64 {
 	return parsed(f, name, otherwise, fmt.Sprintf("a size from %d to %d bytes, such as 64KiB", least, most),
 		func(s string) (int64, bool) {
 			for _, u := range sizes {
@@ -336,7 +336,7 @@
 
 // Texts reads a field of any number of texts.
 func (f *Form) Texts(name string) []string {
-	g := f.Sub(name)
+	g := f.Field(name)
 	if g == nil {
 		return nil
 	}
@@ -351,9 +351,9 @@
 	return out
 }
 
-// Nums reads a field of numbers, each from least to most.
-func (f *Form) Nums(name string, least, most float64) []float64 {
-	g := f.Sub(name)
+// Floats reads a field of numbers, each from least to most.
+func (f *Form) Floats(name string, least, most float64) []float64 {
+	g := f.Field(name)
 	if g == nil {
 		return nil
 	}
@@ -371,10 +371,10 @@
 	return out
 }
 
-// Title takes the form's first item, a bare word or text that names it, and leaves the rest as fields.
-func (f *Form) Title(wanted string) string {
+// TakeName takes the form's first item, a bare word or text that names it, and leaves the rest as fields.
+func (f *Form) TakeName(wanted string) string {
 	if len(f.items) == 0 || f.items[0].List != nil {
-		f.Fault(fmt.Sprintf("(%s ...) without a name", f.name), wanted)
+		f.AddError(fmt.Sprintf("(%s ...) without a name", f.name), wanted)
 		return ""
 	}
 	n := f.items[0]
@@ -382,9 +382,9 @@
 	return raw(n)
 }
 
-// Part is Sub, but a field that is missing gives an empty form, so that its defaults hold.
-func (f *Form) Part(name string) *Form {
-	if g := f.Sub(name); g != nil {
+// OptionalField is Sub, but a field that is missing gives an empty form, so that its defaults hold.
+func (f *Form) OptionalField(name string) *Form {
+	if g := f.Field(name); g != nil {
 		return g
 	}
 	return &Form{r: f.r, pos: f.pos, name: name, asked: map[string]bool{}}
--- a/config/list.go
+++ b/config/list.go
@@ -6,14 +6,14 @@
 	"dunegrade/api"
 )
 
-// List is what a list file tells: the workers and where the newest release stands.
-type List struct {
+// WorkerList is what a list file tells: the workers and where the newest release stands.
+type WorkerList struct {
 	Workers []api.Worker
 	Release api.Release
 }
 
-// ParseList reads a list file's text; file is the name that faults give. The error is Faults where the text is at fault.
-func ParseList(file, text string) (*List, error) {
+// ParseWorkerList reads a list file's text; file is the name that faults give. The error is Faults where the text is at fault.
+func ParseWorkerList(file, text string) (*WorkerList, error) {
 	r, err := Read(file, text)
 	if err != nil {
 		return nil, err
@@ -21,8 +21,8 @@
 	return readList(r)
 }
 
-func readList(r *Reader) (*List, error) {
-	out := &List{}
+func readList(r *Reader) (*WorkerList, error) {
+	out := &WorkerList{}
 	f := r.Root()
 	// Danger: a file that is cut off between two forms reads as whole, and the workers that it lacks as gone. The release
 	// ends the file, so what lacks it is no whole file.
@@ -32,31 +32,31 @@
 		}
 	}
 	seen := map[string]bool{}
-	for _, w := range f.Many("worker") {
-		id := w.Title("a worker's id")
+	for _, w := range f.Fields("worker") {
+		id := w.TakeName("a worker's id")
 		if seen[id] {
-			w.Fault("a second worker "+id, "ids that differ")
+			w.AddError("a second worker "+id, "ids that differ")
 		}
 		seen[id] = true
 		out.Workers = append(out.Workers, api.Worker{ID: id, Address: w.address("address", true), Zone: w.Text("zone", ""),
 			Kind: w.Text("kind", ""), Cell: int(w.Int("cell", 0, 0, 1<<30)),
 			State:  w.OneOf("state", api.Up, api.Up, api.Draining, api.Gone),
-			Weight: w.Num("weight", 1, 0, 1e9), Build: int(w.Int("build", 1, 0, api.MaxBuild)),
+			Weight: w.Float("weight", 1, 0, 1e9), Build: int(w.Int("build", 1, 0, api.MaxBuild)),
 			StartedAt: w.instant("started")})
-		w.Done()
+		w.RejectUnknown()
 	}
 	if len(out.Workers) == 0 {
-		f.Must("worker")
+		f.RequireField("worker")
 	}
-	rel := f.Sub("release")
+	rel := f.Field("release")
 	if rel == nil { // told above
 		rel = &Form{r: r, name: "release", asked: map[string]bool{}, ghost: true}
 	}
 	out.Release = api.Release{Build: int(rel.Int("build", 1, 0, api.MaxBuild)), Stage: int(rel.Int("stage", 0, 0, api.MaxStage)),
 		Phase: rel.OneOf("phase", api.Released, api.OnTrial, api.GoingBack, api.Released, api.Withdrawn),
-		Cap:   rel.Num("cap", 1, 0, 1), Since: rel.instant("since")}
-	rel.Done()
-	f.Done()
+		Cap:   rel.Float("cap", 1, 0, 1), Since: rel.instant("since")}
+	rel.RejectUnknown()
+	f.RejectUnknown()
 	if err := r.Err(); err != nil {
 		return nil, err
 	}
--- a/edge/accept.go
+++ b/edge/accept.go
@@ -37,8 +37,8 @@
 
 // admit hands a new connection to the loop that has fewest, or resets it where there are far too many. Nothing of it was read.
 func (p *Process) admit(c net.Conn) {
-	over := p.open.Load() - int64(p.plan.Door.Connections)
-	if over >= int64(p.plan.Door.Shed) {
+	over := p.openClients.Load() - int64(p.cfg.ClientLimits.MaxConnections)
+	if over >= int64(p.cfg.ClientLimits.OverflowConnections) {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
@@ -50,24 +50,24 @@
 	}
 	best := p.loops[0]
 	for _, l := range p.loops[1:] {
-		if l.clients.Load() < best.clients.Load() {
+		if l.clientCount.Load() < best.clientCount.Load() {
 			best = l
 		}
 	}
-	p.open.Add(1)
-	best.clients.Add(1)
-	if _, err := best.client.EnrollContext(c, &accepted{}); err != nil {
-		p.open.Add(-1)
-		best.clients.Add(-1)
+	p.openClients.Add(1)
+	best.clientCount.Add(1)
+	if _, err := best.client.EnrollContext(c, &acceptedClient{}); err != nil {
+		p.openClients.Add(-1)
+		best.clientCount.Add(-1)
 	}
 }
 
 // longestQueue bounds what can wait to be accepted when the listener ends; a crowd that goes on coming must not hold that up.
 const longestQueue = 4096
 
-// endAccepting takes the connections that the kernel has accepted so far and closes the listener, which resets those that come in between:
+// closeListener takes the connections that the kernel has accepted so far and closes the listener, which resets those that come in between:
 // nothing of them was read. When it returns, each connection that was taken is on the books of its loop.
-func (p *Process) endAccepting(accepting *sync.WaitGroup) {
+func (p *Process) closeListener(accepting *sync.WaitGroup) {
 	defer accepting.Wait()
 	defer p.listener.Close()
 	l, ok := p.listener.(*net.TCPListener)
@@ -100,7 +100,7 @@
 		fd, _, err := unix.Accept4(listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch err {
 		case nil:
-			return dup(fd, nil)
+			return connFromFD(fd, nil)
 		case unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH,
 			unix.EOPNOTSUPP, unix.ENETUNREACH: // accept(2): faults of one connection, or none
 		default:
--- a/edge/admin.go
+++ b/edge/admin.go
@@ -12,7 +12,7 @@
 )
 
 func (p *Process) serveAdmin() (*http.Server, error) {
-	if p.plan.Admin == "" {
+	if p.cfg.Admin == "" {
 		return nil, nil
 	}
 	registry := prometheus.NewRegistry()
@@ -29,7 +29,7 @@
 	mux.HandleFunc("/debug/pprof/profile", pprof.Profile)
 	mux.HandleFunc("/debug/pprof/", pprof.Index)
 	mux.Handle("/metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
-	ln, err := net.Listen("tcp", p.plan.Admin)
+	ln, err := net.Listen("tcp", p.cfg.Admin)
 	if err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
 	}
--- a/edge/call.go
+++ b/edge/call.go
@@ -12,14 +12,14 @@
 type subState uint8
 
 const (
-	subOver     subState = iota
-	subWaiting           // for a connection: nothing was sent
-	subSent              // it may run
-	subStopping          // we have ended our sending; what crosses that is heard yet
-	subCarried           // its answer streams, a carrier has it
+	subOver      subState = iota
+	subWaiting            // for a connection: nothing was sent
+	subSent               // it may run
+	subStopping           // we have ended our sending; what crosses that is heard yet
+	subStreaming          // its answer streams, a carrier has it
 )
 
-type sub struct {
+type submission struct {
 	pool  *pool
 	conn  *workerConn // while sent
 	since logic.Nanos
@@ -29,31 +29,31 @@
 // call is one txn in hand: the client's request and what was sent of it. A call lives from the end of its head
 // until it is answered, and all that was sent of it has ended.
 type call struct {
-	at       int32
-	gen      uint32
-	client   *clientConn // nil once answered, or left by its client
-	request  []byte      // as it goes to workers, head and body
-	bodyAt   int         // where the body starts in request
-	product  int
-	toHead   bool // a HEAD: its answer has no body
-	minor    int  // of the client's version
-	keep     bool // the client's connection stays open
-	closes   bool // its answer says that the connection ends with it
-	in       logic.Txn
-	taken    bool      // the module has it
-	outer    uint64    // its id as its client knows it, where ids are its clients'
-	from, to int       // where in request its patience stands, where it stands in the request
-	traced   bool      // it is recorded
-	traceID  [2]uint64 // that the client sent
-	serial   uint64    // of the txn in this sentry's life
-	status   int       // of the answer that it was just given, for its record
-	answered bool
-	left     bool // by its client
-	subs     [maxSubs]sub
-	n, out   int // submissions made, and of them not ended
-	pending  int // events queued for the module
-	free     bool
-	last     logic.Ending
+	at                       int32
+	gen                      uint32
+	client                   *clientConn // nil once answered, or left by its client
+	request                  []byte      // as it goes to workers, head and body
+	bodyOffset               int         // where the body starts in request
+	product                  int
+	isHead                   bool // a HEAD: its answer has no body
+	httpMinor                int  // of the client's version
+	keepAlive                bool // the client's connection stays open
+	closesConn               bool // its answer says that the connection ends with it
+	txn                      logic.Txn
+	admitted                 bool      // the module has it
+	externalID               uint64    // its id as its client knows it, where ids are its clients'
+	timeoutStart, timeoutEnd int       // where in request its patience stands, where it stands in the request
+	traced                   bool      // it is recorded
+	traceID                  [2]uint64 // that the client sent
+	serial                   uint64    // of the txn in this sentry's life
+	status                   int       // of the answer that it was just given, for its record
+	answered                 bool
+	clientLeft               bool // by its client
+	subs                     [maxSubs]submission
+	n, outstanding           int // submissions made, and of them not ended
+	pending                  int // events queued for the module
+	freed                    bool
+	lastEnding               logic.Ending
 }
 
 // The id of a txn is its place in the slab below its generation: as small a number as can be.
@@ -74,24 +74,24 @@
 }
 
 func (l *loop) newCall() *call {
-	at, c := l.calls.take()
+	at, c := l.calls.get()
 	request := c.request
 	if cap(request) > keptBuffer { // one large request must not pin its memory for good
 		request = nil
 	}
 	l.serial++
-	*c = call{at: at, gen: c.gen + 1, serial: l.serial, request: request[:0], last: logic.OK}
+	*c = call{at: at, gen: c.gen + 1, serial: l.serial, request: request[:0], lastEnding: logic.OK}
 	return c
 }
 
-// drop frees a call once nothing of it is out or queued and its client has had the answer, or was never owed one.
-func (l *loop) drop(c *call) {
-	if c.free || c.out > 0 || c.pending > 0 || c.taken && !c.answered && !c.left {
+// releaseCall frees a call once nothing of it is out or queued and its client has had the answer, or was never owed one.
+func (l *loop) releaseCall(c *call) {
+	if c.freed || c.outstanding > 0 || c.pending > 0 || c.admitted && !c.answered && !c.clientLeft {
 		return
 	}
-	c.free = true
-	if c.outer != 0 {
-		delete(l.outers, c.outer)
+	c.freed = true
+	if c.externalID != 0 {
+		delete(l.externalIDs, c.externalID)
 	}
 	if c.traced {
 		l.rec.Done(l.now, c.id())
@@ -103,29 +103,29 @@
 		c.client = nil
 	}
 	c.gen++ // timers and late endings find nothing
-	l.calls.give(c.at)
+	l.calls.put(c.at)
 }
 
-// ended books the end of submission n and queues the outcome for the module.
-func (l *loop) ended(c *call, n int, e logic.Ending, load *logic.Load) {
+// endSubmission books the end of submission n and queues the outcome for the module.
+func (l *loop) endSubmission(c *call, n int, e logic.Ending, load *logic.Load) {
 	s := &c.subs[n]
 	if s.state == subOver {
 		return
 	}
 	// Danger: a link that is slow, or falls silent, may hold an answer that was given.
-	given := l.p.live != nil && s.state >= subSent &&
-		(e == logic.Cancelled || e == logic.TimedOut || e == logic.Broken || e == logic.Spoilt)
+	given := l.p.platform != nil && s.state >= subSent &&
+		(e == logic.Cancelled || e == logic.TimedOut || e == logic.Disconnected || e == logic.MalformedResponse)
 	s.state = subOver
 	s.conn = nil
-	c.out--
-	c.last = e
+	c.outstanding--
+	c.lastEnding = e
 	ev := event{kind: evOutcome, call: c, outcome: logic.Outcome{Txn: c.id(), Number: n, Ending: e,
-		Elapsed: l.now - s.since, Over: c.answered || c.left, Given: given}}
+		Elapsed: l.now - s.since, Final: c.answered || c.clientLeft, MaybeAnswered: given}}
 	if load != nil {
 		ev.load, ev.loaded = *load, true
 	}
 	l.stats.endings[e]++
-	l.queue(ev)
+	l.enqueue(ev)
 }
 
 // pool holds the connections to one worker.
@@ -146,15 +146,15 @@
 }
 
 func (w waiter) valid() bool {
-	return w.call.gen == w.gen && w.call.subs[w.n].state == subWaiting && !w.call.answered && !w.call.left
+	return w.call.gen == w.gen && w.call.subs[w.n].state == subWaiting && !w.call.answered && !w.call.clientLeft
 }
 
-// endWaiting ends what waits for a connection for a call that is over. Danger: where nothing may be called off, the module
+// endWaitingSubs ends what waits for a connection for a call that is over. Danger: where nothing may be called off, the module
 // says nothing of it, and it would be sent for a client that has gone, or has its answer.
-func (l *loop) endWaiting(c *call) {
+func (l *loop) endWaitingSubs(c *call) {
 	for n := 0; n < c.n; n++ {
 		if c.subs[n].state == subWaiting {
-			l.ended(c, n, logic.Moot, nil)
+			l.endSubmission(c, n, logic.Skipped, nil)
 		}
 	}
 }
@@ -166,29 +166,29 @@
 	}
 	n := c.n
 	c.n++
-	c.out++
+	c.outstanding++
 	p := l.pools[w]
-	c.subs[n] = sub{pool: p, since: l.now, state: subWaiting}
-	if p == nil || c.answered || c.left {
-		l.ended(c, n, logic.Moot, nil)
+	c.subs[n] = submission{pool: p, since: l.now, state: subWaiting}
+	if p == nil || c.answered || c.clientLeft {
+		l.endSubmission(c, n, logic.Skipped, nil)
 		return
 	}
-	if timeout > 0 && l.now+timeout < c.in.Expiry {
-		l.heap.push(timer{at: l.now + timeout, token: uint64(c.id()), kind: subEnd, n: uint8(n)})
+	if timeout > 0 && l.now+timeout < c.txn.Expiry {
+		l.timers.push(timer{at: l.now + timeout, token: uint64(c.id()), kind: subEnd, n: uint8(n)})
 	}
 	for i := len(p.idle) - 1; i >= 0; i-- { // the one used last, as the others may be closing
 		wc := p.idle[i]
 		if l.now-wc.since > l.reuse.upTo {
-			l.closeWorker(wc, false)
+			l.closeWorkerConn(wc, false)
 			continue
 		}
-		if l.now-wc.since < logic.Nanos(l.p.plan.Workers.Rest) {
-			l.armWorker(wc, wc.since+logic.Nanos(l.p.plan.Workers.Rest))
+		if l.now-wc.since < logic.Nanos(l.p.cfg.WorkerLimits.ReuseDelay) {
+			l.armWorker(wc, wc.since+logic.Nanos(l.p.cfg.WorkerLimits.ReuseDelay))
 			continue // Danger: what a worker sends behind an answer would pass for the next one
 		}
 		if wc.protocol.stale() {
 			l.stats.stale++
-			l.closeWorker(wc, true)
+			l.closeWorkerConn(wc, true)
 			continue
 		}
 		p.idle = append(p.idle[:i], p.idle[i+1:]...)
@@ -196,7 +196,7 @@
 		return
 	}
 	p.waiting = append(p.waiting, waiter{c, c.gen, n})
-	l.heap.push(timer{at: l.now + l.connectTimeout, token: uint64(c.id()), kind: connWait, n: uint8(n)})
+	l.timers.push(timer{at: l.now + l.connectTimeout, token: uint64(c.id()), kind: connWait, n: uint8(n)})
 	l.open(p)
 }
 
@@ -206,9 +206,9 @@
 		return
 	}
 	p.waiting = slices.DeleteFunc(p.waiting, func(w waiter) bool { return !w.valid() })
-	for p.dialing < len(p.waiting) && p.conns < l.p.plan.Workers.Connections &&
-		l.dialing < l.p.plan.Workers.Dialing && !l.stopping {
-		if total := l.p.plan.Workers.Total; total > 0 && l.conns >= total && !l.spareOne(p) {
+	for p.dialing < len(p.waiting) && p.conns < l.p.cfg.WorkerLimits.MaxConnections &&
+		l.dialing < l.p.cfg.WorkerLimits.MaxDialing && !l.stopping {
+		if total := l.p.cfg.WorkerLimits.MaxTotalConnections; total > 0 && l.conns >= total && !l.spareOne(p) {
 			l.starved = append(l.starved, p)
 			return
 		}
@@ -225,20 +225,20 @@
 func (l *loop) spareOne(but *pool) bool {
 	var best *workerConn
 	for _, wc := range l.workerConns.items {
-		if !wc.closed && wc.pool != nil && wc.pool != but && wc.call == nil && !wc.greets &&
+		if !wc.closed && wc.pool != nil && wc.pool != but && wc.call == nil && !wc.handshaking &&
 			(best == nil || wc.since < best.since) {
 			best = wc
 		}
 	}
 	if best != nil {
-		l.closeWorker(best, false)
+		l.closeWorkerConn(best, false)
 	}
 	return best != nil
 }
 
 // feed opens connections for pools that found none to be had.
 func (l *loop) feed() {
-	for len(l.starved) > 0 && l.conns < l.p.plan.Workers.Total {
+	for len(l.starved) > 0 && l.conns < l.p.cfg.WorkerLimits.MaxTotalConnections {
 		p := l.starved[0]
 		l.starved = l.starved[1:]
 		l.open(p)
@@ -262,7 +262,7 @@
 		w := p.waiting[0]
 		p.waiting = p.waiting[1:]
 		if w.valid() {
-			l.ended(w.call, w.n, logic.ConnectFailed, nil)
+			l.endSubmission(w.call, w.n, logic.ConnectFailed, nil)
 			break
 		}
 	}
@@ -274,7 +274,7 @@
 	p.waiting = nil
 	for _, w := range waiting {
 		if w.valid() {
-			l.ended(w.call, w.n, logic.Moot, nil)
+			l.endSubmission(w.call, w.n, logic.Skipped, nil)
 		}
 	}
 }
@@ -283,14 +283,14 @@
 // rests first, where workers are known to send more than belongs to an answer.
 func (l *loop) offer(wc *workerConn) {
 	p := wc.pool
-	rest := logic.Nanos(l.p.plan.Workers.Rest)
+	rest := logic.Nanos(l.p.cfg.WorkerLimits.ReuseDelay)
 	if wc.used == 0 || rest == 0 {
 		if l.serveWaiting(wc) {
 			return
 		}
 	}
 	if p.gone || l.stopping {
-		l.closeWorker(wc, false)
+		l.closeWorkerConn(wc, false)
 		return
 	}
 	wc.since = l.now
@@ -312,11 +312,11 @@
 		if !w.valid() {
 			continue
 		}
-		if l.sentry.Stands(l.now, w.call.id(), w.n) {
+		if l.sentry.StillAllowed(l.now, w.call.id(), w.n) {
 			l.write(wc, w.call, w.n)
 			return true
 		}
-		l.ended(w.call, w.n, logic.Moot, nil)
+		l.endSubmission(w.call, w.n, logic.Skipped, nil)
 	}
 	return false
 }
@@ -326,15 +326,15 @@
 	s := &c.subs[n]
 	s.state, s.conn = subSent, wc
 	wc.call, wc.gen, wc.n = c, c.gen, n
-	wc.loaded, wc.idled = false, l.now-wc.since
+	wc.hasLoad, wc.idled = false, l.now-wc.since
 	if wc.used == 0 {
 		wc.idled = 0
 	}
 	wc.used++
 	l.stats.sent++
-	if err := wc.protocol.ask(c, n); err != nil && !wc.closed {
-		l.closeWorker(wc, true)
-		l.ended(c, n, logic.Broken, nil)
+	if err := wc.protocol.writeSubmission(c, n); err != nil && !wc.closed {
+		l.closeWorkerConn(wc, true)
+		l.endSubmission(c, n, logic.Disconnected, nil)
 	}
 }
 
@@ -386,14 +386,14 @@
 	switch s.state {
 	case subWaiting:
 		if e == logic.Cancelled {
-			e = logic.Moot // it was never sent
+			e = logic.Skipped // it was never sent
 		}
 		if e == logic.TimedOut {
 			e = logic.ConnectFailed
 		}
-		l.ended(c, n, e, nil)
+		l.endSubmission(c, n, e, nil)
 	case subSent:
-		if s.conn.protocol.unsent() { // what never left this host whole cannot have run
+		if s.conn.protocol.hasUnsent() { // what never left this host whole cannot have run
 			e = logic.ConnectFailed
 		} else if e == logic.Cancelled && s.conn.protocol.halfClose() {
 			l.giveUp(s)
@@ -410,11 +410,11 @@
 // cut ends a submission with its connection. Danger: one whose answer had begun has run, and counts as answered.
 func (l *loop) cut(wc *workerConn, e logic.Ending) {
 	c, n := wc.call, wc.n
-	if (e == logic.TimedOut || e == logic.Cancelled) && wc.protocol.began() {
-		e = logic.Spoilt
+	if (e == logic.TimedOut || e == logic.Cancelled) && wc.protocol.answerStarted() {
+		e = logic.MalformedResponse
 	}
-	l.closeWorker(wc, true)
-	l.ended(c, n, e, nil)
+	l.closeWorkerConn(wc, true)
+	l.endSubmission(c, n, e, nil)
 }
 
 // crossing is how long an answer that crosses our giving up is waited for.
@@ -422,7 +422,7 @@
 
 // giveUp ends our sending on a submission's connection. Danger: an answer that crosses this has been given, and the module
 // must hear of it: the key counts as answered by its build.
-func (l *loop) giveUp(s *sub) {
+func (l *loop) giveUp(s *submission) {
 	s.state = subStopping
 	s.conn.stops = l.now
 	l.armWorker(s.conn, l.now+crossing)
@@ -431,11 +431,11 @@
 // lastCall gives up what is out of a call so shortly before its expiry that what crosses is still heard.
 func (l *loop) lastCall(c *call) {
 	for n := 0; n < c.n; n++ {
-		if s := &c.subs[n]; s.state == subSent && !s.conn.protocol.unsent() && s.conn.protocol.halfClose() {
+		if s := &c.subs[n]; s.state == subSent && !s.conn.protocol.hasUnsent() && s.conn.protocol.halfClose() {
 			l.giveUp(s)
 		}
 	}
 }
 
-// early is how long before a call's expiry that is.
-const early = 5 * logic.Millisecond
+// halfCloseLead is how long before a call's expiry that is.
+const halfCloseLead = 5 * logic.Millisecond
--- a/edge/carrier.go
+++ b/edge/carrier.go
@@ -11,8 +11,8 @@
 	"dunegrade/logic"
 )
 
-// returned is the context of a worker's connection that comes back from a carrier.
-type returned struct{ pool *pool }
+// returnedWorker is the context of a worker's connection that comes back from a carrier.
+type returnedWorker struct{ pool *pool }
 
 // carrier hands an answer on that is too large to be kept whole, or that streams. It has both connections to
 // itself, and blocks where the client reads slowly: the event loop knows no way to stop reading from a worker, so
@@ -24,7 +24,7 @@
 	pool    *pool
 	worker  net.Conn
 	client  net.Conn
-	state   httpState
+	state   answerState
 	left    int64 // inFixed
 	chunks  http1.Dechunker
 	chunked bool   // to the client
@@ -37,30 +37,30 @@
 	loaded  bool
 }
 
-// carry passes the answer that wc is in the middle of to a carrier, and tells whether wc is done with.
-func (l *loop) carry(b *httpBack) bool {
+// startRelay passes the answer that wc is in the middle of to a carrier, and tells whether wc is done with.
+func (l *loop) startRelay(b *httpWorker) bool {
 	wc := b.wc
 	c, n := wc.call, wc.n
 	cc := c.client
 	if cc.c.OutboundBuffered() > 0 { // an earlier answer leaves first
-		if int64(len(b.buf)+len(b.body)) > l.p.plan.Door.Unsent {
+		if int64(len(b.answer)+len(b.unsizedBody)) > l.p.cfg.ClientLimits.MaxUnsentBytes {
 			l.stats.slowReaders++
 			cc.abort(endSlowReader)
 			return true
 		}
 		return false
 	}
-	if l.stats.carrying >= int64(l.p.plan.Door.Streams) {
-		l.closeWorker(wc, true)
-		l.ended(c, n, logic.Broken, nil)
+	if l.stats.streaming >= int64(l.p.cfg.ClientLimits.MaxStreams) {
+		l.closeWorkerConn(wc, true)
+		l.endSubmission(c, n, logic.Disconnected, nil)
 		return true
 	}
-	k := &carrier{l: l, call: c, n: n, pool: wc.pool, state: b.state, left: b.left, chunks: b.chunks, keep: !b.closes,
-		shut: b.shut || b.state == inOpen, load: wc.load, loaded: wc.loaded}
-	k.first = append([]byte(nil), b.buf...)
-	if b.state != inFixed {
-		k.keep = c.keep && !l.draining
-		if c.minor == 1 {
+	k := &carrier{l: l, call: c, n: n, pool: wc.pool, state: b.state, left: b.remaining, chunks: b.chunks, keep: !b.closesConn,
+		shut: b.workerCloses || b.state == answerUntilClose, load: wc.load, loaded: wc.hasLoad}
+	k.first = append([]byte(nil), b.answer...)
+	if b.state != answerFixed {
+		k.keep = c.keepAlive && !l.draining
+		if c.httpMinor == 1 {
 			k.chunked = true
 			k.first = append(k.first, "Transfer-Encoding: chunked\r\n"...)
 		} else {
@@ -71,9 +71,9 @@
 		}
 		k.first = append(k.first, "\r\n"...)
 		if k.chunked {
-			k.first = http1.AppendChunk(k.first, b.body)
+			k.first = http1.AppendChunk(k.first, b.unsizedBody)
 		} else {
-			k.first = append(k.first, b.body...)
+			k.first = append(k.first, b.unsizedBody...)
 		}
 	}
 	if size := wc.c.InboundBuffered(); size > 0 {
@@ -83,37 +83,37 @@
 	}
 	k.ahead = append([]byte(nil), cc.input()...)
 	var err error
-	if k.worker, err = dup(wc.c.Dup()); err == nil {
-		if k.client, err = dup(cc.c.Dup()); err != nil {
+	if k.worker, err = connFromFD(wc.c.Dup()); err == nil {
+		if k.client, err = connFromFD(cc.c.Dup()); err != nil {
 			k.worker.Close()
 		}
 	}
 	if err != nil { // out of descriptors
-		l.closeWorker(wc, true)
-		l.ended(c, n, logic.Broken, nil)
+		l.closeWorkerConn(wc, true)
+		l.endSubmission(c, n, logic.Disconnected, nil)
 		return true
 	}
-	l.stats.carrying++
-	l.stats.carried++
+	l.stats.streaming++
+	l.stats.streamed++
 	l.stats.settled++
 	c.answered, c.client, cc.call = true, nil, nil
-	c.subs[n].state, c.subs[n].conn = subCarried, nil
+	c.subs[n].state, c.subs[n].conn = subStreaming, nil
 	gc := cc.c
-	l.holding -= cc.holds
+	l.heldBytes -= cc.holds
 	cc.closed, cc.c, cc.holds = true, nil, 0
 	cc.gen++
-	l.clientConns.give(cc.at)
-	l.el.Close(gc)
+	l.clientConns.put(cc.at)
+	l.eventLoop.Close(gc)
 	wc.call = nil
-	l.closeWorker(wc, false)
-	l.queue(event{kind: evStreaming, call: c, outcome: logic.Outcome{Number: n}})
+	l.closeWorkerConn(wc, false)
+	l.enqueue(event{kind: evStreaming, call: c, outcome: logic.Outcome{Number: n}})
 	l.group.Add(1)
 	go k.run()
 	return true
 }
 
-// dup makes a connection of its own of a descriptor.
-func dup(fd int, err error) (net.Conn, error) {
+// connFromFD makes a connection of its own of a descriptor.
+func connFromFD(fd int, err error) (net.Conn, error) {
 	if err != nil {
 		return nil, err
 	}
@@ -152,14 +152,14 @@
 	}
 	if !clean || k.shut || len(k.early) > 0 {
 		k.worker.Close()
-	} else if _, err := l.client.EnrollContext(k.worker, &returned{k.pool}); err != nil {
+	} else if _, err := l.client.EnrollContext(k.worker, &returnedWorker{k.pool}); err != nil {
 		k.worker.Close()
 	}
 	if clean && k.keep {
-		if _, err := l.client.EnrollContext(k.client, &accepted{early: k.ahead}); err != nil {
+		if _, err := l.client.EnrollContext(k.client, &acceptedClient{early: k.ahead}); err != nil {
 			k.client.Close()
-			l.clients.Add(-1)
-			l.p.open.Add(-1)
+			l.clientCount.Add(-1)
+			l.p.openClients.Add(-1)
 		}
 	} else {
 		if !clean { // Danger: an answer cut short must not look whole, whichever side cut it
@@ -170,14 +170,14 @@
 			k.awaitDelivery()
 		}
 		k.client.Close()
-		l.clients.Add(-1)
-		l.p.open.Add(-1)
+		l.clientCount.Add(-1)
+		l.p.openClients.Add(-1)
 	}
 	l.post(func() {
-		l.stats.carrying--
+		l.stats.streaming--
 		e := logic.OK
 		if fromWorker != nil {
-			e = logic.Broken
+			e = logic.Disconnected
 		} else if toClient != nil {
 			e = logic.Cancelled
 		}
@@ -185,7 +185,7 @@
 		if k.loaded {
 			load = &k.load
 		}
-		l.ended(k.call, k.n, e, load)
+		l.endSubmission(k.call, k.n, e, load)
 	})
 }
 
@@ -200,7 +200,7 @@
 		return
 	}
 	c.CloseWrite()
-	until := time.Now().Add(k.l.p.plan.Door.SlowReader)
+	until := time.Now().Add(k.l.p.cfg.ClientLimits.SlowReaderTimeout)
 	look := time.NewTicker(time.Duration(closingLook))
 	defer look.Stop()
 	for time.Now().Before(until) {
@@ -219,12 +219,12 @@
 
 // copy moves the rest of the answer, and tells how either side failed.
 func (k *carrier) copy() (fromWorker, toClient error) {
-	d := &k.l.p.plan.Door
+	d := &k.l.p.cfg.ClientLimits
 	put := func(b []byte) error {
 		if len(b) == 0 {
 			return nil
 		}
-		k.client.SetWriteDeadline(time.Now().Add(d.SlowReader))
+		k.client.SetWriteDeadline(time.Now().Add(d.SlowReaderTimeout))
 		_, err := k.client.Write(b)
 		return err
 	}
@@ -239,7 +239,7 @@
 	eof := false
 	for {
 		switch k.state {
-		case inFixed:
+		case answerFixed:
 			if k.left == 0 {
 				k.early = have
 				return nil, nil
@@ -254,9 +254,9 @@
 				k.early = have
 				return nil, nil
 			}
-		case inChunks:
+		case answerChunked:
 			took, data, done, err := k.chunks.Next(have)
-			if err != nil && !errors.Is(err, http1.ErrMore) {
+			if err != nil && !errors.Is(err, http1.ErrIncomplete) {
 				return err, nil
 			}
 			if k.chunked {
@@ -278,7 +278,7 @@
 			if err == nil {
 				continue
 			}
-		case inOpen:
+		case answerUntilClose:
 			if k.chunked {
 				out = http1.AppendChunk(out[:0], have)
 			} else {
@@ -293,14 +293,14 @@
 			}
 		}
 		spill = append(spill[:0], have...) // have may lie in buf, which is read into next
-		k.worker.SetReadDeadline(time.Now().Add(d.Idle))
+		k.worker.SetReadDeadline(time.Now().Add(d.IdleTimeout))
 		n, err := k.worker.Read(buf)
 		if have = buf[:n]; len(spill) > 0 {
 			spill = append(spill, have...)
 			have = spill
 		}
 		if err != nil && n == 0 {
-			if errors.Is(err, io.EOF) && k.state == inOpen {
+			if errors.Is(err, io.EOF) && k.state == answerUntilClose {
 				eof = true
 				continue
 			}
--- a/edge/client.go
+++ b/edge/client.go
@@ -6,9 +6,9 @@
 	"dunegrade/logic"
 )
 
-// accepted is what the acceptor hands over with a connection: bytes that were read before, where it comes back
+// acceptedClient is what the acceptor hands over with a connection: bytes that were read before, where it comes back
 // from a carrier.
-type accepted struct{ early []byte }
+type acceptedClient struct{ early []byte }
 
 // clientState is what a client's connection waits for.
 type clientState uint8
@@ -62,9 +62,9 @@
 // marksMost is how many pieces of what waits are told apart.
 const marksMost = 64
 
-// arrive notes what has just come. Danger: what waits behind others has its time from when it came, not from when its turn
+// recordArrival notes what has just come. Danger: what waits behind others has its time from when it came, not from when its turn
 // comes. Of very many small pieces the later ones count as come with those before: too early does no harm.
-func (cc *clientConn) arrive() {
+func (cc *clientConn) recordArrival() {
 	n := len(cc.early) + cc.c.InboundBuffered() - cc.holds
 	if n <= 0 {
 		return
@@ -97,10 +97,10 @@
 	for i := range cc.behind {
 		held += len(cc.behind[i].answer)
 	}
-	return !cc.closed && !cc.last && cc.call != nil && cc.call.taken && len(cc.behind) < aheadMost && int64(held) < cc.l.p.plan.Door.Unsent
+	return !cc.closed && !cc.last && cc.call != nil && cc.call.admitted && len(cc.behind) < aheadMost && int64(held) < cc.l.p.cfg.ClientLimits.MaxUnsentBytes
 }
 
-func (l *loop) clientOf(token uint64) *clientConn {
+func (l *loop) clientByToken(token uint64) *clientConn {
 	at := int32(uint32(token))
 	if int(at) >= len(l.clientConns.items) {
 		return nil
@@ -111,15 +111,15 @@
 	return nil
 }
 
-func (l *loop) openClient(c gnet.Conn, d *accepted) {
-	at, cc := l.clientConns.take()
+func (l *loop) openClient(c gnet.Conn, d *acceptedClient) {
+	at, cc := l.clientConns.get()
 	was, behind, marks := cc.protocol, cc.behind[:0], cc.marks[:0]
 	*cc = clientConn{behind: behind, marks: marks, l: l, c: c, at: at, gen: cc.gen + 1, opened: l.now, since: l.now, early: d.early}
-	cc.protocol = l.p.protocol.front(cc, was)
+	cc.protocol = l.p.protocol.newClientProtocol(cc, was)
 	c.SetContext(cc)
-	l.stats.clients++
-	cc.serial = l.stats.clients
-	l.armClient(cc, l.now+logic.Nanos(min(l.p.plan.Door.Idle, l.p.plan.Door.SlowHead)))
+	l.stats.clientsAccepted++
+	cc.serial = l.stats.clientsAccepted
+	l.armClient(cc, l.now+logic.Nanos(min(l.p.cfg.ClientLimits.IdleTimeout, l.p.cfg.ClientLimits.HeadTimeout)))
 	if len(cc.early) > 0 {
 		cc.read()
 	}
@@ -134,12 +134,12 @@
 		return
 	}
 	cc.armed = at
-	l.heap.push(timer{at: at, token: tokenOf(cc.at, cc.gen), kind: clientAt})
+	l.timers.push(timer{at: at, token: slotToken(cc.at, cc.gen), kind: timerClientConn})
 }
 
-// lookAtClient ends what has waited for too long. Slow heads and bodies hold memory, so each has its limit.
-func (l *loop) lookAtClient(cc *clientConn) {
-	d := &l.p.plan.Door
+// checkClient ends what has waited for too long. Slow heads and bodies hold memory, so each has its limit.
+func (l *loop) checkClient(cc *clientConn) {
+	d := &l.p.cfg.ClientLimits
 	until := logic.Nanos(0)
 	switch cc.state {
 	case reading:
@@ -151,7 +151,7 @@
 			return
 		}
 	case inHand:
-		until = l.now + logic.Nanos(d.Idle)
+		until = l.now + logic.Nanos(d.IdleTimeout)
 	}
 	if out := cc.c.OutboundBuffered(); out > 0 || cc.state == onlyOut {
 		if out == 0 {
@@ -160,7 +160,7 @@
 		}
 		if out != cc.unsent {
 			cc.unsent, cc.unsentN = out, l.now
-		} else if l.now-cc.unsentN > logic.Nanos(d.SlowReader) {
+		} else if l.now-cc.unsentN > logic.Nanos(d.SlowReaderTimeout) {
 			l.stats.slowReaders++
 			cc.abort(endSlowReader)
 			return
@@ -177,13 +177,13 @@
 // shed ends the connection that can best be done without, where there is one: one that has asked nothing for longest,
 // else one that is idle for longest. Danger: clients that open connections and say nothing would lock out the others.
 func (l *loop) shed() {
-	if l.p.open.Load() < int64(l.p.plan.Door.Connections) {
+	if l.p.openClients.Load() < int64(l.p.cfg.ClientLimits.MaxConnections) {
 		return
 	}
 	var best *clientConn
 	for _, cc := range l.clientConns.items {
 		if cc.closed || cc.c == nil || cc.state != reading || !cc.protocol.fresh() || cc.c.OutboundBuffered() > 0 || l.now-cc.since < newcomer ||
-			cc.served > 0 && l.now-cc.since < logic.Nanos(l.p.plan.Door.Spare) {
+			cc.served > 0 && l.now-cc.since < logic.Nanos(l.p.cfg.ClientLimits.PressureIdleTimeout) {
 			continue
 		}
 		if best != nil && (cc.served > 0 && best.served == 0 || (cc.served == 0) == (best.served == 0) && cc.since >= best.since) {
@@ -206,8 +206,8 @@
 	l := cc.l
 	cc.bookEnd(why)
 	cc.closed = true
-	l.clients.Add(-1)
-	l.p.open.Add(-1)
+	l.clientCount.Add(-1)
+	l.p.openClients.Add(-1)
 	first := cc.call
 	cc.call = nil
 	cc.leaves(first)
@@ -216,10 +216,10 @@
 		cc.behind[i] = queue{}
 	}
 	cc.behind = cc.behind[:0]
-	l.holding -= cc.holds
+	l.heldBytes -= cc.holds
 	cc.c, cc.early, cc.holds = nil, nil, 0
 	cc.gen++
-	l.clientConns.give(cc.at)
+	l.clientConns.put(cc.at)
 }
 
 // leaves books that a txn's client has gone.
@@ -229,14 +229,14 @@
 	}
 	l := cc.l
 	c.client = nil
-	if !c.taken || c.answered {
-		l.drop(c)
+	if !c.admitted || c.answered {
+		l.releaseCall(c)
 		return
 	}
-	c.left = true
-	l.stats.left++
-	l.queue(event{kind: evLeft, call: c})
-	l.endWaiting(c)
+	c.clientLeft = true
+	l.stats.clientLeft++
+	l.enqueue(event{kind: evClientLeft, call: c})
+	l.endWaitingSubs(c)
 }
 
 // account counts the bytes that are held for clients. Danger: each connection's are bounded, but those of many at once
@@ -247,21 +247,21 @@
 		return
 	}
 	n := len(cc.early) + cc.c.InboundBuffered()
-	l.holding += n - cc.holds
+	l.heldBytes += n - cc.holds
 	cc.holds = n
-	bound := l.p.plan.Door.Holding
-	for bound > 0 && l.holding > bound {
+	bound := l.p.cfg.ClientLimits.MaxHeldBytes
+	for bound > 0 && l.heldBytes > bound {
 		most := cc
 		for _, other := range l.clientConns.items {
 			if !other.closed && other.c != nil && other.holds > most.holds {
 				most = other
 			}
 		}
-		l.stats.overfull++
-		if most.call != nil && most.call.taken { // its answer is owed; what it sent behind that is not looked at
-			most.last, most.overfull, most.call.keep = true, true, false
+		l.stats.overHeldBytes++
+		if most.call != nil && most.call.admitted { // its answer is owed; what it sent behind that is not looked at
+			most.last, most.overfull, most.call.keepAlive = true, true, false
 			most.used(len(most.input()))
-			l.holding -= most.holds
+			l.heldBytes -= most.holds
 			most.holds = 0
 		} else {
 			most.abort(endOverfull)
@@ -323,11 +323,11 @@
 		}
 		// Danger: the event loop reads on whatever is sent, so a client that pipelines without end fills
 		// memory. Past the limit its further requests are dropped, and the connection after its answer.
-		if len(in) > l.p.plan.Door.Pipeline || cc.state == onlyOut {
+		if len(in) > l.p.cfg.ClientLimits.MaxPipelinedBytes || cc.state == onlyOut {
 			cc.used(len(in))
 			cc.last, cc.overfull = true, cc.state != onlyOut
 			if cc.call != nil {
-				cc.call.keep = false
+				cc.call.keepAlive = false
 			}
 		}
 		return
@@ -340,20 +340,20 @@
 	if c == cc.call {
 		cc.state, cc.since = inHand, l.now
 	}
-	c.taken = true
-	l.stats.taken++
-	c.in.ID = c.id()
+	c.admitted = true
+	l.stats.admitted++
+	c.txn.ID = c.id()
 	if l.draining { // it is answered while its answer can still be delivered
-		c.in.Expiry = min(c.in.Expiry, l.lastAnswers)
+		c.txn.Expiry = min(c.txn.Expiry, l.answerDeadline)
 	}
-	if c.in.Expiry < l.now { // the body took all the time there was
-		c.in.Expiry = l.now + 1
+	if c.txn.Expiry < l.now { // the body took all the time there was
+		c.txn.Expiry = l.now + 1
 	}
-	if at := c.in.Expiry - early; at > l.now && l.p.live != nil {
-		l.heap.push(timer{at: at, token: uint64(c.id()), kind: last})
+	if at := c.txn.Expiry - halfCloseLead; at > l.now && l.p.platform != nil {
+		l.timers.push(timer{at: at, token: uint64(c.id()), kind: timerHalfClose})
 	}
-	l.heap.push(timer{at: c.in.Expiry, token: uint64(c.id()), kind: expiry})
-	l.queue(event{kind: evTake, call: c})
+	l.timers.push(timer{at: c.txn.Expiry, token: uint64(c.id()), kind: timerExpiry})
+	l.enqueue(event{kind: evAdmit, call: c})
 }
 
 // ---- Answers ----
@@ -368,7 +368,7 @@
 		return
 	}
 	if out := cc.c.OutboundBuffered(); out > 0 {
-		if int64(out) > cc.l.p.plan.Door.Unsent {
+		if int64(out) > cc.l.p.cfg.ClientLimits.MaxUnsentBytes {
 			cc.l.stats.slowReaders++
 			cc.abort(endSlowReader)
 			return
@@ -399,9 +399,9 @@
 	for i := range cc.behind {
 		if cc.behind[i].call == c {
 			cc.behind[i].call = nil
-			cc.last = cc.last || !c.keep || c.closes
+			cc.last = cc.last || !c.keepAlive || c.closesConn
 			c.answered, c.client = true, nil
-			cc.l.drop(c)
+			cc.l.releaseCall(c)
 			return
 		}
 	}
@@ -410,11 +410,11 @@
 // answered ends the txn in hand for its client, and sends the answers that waited for it.
 func (cc *clientConn) answered() {
 	l, c := cc.l, cc.call
-	closes := c.closes
-	cc.last = cc.last || !c.keep || closes
+	closes := c.closesConn
+	cc.last = cc.last || !c.keepAlive || closes
 	c.answered, c.client, cc.call = true, nil, nil
 	cc.served++
-	l.drop(c)
+	l.releaseCall(c)
 	for len(cc.behind) > 0 && !cc.closed && cc.call == nil {
 		next := cc.behind[0]
 		n := copy(cc.behind, cc.behind[1:])
@@ -430,7 +430,7 @@
 	}
 	if cc.call != nil {
 		cc.since = l.now
-		l.resume = append(l.resume, cc)
+		l.resumeReads = append(l.resumeReads, cc)
 		return
 	}
 	if cc.overfull && !closes { // what came behind this answer was thrown away, and is told so
@@ -447,12 +447,12 @@
 		l.drainClient(cc)
 		return
 	}
-	l.resume = append(l.resume, cc) // what came in behind it is owed its answer, also in a drain
+	l.resumeReads = append(l.resumeReads, cc) // what came in behind it is owed its answer, also in a drain
 }
 
-// answerDecline tells the client that trying again does no harm.
-func (l *loop) answerDecline(c *call, after logic.Nanos) {
-	if c.answered || c.left {
+// respondDeclined tells the client that trying again does no harm.
+func (l *loop) respondDeclined(c *call, after logic.Nanos) {
+	if c.answered || c.clientLeft {
 		return
 	}
 	l.stats.declined++
@@ -463,9 +463,9 @@
 	}
 }
 
-// answerVoid tells the client that the txn failed, and promises nothing about its effect.
-func (l *loop) answerVoid(c *call) {
-	if c.answered || c.left {
+// respondVoided tells the client that the txn failed, and promises nothing about its effect.
+func (l *loop) respondVoided(c *call) {
+	if c.answered || c.clientLeft {
 		return
 	}
 	l.stats.voided++
--- a/edge/client_http.go
+++ b/edge/client_http.go
@@ -16,7 +16,7 @@
 // httpProtocol is HTTP/1.1 behind the seam.
 type httpProtocol struct{}
 
-func (httpProtocol) front(cc *clientConn, was clientProtocol) clientProtocol {
+func (httpProtocol) newClientProtocol(cc *clientConn, was clientProtocol) clientProtocol {
 	d, ok := was.(*httpFront)
 	if !ok {
 		d = &httpFront{}
@@ -25,12 +25,12 @@
 	return d
 }
 
-func (httpProtocol) back(wc *workerConn, was workerProtocol) workerProtocol {
-	k, ok := was.(*httpBack)
+func (httpProtocol) newWorkerProtocol(wc *workerConn, was workerProtocol) workerProtocol {
+	k, ok := was.(*httpWorker)
 	if !ok {
-		k = &httpBack{}
+		k = &httpWorker{}
 	}
-	*k = httpBack{wc: wc, buf: k.buf[:0], body: k.body[:0]}
+	*k = httpWorker{wc: wc, answer: k.answer[:0], unsizedBody: k.unsizedBody[:0]}
 	return k
 }
 
@@ -61,20 +61,20 @@
 func (d *httpFront) waits() (until logic.Nanos) {
 	cc := d.cc
 	l := cc.l
-	door := &l.p.plan.Door
+	door := &l.p.cfg.ClientLimits
 	switch d.part {
 	case readHead:
 		if d.headAt > 0 {
-			until = d.headAt + logic.Nanos(door.SlowHead)
+			until = d.headAt + logic.Nanos(door.HeadTimeout)
 			if until <= l.now {
 				l.refuse(cc, 408, "the head came too slowly")
 				return 0
 			}
-		} else if until = cc.since + logic.Nanos(door.Idle); until <= l.now {
+		} else if until = cc.since + logic.Nanos(door.IdleTimeout); until <= l.now {
 			return cc.endIdle()
 		}
 	case readFixed, readChunks:
-		if until = cc.since + logic.Nanos(door.SlowBody); until <= l.now {
+		if until = cc.since + logic.Nanos(door.BodyTimeout); until <= l.now {
 			l.refuse(cc, 408, "the body came too slowly")
 			return 0
 		}
@@ -113,38 +113,38 @@
 	l := cc.l
 	if d.headAt == 0 {
 		d.headAt = l.now
-		l.armClient(cc, l.now+logic.Nanos(l.p.plan.Door.SlowHead))
+		l.armClient(cc, l.now+logic.Nanos(l.p.cfg.ClientLimits.HeadTimeout))
 	}
-	limit := int(l.p.plan.Door.Head)
+	limit := int(l.p.cfg.ClientLimits.MaxHeadBytes)
 	// Danger: a head that drips in byte by byte must not be parsed anew for each.
 	if d.scanned > 0 && len(in) <= limit && !bytes.Contains(in[max(0, d.scanned-3):], []byte("\r\n\r\n")) {
 		d.scanned = len(in)
 		return false
 	}
 	n, err := l.req.Parse(in, limit)
-	if err == http1.ErrMore {
+	if err == http1.ErrIncomplete {
 		d.scanned = len(in)
 		return false
 	}
 	if err != nil {
-		f := err.(*http1.Fault)
-		l.refuse(cc, f.Status, f.What)
+		f := err.(*http1.ParseError)
+		l.refuse(cc, f.Status, f.Message)
 		return false
 	}
 	d.scanned = 0
 	r := &l.req
-	if r.Expects {
+	if r.ExpectOther {
 		l.refuse(cc, 417, "only 100-continue can be expected")
 		return false
 	}
-	if r.Length > l.p.plan.Door.Body {
+	if r.Length > l.p.cfg.ClientLimits.MaxBodyBytes {
 		l.refuse(cc, 413, "the body is larger than the limit")
 		return false
 	}
-	if l.calls.used() >= l.p.plan.Door.Open || !l.inDrainTime() {
-		l.stats.atDoor++
+	if l.calls.inUse() >= l.p.cfg.ClientLimits.MaxOpenTxns || !l.inDrainTime() {
+		l.stats.overLimit++
 		cc.used(n)
-		l.reply(cc, 503, declinedText, 100*logic.Millisecond, r.Length == 0 && !r.Close && !l.draining)
+		l.reply(cc, 503, declinedBody, 100*logic.Millisecond, r.Length == 0 && !r.Close && !l.draining)
 		d.headAt = 0
 		return !cc.closed && cc.state == reading
 	}
@@ -152,16 +152,16 @@
 	c.client, cc.call = cc, c
 	if !l.classify(c, r) {
 		cc.call, c.client = nil, nil
-		l.drop(c)
-		l.stats.unrouted++
+		l.releaseCall(c)
+		l.stats.noRoute++
 		cc.used(n)
 		l.reply(cc, 404, "no route fits this request\n", 0, r.Length == 0 && !r.Close && !l.draining)
 		d.headAt = 0
 		return !cc.closed && cc.state == reading
 	}
-	c.keep = !r.Close && !l.draining
-	c.minor = r.Minor
-	wants, length := r.Continue, r.Length
+	c.keepAlive = !r.Close && !l.draining
+	c.httpMinor = r.Minor
+	wants, length := r.ExpectContinue, r.Length
 	cc.used(n)
 	d.headAt, cc.since = 0, l.now
 	switch {
@@ -172,18 +172,18 @@
 		c.request = append(c.request, "Content-Length: "...)
 		c.request = strconv.AppendInt(c.request, length, 10)
 		c.request = append(c.request, "\r\n\r\n"...)
-		c.bodyAt = len(c.request)
+		c.bodyOffset = len(c.request)
 	default:
 		// A method that may have a body says that there is none (RFC 9110, 8.6).
 		if m := c.request[0]; m == 'P' {
 			c.request = append(c.request, "Content-Length: 0\r\n"...)
 		}
 		c.request = append(c.request, "\r\n"...)
-		c.bodyAt = len(c.request)
+		c.bodyOffset = len(c.request)
 		cc.whole(cc.call)
 		return true
 	}
-	l.armClient(cc, l.now+logic.Nanos(l.p.plan.Door.SlowBody))
+	l.armClient(cc, l.now+logic.Nanos(l.p.cfg.ClientLimits.BodyTimeout))
 	if wants && len(cc.input()) == 0 {
 		cc.put([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
@@ -195,22 +195,22 @@
 	cc := d.cc
 	l, c := cc.l, cc.call
 	took, data, done, err := d.chunks.Next(in)
-	if err != nil && err != http1.ErrMore {
+	if err != nil && err != http1.ErrIncomplete {
 		l.refuse(cc, 400, err.Error())
 		return false
 	}
-	if c.bodyAt == 0 { // its length is known at its end only: room is left for it
+	if c.bodyOffset == 0 { // its length is known at its end only: room is left for it
 		c.request = append(c.request, "Content-Length: 0000000000\r\n\r\n"...)
-		c.bodyAt = len(c.request)
+		c.bodyOffset = len(c.request)
 	}
-	if int64(len(c.request)-c.bodyAt+len(data)) > l.p.plan.Door.Body {
+	if int64(len(c.request)-c.bodyOffset+len(data)) > l.p.cfg.ClientLimits.MaxBodyBytes {
 		l.refuse(cc, 413, "the body is larger than the limit")
 		return false
 	}
 	c.request = append(c.request, data...)
 	cc.used(took)
 	if done {
-		size, at := len(c.request)-c.bodyAt, c.bodyAt-len("\r\n\r\n")
+		size, at := len(c.request)-c.bodyOffset, c.bodyOffset-len("\r\n\r\n")
 		for i := 1; i <= 10; i++ {
 			c.request[at-i] = byte('0' + size%10)
 			size /= 10
@@ -222,7 +222,7 @@
 }
 
 var (
-	viaLine        = []byte("Via: 1.1 dunegrade\r\n")
+	viaHeader      = []byte("Via: 1.1 dunegrade\r\n")
 	timeoutHeader  = "x-envoy-upstream-rq-timeout-ms"
 	expectedHeader = "x-envoy-expected-rq-timeout-ms: "
 )
@@ -235,9 +235,9 @@
 		return false
 	}
 	c.product = route.Product
-	c.toHead = string(r.Method) == "HEAD"
+	c.isHead = string(r.Method) == "HEAD"
 	in := logic.Txn{Product: logic.ProductID(route.Product)}
-	patience := l.p.plan.Products[route.Product].Expiry
+	patience := l.p.cfg.Products[route.Product].Expiry
 	traced := false
 	out := append(c.request[:0], r.Method...)
 	out = append(out, ' ')
@@ -252,16 +252,16 @@
 				in.Key = logic.KeyID(xxhash.Sum64(h.Value) | 1)
 			}
 		case equalFold(h.Name, route.CustomerHeader):
-			in.Customer = logic.CustomerID(l.p.customers[string(h.Value)])
+			in.Customer = logic.CustomerID(l.p.customerIDs[string(h.Value)])
 		case equalFold(h.Name, route.CostHeader):
-			if ms, err := strconv.ParseFloat(view(h.Value), 64); err == nil && ms > 0 && ms < 1e9 {
+			if ms, err := strconv.ParseFloat(unsafeString(h.Value), 64); err == nil && ms > 0 && ms < 1e9 {
 				in.Cost = logic.Nanos(ms * 1e6)
 			}
-		case equalFold(h.Name, route.RepeatMark):
+		case equalFold(h.Name, route.RepeatHeader):
 			in.Repeat = true
 		case equalFold(h.Name, timeoutHeader):
 			// A client shortens a product's expiry and never lengthens it.
-			if ms, err := strconv.ParseUint(view(h.Value), 10, 32); err == nil {
+			if ms, err := strconv.ParseUint(unsafeString(h.Value), 10, 32); err == nil {
 				patience = min(patience, max(time.Millisecond, time.Duration(ms)*time.Millisecond))
 			}
 		case equalFold(h.Name, "traceparent"):
@@ -272,20 +272,20 @@
 	if !traced {
 		out = l.trace(out, c.serial)
 	}
-	out = append(out, viaLine...)
-	slack := min(l.p.plan.Slack, patience/2)
+	out = append(out, viaHeader...)
+	slack := min(l.p.cfg.AnswerSlack, patience/2)
 	in.Expiry = l.now + logic.Nanos(patience-slack)
 	out = append(out, expectedHeader...)
 	out = strconv.AppendInt(out, int64((patience-slack)/time.Millisecond), 10)
 	out = append(out, "\r\n"...)
-	c.request, c.in = out, in
+	c.request, c.txn = out, in
 	return true
 }
 
 // trace appends a W3C trace context of our own where the client sent none. Its trace id names the txn in the traces.
 func (l *loop) trace(out []byte, serial uint64) []byte {
 	out = append(out, "traceparent: 00-"...)
-	out = appendHex(appendHex(out, l.life), trace.MixSerial(serial))
+	out = appendHex(appendHex(out, l.runID), trace.MixSerial(serial))
 	out = append(out, '-')
 	out = appendHex(out, l.rng.Uint64()|1)
 	return append(out, "-01\r\n"...)
@@ -318,7 +318,7 @@
 	return id
 }
 
-const declinedText = "declined: trying again does no harm\n"
+const declinedBody = "declined: trying again does no harm\n"
 
 // reply answers on the edge's own behalf.
 func (l *loop) reply(cc *clientConn, status int, text string, after logic.Nanos, keep bool) {
@@ -343,15 +343,15 @@
 	if !keep {
 		out = append(out, "\r\nConnection: close"...)
 		if cc.call != nil {
-			cc.call.closes = true
+			cc.call.closesConn = true
 		}
 	}
 	out = append(out, "\r\n\r\n"...)
-	if cc.call == nil || !cc.call.toHead {
+	if cc.call == nil || !cc.call.isHead {
 		out = append(out, text...)
 	}
 	l.scratch = out
-	l.stats.replies[status/100]++
+	l.stats.repliesByClass[status/100]++
 	cc.put(out)
 	if cc.closed || cc.call != nil {
 		return
@@ -370,7 +370,7 @@
 	l.stats.refused++
 	if c := cc.call; c != nil {
 		cc.call, c.client = nil, nil
-		l.drop(c)
+		l.releaseCall(c)
 	}
 	cc.used(len(cc.input()))
 	l.reply(cc, status, why+"\n", 0, false)
@@ -378,14 +378,14 @@
 
 func (d *httpFront) declined(c *call, after logic.Nanos) {
 	l := d.cc.l
-	l.reply(d.cc, 503, declinedText, after, c.keep && !l.draining)
+	l.reply(d.cc, 503, declinedBody, after, c.keepAlive && !l.draining)
 }
 
 func (d *httpFront) voided(c *call) {
 	l := d.cc.l
-	if c.last == logic.TimedOut || l.now >= c.in.Expiry {
-		l.reply(d.cc, 504, "voided: no answer in time; it may have had its effect\n", 0, c.keep && !l.draining)
+	if c.lastEnding == logic.TimedOut || l.now >= c.txn.Expiry {
+		l.reply(d.cc, 504, "voided: no answer in time; it may have had its effect\n", 0, c.keepAlive && !l.draining)
 	} else {
-		l.reply(d.cc, 502, "voided: it may have had its effect\n", 0, c.keep && !l.draining)
+		l.reply(d.cc, 502, "voided: it may have had its effect\n", 0, c.keepAlive && !l.draining)
 	}
 }
--- a/edge/closing.go
+++ b/edge/closing.go
@@ -45,7 +45,7 @@
 	}
 	if unacknowledged(c.Fd()) == 0 {
 		cc.gone(why)
-		l.el.Close(c)
+		l.eventLoop.Close(c)
 		return true
 	}
 	fd, err := c.Dup()
@@ -53,16 +53,16 @@
 		fd, err = c.Dup()
 	}
 	if err != nil { // it needs none once its last answer is acknowledged
-		l.takeSpare()
+		l.reserveFD()
 		return false
 	}
 	unix.Shutdown(fd, unix.SHUT_WR) // one that is gone tells so by itself
-	l.p.open.Add(1)                 // until it is closed
-	l.clients.Add(1)
+	l.p.openClients.Add(1)          // until it is closed
+	l.clientCount.Add(1)
 	cc.gone(why)
-	l.el.Close(c)
-	l.takeSpare()
-	l.closing = append(l.closing, closingConn{fd, l.now})
+	l.eventLoop.Close(c)
+	l.reserveFD()
+	l.closingConns = append(l.closingConns, closingConn{fd, l.now})
 	l.lookAtClosingSoon()
 	return true
 }
@@ -75,7 +75,7 @@
 	cc.c.SetLinger(0)
 	c := cc.c
 	cc.gone(why)
-	cc.l.el.Close(c)
+	cc.l.eventLoop.Close(c)
 }
 
 // rests tells whether nothing is owed on the connection: no request nor a part of one has come, and all answers have left this process.
@@ -91,27 +91,27 @@
 }
 
 func (l *loop) lookAtClosingSoon() {
-	if !l.closingArmed {
-		l.closingArmed = true
-		l.heap.push(timer{at: l.now + closingLook, kind: closingAt})
+	if !l.closingTimerSet {
+		l.closingTimerSet = true
+		l.timers.push(timer{at: l.now + closingLook, kind: timerClosingConns})
 	}
 }
 
-// lookAtClosing closes the connections whose last answer has been delivered, is undeliverable, or has taken too long.
-func (l *loop) lookAtClosing() {
-	l.closingArmed = false
-	kept := l.closing[:0]
-	for _, c := range l.closing {
+// checkClosing closes the connections whose last answer has been delivered, is undeliverable, or has taken too long.
+func (l *loop) checkClosing() {
+	l.closingTimerSet = false
+	kept := l.closingConns[:0]
+	for _, c := range l.closingConns {
 		if !l.delivered(c) {
 			kept = append(kept, c)
 			continue
 		}
 		unix.Close(c.fd)
-		l.p.open.Add(-1)
-		l.clients.Add(-1)
+		l.p.openClients.Add(-1)
+		l.clientCount.Add(-1)
 	}
-	l.closing = kept
-	l.takeSpare()
+	l.closingConns = kept
+	l.reserveFD()
 	if len(kept) > 0 {
 		l.lookAtClosingSoon()
 	}
@@ -124,7 +124,7 @@
 		return true
 	case left < 0:
 		return waited >= unknownDelivery
-	case waited >= logic.Nanos(l.p.plan.Door.SlowReader):
+	case waited >= logic.Nanos(l.p.cfg.ClientLimits.SlowReaderTimeout):
 		l.stats.slowReaders++
 		return true
 	}
@@ -132,36 +132,36 @@
 	return err != nil && err != unix.EAGAIN // it broke
 }
 
-// takeSpare holds a descriptor for when none is left. Without it a connection whose client asks again at each answer would never be seen with all
+// reserveFD holds a descriptor for when none is left. Without it a connection whose client asks again at each answer would never be seen with all
 // acknowledged, and hold up a stop.
-func (l *loop) takeSpare() {
-	if l.spare >= 0 {
+func (l *loop) reserveFD() {
+	if l.spareFD >= 0 {
 		return
 	}
 	if fd, err := unix.Open(os.DevNull, unix.O_RDONLY|unix.O_CLOEXEC, 0); err == nil {
-		l.spare = fd
+		l.spareFD = fd
 	}
 }
 
 // giveSpare gives that descriptor back, and tells whether there was one.
 func (l *loop) giveSpare() bool {
-	if l.spare < 0 {
+	if l.spareFD < 0 {
 		return false
 	}
-	unix.Close(l.spare)
-	l.spare = -1
+	unix.Close(l.spareFD)
+	l.spareFD = -1
 	return true
 }
 
 // closeAllClosing closes what still waits when the loop ends.
 func (l *loop) closeAllClosing() {
-	if n := len(l.closing); n > 0 {
+	if n := len(l.closingConns); n > 0 {
 		l.log.Warn("answers not acknowledged at the end", zap.Int("connections", n))
 	}
-	for _, c := range l.closing {
+	for _, c := range l.closingConns {
 		unix.Close(c.fd)
 	}
-	l.closing = nil
+	l.closingConns = nil
 	l.giveSpare()
 }
 
--- a/edge/drain.go
+++ b/edge/drain.go
@@ -36,8 +36,8 @@
 // beginDrain ends the connections that owe nothing. Each other one ends with its last answer.
 func (l *loop) beginDrain(end logic.Nanos) {
 	l.draining = true
-	l.lastAnswers = end - min(answerMargin, (end-l.now)/4)
-	l.heap.push(timer{at: l.lastAnswers, kind: drainEnd})
+	l.answerDeadline = end - min(answerMargin, (end-l.now)/4)
+	l.timers.push(timer{at: l.answerDeadline, kind: timerDrainEnd})
 	for _, cc := range l.clientConns.items {
 		if !cc.closed && cc.c != nil && cc.state == reading {
 			l.drainClient(cc)
@@ -47,7 +47,7 @@
 
 // drainClient ends a connection on which nothing is owed, or has it looked at again.
 func (l *loop) drainClient(cc *clientConn) {
-	if cc.unread() && l.now < l.lastAnswers { // a request has just come: its answer costs its client less than another try
+	if cc.unread() && l.now < l.answerDeadline { // a request has just come: its answer costs its client less than another try
 		l.armClient(cc, l.now+logic.Millisecond)
 		return
 	}
@@ -59,10 +59,10 @@
 // endDrain answers all that is still in hand, and ends what has not become a request by now.
 func (l *loop) endDrain() {
 	for _, c := range l.calls.items {
-		if !c.free && c.taken && !c.answered && !c.left {
-			l.queue(event{kind: evLeft, call: c})
-			l.answerVoid(c)
-			l.pump()
+		if !c.freed && c.admitted && !c.answered && !c.clientLeft {
+			l.enqueue(event{kind: evClientLeft, call: c})
+			l.respondVoided(c)
+			l.processEvents()
 		}
 	}
 	for _, cc := range l.clientConns.items {
@@ -77,14 +77,14 @@
 }
 
 // inDrainTime tells whether a request that has just come whole can still be handed on.
-func (l *loop) inDrainTime() bool { return !l.draining || l.now < l.lastAnswers }
+func (l *loop) inDrainTime() bool { return !l.draining || l.now < l.answerDeadline }
 
 // checkDrained tells whoever waits for it that no connection is left from which a request could be read.
 func (l *loop) checkDrained() {
-	if !l.draining || l.toldDrained || l.clientConns.used() > 0 || len(l.closing) > 0 || l.stats.carrying > 0 {
+	if !l.draining || l.drainSignaled || l.clientConns.inUse() > 0 || len(l.closingConns) > 0 || l.stats.streaming > 0 {
 		return
 	}
-	l.toldDrained = true
+	l.drainSignaled = true
 	close(l.drained)
 }
 
@@ -99,31 +99,31 @@
 	return sum
 }
 
-// census counts the connections of all loops by how they stand.
-func (p *Process) census() census {
-	var n census
-	p.sum(func(l *loop) int64 { n = n.plus(l.census()); return 0 })
+// connCounts counts the connections of all loops by how they stand.
+func (p *Process) connCounts() connCounts {
+	var n connCounts
+	p.sum(func(l *loop) int64 { n = n.plus(l.connCounts()); return 0 })
 	return n
 }
 
-// owed counts the requests that ended unanswered with their connections. The loops have ended.
-func (p *Process) owed() uint64 {
+// owedAtEnd counts the requests that ended unanswered with their connections. The loops have ended.
+func (p *Process) owedAtEnd() uint64 {
 	n := uint64(0)
 	for _, l := range p.loops {
-		for _, one := range l.stats.owed {
+		for _, one := range l.stats.owedAtEnd {
 			n += one
 		}
 	}
 	return n
 }
 
-// ends counts the connections of clients that have ended, by reason. The loops have ended.
-func (p *Process) ends() map[string]uint64 {
+// clientEnds counts the connections of clients that have ended, by reason. The loops have ended.
+func (p *Process) clientEnds() map[string]uint64 {
 	n := map[string]uint64{}
 	for _, l := range p.loops {
-		for why, one := range l.stats.ends {
+		for why, one := range l.stats.clientEnds {
 			if one > 0 {
-				n[endNames[why]] += one
+				n[endReasonNames[why]] += one
 			}
 		}
 	}
@@ -136,5 +136,5 @@
 	if !whole {
 		write = p.log.Error
 	}
-	write("stopping: drain ended", append(p.census().fields(), zap.Bool("whole", whole))...)
+	write("stopping: drain ended", append(p.connCounts().logFields(), zap.Bool("whole", whole))...)
 }
--- a/edge/drain_test.go
+++ b/edge/drain_test.go
@@ -51,7 +51,7 @@
 		}
 		return echo(c, req, b)
 	}
-	r := start(t, "", newStub(t, stub), newStub(t, stub))
+	r := startEdge(t, "", newStubWorker(t, stub), newStubWorker(t, stub))
 	defer close(end)
 	c := r.dial()
 	io.WriteString(c, request+request)
@@ -85,8 +85,8 @@
 
 // What is in hand when a drain's time is up is answered before it, and half a request gets its error.
 func TestDrainAnswersWhatHangs(t *testing.T) {
-	r := start(t, "", newStub(t, never))
-	r.p.plan.DrainWithin = 300 * time.Millisecond
+	r := startEdge(t, "", newStubWorker(t, hang))
+	r.p.cfg.DrainTimeout = 300 * time.Millisecond
 	hangs, half := r.dial(), r.dial()
 	io.WriteString(hangs, get("/ask"))
 	io.WriteString(half, get("/ask")[:20])
@@ -114,7 +114,7 @@
 // A client that sends more ahead of its answers than is kept is told so behind the last of them.
 func TestFloodIsTold(t *testing.T) {
 	release := make(chan struct{})
-	r := start(t, "(door (pipeline 1KiB))", newStub(t, func(c net.Conn, req *http.Request, b []byte) bool {
+	r := startEdge(t, "(door (pipeline 1KiB))", newStubWorker(t, func(c net.Conn, req *http.Request, b []byte) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na")
 		<-release
 		_, err := io.WriteString(c, "b")
@@ -143,7 +143,7 @@
 // answered, or was not read, which a reset tells.
 func TestDrainUnderSteadyUse(t *testing.T) {
 	for round := range 6 {
-		r := start(t, "(loops 2) (door (answer-buffer 4KiB))", newStub(t, echo), newStub(t, echo))
+		r := startEdge(t, "(loops 2) (door (answer-buffer 4KiB))", newStubWorker(t, echo), newStubWorker(t, echo))
 		var group sync.WaitGroup
 		var answers, resets atomic.Int64
 		body := strings.Repeat("b", 6<<10) // comes back larger than is kept whole
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -33,7 +33,7 @@
 // script answers one request on its connection, and tells whether the connection goes on.
 type script func(c net.Conn, r *http.Request, body []byte) bool
 
-func newStub(t *testing.T, do script) *stub {
+func newStubWorker(t *testing.T, do script) *stub {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -75,8 +75,8 @@
 	return true
 }
 
-// never holds a request until its connection ends.
-func never(c net.Conn, r *http.Request, body []byte) bool {
+// hang holds a request until its connection ends.
+func hang(c net.Conn, r *http.Request, body []byte) bool {
 	c.Read(make([]byte, 1))
 	return false
 }
@@ -89,13 +89,13 @@
 // silentSource tells nothing: tests hand the process its news.
 type silentSource struct{}
 
-func (silentSource) Run(ctx context.Context, _ Hearer) { <-ctx.Done() }
-func (silentSource) Refresh()                          {}
+func (silentSource) Run(ctx context.Context, _ EventHandler) { <-ctx.Done() }
+func (silentSource) Refresh()                                {}
 func (silentSource) Vote(context.Context, api.Vote) (api.ReleaseEvent, error) {
-	return api.ReleaseEvent{}, api.ErrMoot
+	return api.ReleaseEvent{}, api.ErrStaleVote
 }
 
-type rig struct {
+type testEdge struct {
 	t       *testing.T
 	p       *Process
 	address string
@@ -103,27 +103,27 @@
 	done    chan error
 }
 
-const plan = `(edge (name "t") (listen "127.0.0.1:0") (source (file "none")) (drain-within 2s) %s
+const configTemplate = `(edge (name "t") (listen "127.0.0.1:0") (source (file "none")) (drain-within 2s) %s
   (product "ask" (sla 200ms) (expiry 600ms) (effect inquiry-like))
   (product "book" (sla 200ms) (expiry 600ms) (effect referenced) (memory 2s))
   (product "pay" (sla 200ms) (expiry 600ms) (effect once-only))
   (route (prefix "/ask") (product "ask")) (route (prefix "/book") (product "book")) (route (prefix "/pay") (product "pay"))
   (release (caps 0.1 1) (shares 0.1 1) (window 6s)))`
 
-// start runs an edge in this process with workers, and ends it with the test.
-func start(t *testing.T, extra string, workers ...*stub) *rig {
+// startEdge runs an edge in this process with workers, and ends it with the test.
+func startEdge(t *testing.T, extra string, workers ...*stub) *testEdge {
 	t.Helper()
 	return startLogged(t, zap.NewNop(), extra, workers...)
 }
 
-func startLogged(t *testing.T, log *zap.Logger, extra string, workers ...*stub) *rig {
+func startLogged(t *testing.T, log *zap.Logger, extra string, workers ...*stub) *testEdge {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	plan, err := config.ParseEdge("t.sexp", fmt.Sprintf(plan, extra))
+	plan, err := config.ParseEdge("t.sexp", fmt.Sprintf(configTemplate, extra))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, p: New(plan, log), done: make(chan error, 1)}
+	r := &testEdge{t: t, p: New(plan, log), done: make(chan error, 1)}
 	r.p.source = silentSource{}
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
@@ -161,7 +161,7 @@
 }
 
 // settle waits until the loops have done what was posted.
-func (r *rig) settle() {
+func (r *testEdge) settle() {
 	for _, l := range r.p.loops {
 		done := make(chan struct{})
 		l.post(func() { close(done) })
@@ -170,14 +170,14 @@
 }
 
 // stats reads a loop's counts on the loop.
-func (r *rig) stats() (s stats) {
+func (r *testEdge) stats() (s stats) {
 	done := make(chan struct{})
 	r.p.loops[0].post(func() { s = r.p.loops[0].stats; close(done) })
 	<-done
 	return s
 }
 
-func (r *rig) dial() net.Conn {
+func (r *testEdge) dial() net.Conn {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.address)
 	if err != nil {
@@ -188,8 +188,8 @@
 	return c
 }
 
-// ask sends raw bytes and reads answers to requests of these methods.
-func (r *rig) ask(raw string, methods ...string) (answers []*http.Response, bodies []string) {
+// roundTrip sends raw bytes and reads answers to requests of these methods.
+func (r *testEdge) roundTrip(raw string, methods ...string) (answers []*http.Response, bodies []string) {
 	r.t.Helper()
 	c := r.dial()
 	io.WriteString(c, raw)
@@ -247,8 +247,8 @@
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi")
 			return false
 		}, post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
-		{"turned away unseen", say("HTTP/1.1 503 No\r\nDunegrade-Unseen: 1\r\nContent-Length: 0\r\n\r\n"), post("/pay"), "POST", 503, declinedText},
-		{"nothing", never, post("/pay"), "POST", 504, "voided: no answer in time; it may have had its effect\n"},
+		{"turned away unseen", say("HTTP/1.1 503 No\r\nDunegrade-Unseen: 1\r\nContent-Length: 0\r\n\r\n"), post("/pay"), "POST", 503, declinedBody},
+		{"nothing", hang, post("/pay"), "POST", 504, "voided: no answer in time; it may have had its effect\n"},
 		{"no route", echo, get("/other"), "GET", 404, "no route fits this request\n"},
 		{"a body", echo, "POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 3\r\n\r\nabc", "POST", 200, "/payabc"},
 		{"a chunked body", echo, "POST /pay HTTP/1.1\r\nHost: t\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n", "POST", 200, "/payabcde"},
@@ -257,8 +257,8 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r := start(t, "", newStub(t, c.worker))
-			answers, bodies := r.ask(c.raw, c.method)
+			r := startEdge(t, "", newStubWorker(t, c.worker))
+			answers, bodies := r.roundTrip(c.raw, c.method)
 			if answers[0].StatusCode != c.status || bodies[0] != c.body {
 				t.Errorf("got %d %.80q (%d bytes)", answers[0].StatusCode, bodies[0], len(bodies[0]))
 			}
@@ -283,7 +283,7 @@
 		{"once-only, error", post("/pay"), say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
 		{"once-only, unseen", post("/pay"), say("HTTP/1.1 503 No\r\nDunegrade-Unseen: 1\r\nContent-Length: 0\r\n\r\n"), 200, 2},
 		{"once-only, 503 that may have run", post("/pay"), say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
-		{"inquiry, silence: a second copy", get("/ask"), never, 200, 2},
+		{"inquiry, silence: a second copy", get("/ask"), hang, 200, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var seen atomic.Int64
@@ -293,8 +293,8 @@
 				}
 				return echo(conn, r, body)
 			}
-			r := start(t, "", newStub(t, do), newStub(t, do))
-			answers, _ := r.ask(c.raw, "GET")
+			r := startEdge(t, "", newStubWorker(t, do), newStubWorker(t, do))
+			answers, _ := r.roundTrip(c.raw, "GET")
 			if answers[0].StatusCode != c.status || seen.Load() != c.seen {
 				t.Errorf("got %d after %d submissions, want %d after %d", answers[0].StatusCode, seen.Load(), c.status, c.seen)
 			}
@@ -303,8 +303,8 @@
 }
 
 func TestDeclinesAtOnceWithoutWorkers(t *testing.T) {
-	r := start(t, "")
-	answers, _ := r.ask(get("/ask"), "GET")
+	r := startEdge(t, "")
+	answers, _ := r.roundTrip(get("/ask"), "GET")
 	h := answers[0].Header
 	if answers[0].StatusCode != 503 || h.Get("Retry-After") == "" || h.Get("Dunegrade-Retry-After-Ms") == "" {
 		t.Errorf("got %d with %v", answers[0].StatusCode, h)
@@ -312,23 +312,23 @@
 }
 
 func TestRefusedConnectHasNotRun(t *testing.T) {
-	gone := newStub(t, echo)
+	gone := newStubWorker(t, echo)
 	gone.Close()
 	gone.group.Wait()
-	r := start(t, "", gone)
-	if answers, _ := r.ask(post("/pay"), "POST"); answers[0].StatusCode != 503 {
+	r := startEdge(t, "", gone)
+	if answers, _ := r.roundTrip(post("/pay"), "POST"); answers[0].StatusCode != 503 {
 		t.Errorf("a once-only txn that reached nobody got %d, want a decline", answers[0].StatusCode)
 	}
 }
 
 func TestPipelinedAnswersKeepTheirOrder(t *testing.T) {
-	r := start(t, "", newStub(t, echo))
+	r := startEdge(t, "", newStubWorker(t, echo))
 	raw, methods := "", []string{}
 	for i := 0; i < 50; i++ {
 		raw += get(fmt.Sprintf("/ask/%d", i))
 		methods = append(methods, "GET")
 	}
-	_, bodies := r.ask(raw, methods...)
+	_, bodies := r.roundTrip(raw, methods...)
 	for i, b := range bodies {
 		if b != fmt.Sprintf("/ask/%d", i) {
 			t.Fatalf("answer %d is %q", i, b)
@@ -338,20 +338,20 @@
 
 func TestRequestAfterACarriedAnswer(t *testing.T) {
 	n := 0
-	r := start(t, "(door (answer-buffer 1KiB))", newStub(t, func(c net.Conn, r *http.Request, b []byte) bool {
+	r := startEdge(t, "(door (answer-buffer 1KiB))", newStubWorker(t, func(c net.Conn, r *http.Request, b []byte) bool {
 		if n++; n == 1 {
 			return say("HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n"+strings.Repeat("x", 4000))(c, r, b)
 		}
 		return echo(c, r, b)
 	}))
-	_, bodies := r.ask(get("/ask")+get("/ask/2"), "GET", "GET")
+	_, bodies := r.roundTrip(get("/ask")+get("/ask/2"), "GET", "GET")
 	if len(bodies[0]) != 4000 || bodies[1] != "/ask/2" {
 		t.Errorf("got %d bytes, then %q", len(bodies[0]), bodies[1])
 	}
 }
 
 func TestExpectedBodyIsAskedFor(t *testing.T) {
-	r := start(t, "", newStub(t, echo))
+	r := startEdge(t, "", newStubWorker(t, echo))
 	c := r.dial()
 	io.WriteString(c, "POST /pay HTTP/1.1\r\nHost: t\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
 	in := bufio.NewReader(c)
@@ -383,8 +383,8 @@
 		{"binary", "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n", 400},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newStub(t, echo)
-			r := start(t, limits, w)
+			w := newStubWorker(t, echo)
+			r := startEdge(t, limits, w)
 			conn := r.dial()
 			io.WriteString(conn, c.raw)
 			got, err := io.ReadAll(conn) // up to the end, which must come
@@ -394,7 +394,7 @@
 			if w.seen.Load() != 0 {
 				t.Error("a worker saw it")
 			}
-			if answers, _ := r.ask(get("/ask"), "GET"); answers[0].StatusCode != 200 {
+			if answers, _ := r.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
 				t.Errorf("an honest txn got %d", answers[0].StatusCode)
 			}
 		})
@@ -402,7 +402,7 @@
 }
 
 func TestPipelineFloodIsBounded(t *testing.T) {
-	r := start(t, "(door (pipeline 1KiB))", newStub(t, never))
+	r := startEdge(t, "(door (pipeline 1KiB))", newStubWorker(t, hang))
 	c := r.dial()
 	io.WriteString(c, get("/ask"))
 	flood := []byte(strings.Repeat(get("/ask"), 2000))
@@ -416,7 +416,7 @@
 	if _, err := io.ReadAll(c); err == nil { // the one answer, then the end
 		t.Log("closed cleanly")
 	}
-	if taken := r.stats().taken; taken > 40 {
+	if taken := r.stats().admitted; taken > 40 {
 		t.Errorf("%d txns were taken of a flood behind one that waits", taken)
 	}
 }
@@ -424,7 +424,7 @@
 // A client that reads nothing of an answer larger than all buffers is cut, and the worker let go.
 func TestSlowReaderIsCut(t *testing.T) {
 	const size = 64 << 20
-	r := start(t, "(door (slow-reader 200ms))", newStub(t, func(c net.Conn, req *http.Request, b []byte) bool {
+	r := startEdge(t, "(door (slow-reader 200ms))", newStubWorker(t, func(c net.Conn, req *http.Request, b []byte) bool {
 		if req.URL.Path != "/ask/big" {
 			return echo(c, req, b)
 		}
@@ -440,7 +440,7 @@
 	c := r.dial()
 	io.WriteString(c, get("/ask/big"))
 	for until := time.Now().Add(8 * time.Second); ; runtime.Gosched() {
-		if s := r.stats(); s.carried == 1 && s.carrying == 0 {
+		if s := r.stats(); s.streamed == 1 && s.streaming == 0 {
 			break
 		}
 		if time.Now().After(until) {
@@ -452,7 +452,7 @@
 	}
 	// The only worker has failed its only txn, so the module may hold back for a moment.
 	for until := time.Now().Add(5 * time.Second); ; {
-		answers, _ := r.ask(get("/ask"), "GET")
+		answers, _ := r.roundTrip(get("/ask"), "GET")
 		if answers[0].StatusCode == 200 {
 			break
 		}
@@ -464,14 +464,14 @@
 
 func TestClientLeaves(t *testing.T) {
 	asked := make(chan struct{}, 8)
-	w := newStub(t, func(c net.Conn, r *http.Request, b []byte) bool { asked <- struct{}{}; return never(c, r, b) })
-	r := start(t, "", w)
+	w := newStubWorker(t, func(c net.Conn, r *http.Request, b []byte) bool { asked <- struct{}{}; return hang(c, r, b) })
+	r := startEdge(t, "", w)
 	c := r.dial()
 	io.WriteString(c, post("/pay"))
 	<-asked
 	c.Close()
 	until := time.Now().Add(300 * time.Millisecond) // well before the expiry
-	for r.stats().left == 0 || r.stats().endings[1] == 0 {
+	for r.stats().clientLeft == 0 || r.stats().endings[1] == 0 {
 		if time.Now().After(until) {
 			t.Fatal("the submission of a client that left was not called off")
 		}
@@ -480,13 +480,13 @@
 }
 
 func TestPatienceShortensTheExpiry(t *testing.T) {
-	r := start(t, "", newStub(t, never))
+	r := startEdge(t, "", newStubWorker(t, hang))
 	began := time.Now()
-	answers, _ := r.ask("POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\nx-envoy-upstream-rq-timeout-ms: 100\r\n\r\n", "POST")
+	answers, _ := r.roundTrip("POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\nx-envoy-upstream-rq-timeout-ms: 100\r\n\r\n", "POST")
 	if took := time.Since(began); answers[0].StatusCode != 504 || took > 400*time.Millisecond {
 		t.Errorf("got %d after %v", answers[0].StatusCode, took)
 	}
-	answers, _ = r.ask("POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\nx-envoy-upstream-rq-timeout-ms: 60000\r\n\r\n", "POST")
+	answers, _ = r.roundTrip("POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\nx-envoy-upstream-rq-timeout-ms: 60000\r\n\r\n", "POST")
 	if took := time.Since(began); answers[0].StatusCode != 504 || took > 3*time.Second {
 		t.Errorf("a longer wish got %d after %v", answers[0].StatusCode, took)
 	}
@@ -494,25 +494,25 @@
 
 func TestBytesNobodyAskedFor(t *testing.T) {
 	// The second answer must not be taken for the next txn's.
-	r := start(t, "", newStub(t, func(c net.Conn, req *http.Request, b []byte) bool {
+	r := startEdge(t, "", newStubWorker(t, func(c net.Conn, req *http.Request, b []byte) bool {
 		a := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(req.URL.Path), req.URL.Path)
 		io.WriteString(c, a+a)
 		return true
 	}))
 	for i := 0; i < 20; i++ {
 		path := fmt.Sprintf("/ask/%02d", i)
-		if _, bodies := r.ask(get(path), "GET"); bodies[0] != path {
+		if _, bodies := r.roundTrip(get(path), "GET"); bodies[0] != path {
 			t.Fatalf("txn %s got %q", path, bodies[0])
 		}
 	}
-	if r.stats().garbage == 0 {
+	if r.stats().malformedAnswers == 0 {
 		t.Error("the bytes were not noticed")
 	}
 }
 
 func TestDrain(t *testing.T) {
 	asked, release := make(chan struct{}), make(chan struct{})
-	r := start(t, "", newStub(t, func(c net.Conn, req *http.Request, b []byte) bool {
+	r := startEdge(t, "", newStubWorker(t, func(c net.Conn, req *http.Request, b []byte) bool {
 		close(asked)
 		<-release
 		return echo(c, req, b)
@@ -541,27 +541,27 @@
 
 func TestListOutlivesARestart(t *testing.T) {
 	state := fmt.Sprintf("(state %q)", t.TempDir())
-	w := newStub(t, echo)
-	r := start(t, state, w)
+	w := newStubWorker(t, echo)
+	r := startEdge(t, state, w)
 	r.stop()
 	if err := <-r.done; err != nil {
 		t.Fatal(err)
 	}
 	r.done = nil
-	again := start(t, state) // nobody tells it of workers
-	if answers, _ := again.ask(get("/ask"), "GET"); answers[0].StatusCode != 200 {
+	again := startEdge(t, state) // nobody tells it of workers
+	if answers, _ := again.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
 		t.Errorf("got %d", answers[0].StatusCode)
 	}
 }
 
 func TestDrainingWorkerGetsNothingNew(t *testing.T) {
-	a, b := newStub(t, echo), newStub(t, echo)
-	r := start(t, "", a, b)
-	r.ask(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
+	a, b := newStubWorker(t, echo), newStubWorker(t, echo)
+	r := startEdge(t, "", a, b)
+	r.roundTrip(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
 	r.p.Workers(api.WorkersEvent{Type: api.Change, Revision: 2, Workers: []api.Worker{{ID: "w0", Address: a.Addr().String(), State: api.Draining, Build: 1}}})
 	r.settle()
 	before := a.seen.Load()
-	r.ask(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
+	r.roundTrip(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
 	if a.seen.Load() != before || before == 0 {
 		t.Errorf("a draining worker went from %d to %d", before, a.seen.Load())
 	}
@@ -598,7 +598,7 @@
 		}
 	})
 	t.Cleanup(group.Wait)
-	r := start(t, "", &stub{Listener: ln})
+	r := startEdge(t, "", &stub{Listener: ln})
 	c := r.dial()
 	raw, buf := []byte(post("/pay/1")), make([]byte, 4096) // no second copies of these
 	one := func() {
--- a/edge/ending.go
+++ b/edge/ending.go
@@ -25,12 +25,12 @@
 	endSlowReader                  // answers were not read
 	endOverfull                    // too many bytes were held for it
 	endCut                         // the loop ended under it
-	endReasons                     // how many there are
+	numEndReasons                  // how many there are
 )
 
-var endNames = [endReasons]string{"client", "broken", "answered", "idle", "shed", "drain", "malformed", "slow", "slow-reader", "overfull", "cut"}
+var endReasonNames = [numEndReasons]string{"client", "broken", "answered", "idle", "shed", "drain", "malformed", "slow", "slow-reader", "overfull", "cut"}
 
-func (r endReason) String() string { return endNames[r] }
+func (r endReason) String() string { return endReasonNames[r] }
 
 // byUs tells whether this process chose to end the connection, so that what it had taken is still owed.
 func (r endReason) byUs() bool { return r != endByClient && r != endBroken }
@@ -39,8 +39,8 @@
 
 func (s clientState) String() string { return stateNames[s] }
 
-// reasonOf gives the reason of an end that the event loop tells.
-func (l *loop) reasonOf(err error) endReason {
+// endReasonOf gives the reason of an end that the event loop tells.
+func (l *loop) endReasonOf(err error) endReason {
 	switch {
 	case err == nil && l.stopping:
 		return endCut
@@ -53,7 +53,7 @@
 // bookEnd counts the end of a connection, and names each request that is owed its answer at that moment.
 func (cc *clientConn) bookEnd(why endReason) {
 	l := cc.l
-	l.stats.ends[why]++
+	l.stats.clientEnds[why]++
 	if !why.byUs() {
 		return
 	}
@@ -65,18 +65,18 @@
 
 // bookOwed counts and logs a request that ends unanswered. Any is a defect, but where its client does not read.
 func (cc *clientConn) bookOwed(c *call, why endReason) {
-	if c == nil || !c.taken || c.answered {
+	if c == nil || !c.admitted || c.answered {
 		return
 	}
 	l := cc.l
-	l.stats.owed[why]++
-	l.log.Error("connection ended with a request unanswered", zap.Uint64("connection", cc.serial), zap.Uint64("request", c.outer),
+	l.stats.owedAtEnd[why]++
+	l.log.Error("connection ended with a request unanswered", zap.Uint64("connection", cc.serial), zap.Uint64("request", c.externalID),
 		zap.Uint64("txn", uint64(c.id())), zap.Stringer("state", cc.state), zap.Stringer("reason", why),
-		zap.Int("attempts", c.n), zap.Int("attempts-out", c.out))
+		zap.Int("attempts", c.n), zap.Int("attempts-out", c.outstanding))
 }
 
-// census is how the connections of clients stand at a moment.
-type census struct {
+// connCounts is how the connections of clients stand at a moment.
+type connCounts struct {
 	silent  int64 // nothing was asked yet
 	idle    int64 // between requests
 	partial int64 // a part of a request has come
@@ -85,22 +85,22 @@
 	carried int64 // a streamed answer is on its way
 }
 
-func (a census) plus(b census) census {
-	return census{a.silent + b.silent, a.idle + b.idle, a.partial + b.partial, a.inHand + b.inHand, a.unsent + b.unsent, a.carried + b.carried}
+func (a connCounts) plus(b connCounts) connCounts {
+	return connCounts{a.silent + b.silent, a.idle + b.idle, a.partial + b.partial, a.inHand + b.inHand, a.unsent + b.unsent, a.carried + b.carried}
 }
 
-func (a census) fields() []zap.Field {
+func (a connCounts) logFields() []zap.Field {
 	return []zap.Field{zap.Int64("silent", a.silent), zap.Int64("idle", a.idle), zap.Int64("partial", a.partial),
 		zap.Int64("in-hand", a.inHand), zap.Int64("unsent", a.unsent), zap.Int64("carried", a.carried)}
 }
 
-// census counts the loop's connections by how they stand.
-func (l *loop) census() census {
-	n := census{carried: l.stats.carrying}
+// connCounts counts the loop's connections by how they stand.
+func (l *loop) connCounts() connCounts {
+	n := connCounts{carried: l.stats.streaming}
 	for _, cc := range l.clientConns.items {
 		switch {
 		case cc.closed || cc.c == nil:
-		case cc.call != nil && cc.call.taken:
+		case cc.call != nil && cc.call.admitted:
 			n.inHand++
 		case cc.state == onlyOut || cc.c.OutboundBuffered() > 0:
 			n.unsent++
--- a/edge/harden_test.go
+++ b/edge/harden_test.go
@@ -23,12 +23,12 @@
 )
 
 // standings gives what speaks against each worker, by id.
-func (r *rig) standings() map[logic.WorkerID]string {
+func (r *testEdge) standings() map[logic.WorkerID]string {
 	out, done := map[logic.WorkerID]string{}, make(chan struct{})
 	l := r.p.loops[0]
 	l.post(func() {
 		for _, s := range l.sentry.Explain(0, 0, 0) {
-			out[s.Worker] = s.Against
+			out[s.Worker] = s.Reason
 		}
 		close(done)
 	})
@@ -71,7 +71,7 @@
 	} {
 		for _, mode := range []string{api.Change, api.Whole} {
 			t.Run(c.name+" "+mode, func(t *testing.T) {
-				r := start(t, "")
+				r := startEdge(t, "")
 				r.p.Workers(api.WorkersEvent{Type: api.Whole, Revision: 1, Now: 1, Workers: []api.Worker{up("a", 1), up("b", 1), up("c", 1)}})
 				r.p.Release(api.ReleaseEvent{Release: api.Release{Build: 1, Phase: api.Released, Cap: 1}})
 				bad, drains, unknown := up("a", 1), up("b", 1), up("d", 70000)
@@ -114,20 +114,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := New(mustPlan(t, ""), zap.NewNop())
-			if !p.heeds(sound, func() {}) {
+			if !p.acceptRelease(sound, func() {}) {
 				t.Fatal("sound news was not heeded")
 			}
 			next := sound
 			c.next(&next)
-			if got := p.heeds(next, func() {}); got != c.want {
+			if got := p.acceptRelease(next, func() {}); got != c.want {
 				t.Errorf("heeded: %t", got)
 			}
 			want := sound
 			if c.want {
 				want = next
 			}
-			if p.newest != want {
-				t.Errorf("in force: %+v, want %+v", p.newest, want)
+			if p.release != want {
+				t.Errorf("in force: %+v, want %+v", p.release, want)
 			}
 		})
 	}
@@ -135,8 +135,8 @@
 		p := New(mustPlan(t, ""), zap.NewNop())
 		gone := sound
 		gone.Phase, gone.Cap, gone.Since = api.Withdrawn, 0, 300
-		p.heeds(gone, func() {})
-		if p.heeds(sound, func() {}) {
+		p.acceptRelease(gone, func() {})
+		if p.acceptRelease(sound, func() {}) {
 			t.Error("the trial is back in force")
 		}
 	})
@@ -146,7 +146,7 @@
 func TestNewsIsPassedOnBeforeTheNextIsLookedAt(t *testing.T) {
 	p := New(mustPlan(t, ""), zap.NewNop())
 	passed := false
-	p.heeds(api.Release{Build: 2, Phase: api.OnTrial, Cap: 0.4}, func() {
+	p.acceptRelease(api.Release{Build: 2, Phase: api.OnTrial, Cap: 0.4}, func() {
 		if passed = true; p.mu.TryLock() {
 			p.mu.Unlock()
 			t.Error("other news could overtake it")
@@ -159,7 +159,7 @@
 
 func mustPlan(t *testing.T, extra string) *config.Edge {
 	t.Helper()
-	e, err := config.ParseEdge("t.sexp", fmt.Sprintf(plan, extra))
+	e, err := config.ParseEdge("t.sexp", fmt.Sprintf(configTemplate, extra))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -192,17 +192,17 @@
 		{"a start that lies ahead", nil, func(w *api.Worker) { w.StartedAt = 200 * sec }, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := &loop{starts: map[logic.WorkerID]startOf{}, now: 1000 * logic.Second}
+			l := &loop{workerStarts: map[logic.WorkerID]workerStart{}, now: 1000 * logic.Second}
 			w := first
 			before := logic.Nanos(0)
 			if c.held != nil {
 				w = *c.held
-				before = l.started("a", w, 100*sec)
+				before = l.workerStartTime("a", w, 100*sec)
 			}
-			l.heard = true
+			l.listSeen = true
 			l.now += 5 * logic.Second
 			c.next(&w)
-			got := l.started("a", w, 105*sec)
+			got := l.workerStartTime("a", w, 105*sec)
 			if want := l.now - c.age; c.age >= 0 && got != want || c.age < 0 && got != 0 {
 				t.Errorf("started %v ago, want %v", l.now-got, c.age)
 			}
@@ -210,7 +210,7 @@
 				t.Errorf("told apart: %t", got != before)
 			}
 			l.now += logic.Second
-			if again := l.started("a", w, 106*sec); again != got {
+			if again := l.workerStartTime("a", w, 106*sec); again != got {
 				t.Errorf("told once more, it started at %v, before at %v", again, got)
 			}
 		})
@@ -219,7 +219,7 @@
 
 // Maps by id hold what the list holds: ids that never come back must not stay.
 func TestIdsThatAreGoneAreForgotten(t *testing.T) {
-	r := start(t, "")
+	r := startEdge(t, "")
 	for i := 0; i < 300; i++ {
 		e := api.WorkersEvent{Type: api.Whole, Revision: uint64(i), Now: 1, Workers: []api.Worker{up(fmt.Sprintf("w%d", i), 1)}}
 		if i%2 == 0 { // half of them by changes
@@ -231,7 +231,7 @@
 	}
 	done := make(chan [3]int)
 	l := r.p.loops[0]
-	l.post(func() { done <- [3]int{len(l.starts), len(l.pools), len(r.p.kept)} })
+	l.post(func() { done <- [3]int{len(l.workerStarts), len(l.pools), len(r.p.workers)} })
 	if got := <-done; got != [3]int{1, 1, 1} {
 		t.Errorf("starts, pools and kept lines: %v", got)
 	}
@@ -240,16 +240,16 @@
 // Danger: names that the settings lack would all pass for the first of them, and a repeat that may go to workers of the
 // same zone only would leave it.
 func TestZonesThatAreNotKnownDiffer(t *testing.T) {
-	names := numbers([]string{"north", "south"}, 0)
+	names := indexNames([]string{"north", "south"}, 0)
 	seen := map[int]string{}
 	for _, n := range []string{"north", "south", "east", "west", ""} {
-		at := numberOf(names, n)
+		at := lookupID(names, n)
 		if seen[at] != "" || n == "south" && at != 1 {
 			t.Errorf("%q is %d, as %q", n, at, seen[at])
 		}
 		seen[at] = n + "."
 	}
-	if numberOf(nil, "") != 0 {
+	if lookupID(nil, "") != 0 {
 		t.Error("without zones no worker is at home")
 	}
 }
@@ -283,7 +283,7 @@
 			dir := t.TempDir()
 			p := New(mustPlan(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
 			write(t, p.statePath(), strings.Replace(keptNow(), c.from, c.to, 1))
-			list, news := p.restore()
+			list, news := p.restoreState()
 			if sound := c.from == ""; (list != nil) != sound || (news != nil) != sound {
 				t.Errorf("restored %v, %v", list, news)
 			}
@@ -295,7 +295,7 @@
 		for n := 0; n < len(text); n++ {
 			p := New(mustPlan(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
 			write(t, p.statePath(), text[:n])
-			if list, _ := p.restore(); list != nil {
+			if list, _ := p.restoreState(); list != nil {
 				t.Fatalf("%d of %d bytes were taken as whole", n, len(text))
 			}
 		}
@@ -314,11 +314,11 @@
 func TestKeptListKeepsAges(t *testing.T) {
 	dir := t.TempDir()
 	write(t, filepath.Join(dir, "t.list.json"), strings.Replace(keptNow(), `"state":"up","build":1,"weight"`, `"state":"resting","build":1,"weight"`, 1))
-	r := start(t, fmt.Sprintf("(state %q)", dir))
+	r := startEdge(t, fmt.Sprintf("(state %q)", dir))
 	age := make(chan logic.Nanos)
 	l := r.p.loops[0]
 	look := func() logic.Nanos {
-		l.post(func() { age <- l.now - l.starts["b"].local })
+		l.post(func() { age <- l.now - l.workerStarts["b"].startedAt })
 		return <-age
 	}
 	if got := look(); got < 4*logic.Second || got > 30*logic.Second {
@@ -327,12 +327,12 @@
 	if got := r.standings(); got["a"] != "not up" {
 		t.Errorf("a standing not known here is %q", got["a"])
 	}
-	before := make(chan startOf, 2)
-	l.post(func() { before <- l.starts["b"] })
+	before := make(chan workerStart, 2)
+	l.post(func() { before <- l.workerStarts["b"] })
 	now := time.Now().Add(-time.Hour).UnixNano()
-	b := r.p.kept["b"]
+	b := r.p.workers["b"]
 	r.p.Workers(api.WorkersEvent{Type: api.Whole, Revision: 1, Now: now, Workers: []api.Worker{b}})
-	l.post(func() { before <- l.starts["b"] })
+	l.post(func() { before <- l.workerStarts["b"] })
 	if x, y := <-before, <-before; x != y {
 		t.Errorf("the same process is %+v, then %+v", x, y)
 	}
@@ -347,8 +347,8 @@
 		bad := up("a", 70000)
 		bad.State = state
 		p.Workers(api.WorkersEvent{Type: api.Change, Now: 1, Workers: []api.Worker{bad}})
-		p.save(false)
-		if list, _ := New(mustPlan(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop()).restore(); list == nil || len(list.Workers) != 2 {
+		p.saveState(false)
+		if list, _ := New(mustPlan(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop()).restoreState(); list == nil || len(list.Workers) != 2 {
 			t.Errorf("after a line of state %q: restored %v", state, list)
 		}
 	}
@@ -367,17 +367,17 @@
 					list = append(list, up(fmt.Sprintf("w%d-%d-%d", i, k, n), 1))
 				}
 				p.Workers(api.WorkersEvent{Type: api.Whole, Now: 1, Workers: list})
-				p.save(false)
+				p.saveState(false)
 				again := New(mustPlan(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
-				if got, _ := again.restore(); got == nil {
+				if got, _ := again.restoreState(); got == nil {
 					t.Error("what was kept is refused")
 				}
 			}
 		})
 	}
 	group.Wait()
-	p.lastSave()
-	p.save(false) // as a timer that was late
+	p.saveFinal()
+	p.saveState(false) // as a timer that was late
 	info, err := os.Stat(p.statePath() + ".new")
 	if err == nil {
 		t.Errorf("%s is left behind", info.Name())
@@ -387,9 +387,9 @@
 // A folder that takes nothing keeps the last whole list; what is served does not depend on it.
 func TestStateThatTakesNothing(t *testing.T) {
 	dir := t.TempDir()
-	w := newStub(t, echo)
-	r := start(t, fmt.Sprintf("(state %q)", dir), w)
-	r.p.save(false)
+	w := newStubWorker(t, echo)
+	r := startEdge(t, fmt.Sprintf("(state %q)", dir), w)
+	r.p.saveState(false)
 	if err := os.Mkdir(r.p.statePath()+".new", 0o700); err != nil { // where it is written
 		t.Fatal(err)
 	}
@@ -398,12 +398,12 @@
 		t.Fatal(err)
 	}
 	r.p.Workers(api.WorkersEvent{Type: api.Change, Now: 1, Workers: []api.Worker{up("later", 1)}})
-	r.p.save(false)
+	r.p.saveState(false)
 	after, err := os.ReadFile(r.p.statePath())
 	if err != nil || string(after) != string(before) {
 		t.Errorf("the list kept before is gone: %v", err)
 	}
-	if answers, _ := r.ask(get("/ask"), "GET"); answers[0].StatusCode != 200 {
+	if answers, _ := r.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
 		t.Errorf("got %d", answers[0].StatusCode)
 	}
 	os.Remove(r.p.statePath() + ".new")
@@ -414,7 +414,7 @@
 func TestAListThatCouldNotBeKeptIsKeptLater(t *testing.T) {
 	core, said := observer.New(zap.InfoLevel)
 	p := New(mustPlan(t, fmt.Sprintf("(state %q)", t.TempDir())), zap.New(core))
-	t.Cleanup(p.lastSave)
+	t.Cleanup(p.saveFinal)
 	if err := os.Mkdir(p.statePath()+".new", 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -442,7 +442,7 @@
 	}
 	put(`(worker a (address "127.0.0.1:1")) (release (build 1))`)
 	s := newFileSource(path, zap.NewNop())
-	e := hear(t, s)
+	e := runSource(t, s)
 	await(t, e.lists)
 	put(`(worker a (address "127.0.0.1:1")) (worker b (address "127.0.0.1:2")) (release (build 1))`)
 	if got := await(t, e.lists); len(got.Workers) != 2 {
@@ -464,7 +464,7 @@
 	}
 	dated()
 	core, said := observer.New(zap.InfoLevel)
-	e := hear(t, newFileSource(path, zap.New(core)))
+	e := runSource(t, newFileSource(path, zap.New(core)))
 	until(t, "it is said", func() bool { return said.FilterMessage("list file cannot be read").Len() > 0 })
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
@@ -485,9 +485,9 @@
 
 // Addresses of sentries that may not talk do no harm.
 func TestPeersWithoutMessages(t *testing.T) {
-	w := newStub(t, echo)
-	r := start(t, fmt.Sprintf("(sentries 3) (index 2) (peers %s) (allow (messages false))", freeUDP(t)), w)
-	if answers, _ := r.ask(get("/ask"), "GET"); answers[0].StatusCode != 200 {
+	w := newStubWorker(t, echo)
+	r := startEdge(t, fmt.Sprintf("(sentries 3) (index 2) (peers %s) (allow (messages false))", freeUDPAddress(t)), w)
+	if answers, _ := r.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
 		t.Errorf("got %d", answers[0].StatusCode)
 	}
 }
@@ -500,7 +500,7 @@
 	}
 	asked := serveWatch(t, ln, `{"type":"whole","revision":5,"workers":[]}`, `{"type":"patch","revision":6}`, `{"type":"change","revision":7}`)
 	s := newAPISource("http://"+ln.Addr().String(), "edge-0", zap.NewNop())
-	e := hear(t, s)
+	e := runSource(t, s)
 	if got := await(t, e.lists); got.Revision != 5 {
 		t.Errorf("told %+v", got)
 	}
@@ -533,7 +533,7 @@
 	}
 	core, said := observer.New(zap.InfoLevel)
 	p := New(mustPlan(t, ""), zap.New(core))
-	p.plan.Door.Connections = 0 // what is taken is closed at once
+	p.cfg.ClientLimits.MaxConnections = 0 // what is taken is closed at once
 	p.listener = &starved{ln, 5}
 	done := make(chan struct{})
 	go func() { p.accept(); close(done) }()
@@ -559,34 +559,34 @@
 // Danger: a txn that the module has lost track of would never be answered. The host voids it at its expiry, and counts it.
 func TestHostAnswersWhatTheModuleForgot(t *testing.T) {
 	asked := make(chan struct{}, 1)
-	r := start(t, "", newStub(t, func(c net.Conn, req *http.Request, b []byte) bool {
+	r := startEdge(t, "", newStubWorker(t, func(c net.Conn, req *http.Request, b []byte) bool {
 		asked <- struct{}{}
-		return never(c, req, b)
+		return hang(c, req, b)
 	}))
 	go func() {
 		<-asked
 		l := r.p.loops[0]
-		l.post(func() { l.sentry = logic.New(l.now, 1, l.p.plan.Module, l) })
+		l.post(func() { l.sentry = logic.New(l.now, 1, l.p.cfg.Module, l) })
 	}()
 	began := time.Now()
-	answers, _ := r.ask(post("/pay"), "POST")
+	answers, _ := r.roundTrip(post("/pay"), "POST")
 	if answers[0].StatusCode != 504 || time.Since(began) > 800*time.Millisecond {
 		t.Errorf("got %d after %v", answers[0].StatusCode, time.Since(began))
 	}
-	if s := r.stats(); s.unanswered != 1 {
-		t.Errorf("%d counted as unanswered", s.unanswered)
+	if s := r.stats(); s.hostVoided != 1 {
+		t.Errorf("%d counted as unanswered", s.hostVoided)
 	}
 }
 
 // The module answers at a txn's expiry by itself: what the host has to void is a defect.
 func TestModuleAnswersAtExpiry(t *testing.T) {
 	for _, raw := range []string{get("/ask"), post("/book"), post("/pay")} {
-		r := start(t, "", newStub(t, never))
-		if answers, _ := r.ask(raw, raw[:4]); answers[0].StatusCode < 503 {
+		r := startEdge(t, "", newStubWorker(t, hang))
+		if answers, _ := r.roundTrip(raw, raw[:4]); answers[0].StatusCode < 503 {
 			t.Errorf("got %d", answers[0].StatusCode)
 		}
-		if s := r.stats(); s.unanswered != 0 || s.voided+s.declined != 1 {
-			t.Errorf("the host had to void %d; %d voided, %d declined", s.unanswered, s.voided, s.declined)
+		if s := r.stats(); s.hostVoided != 0 || s.voided+s.declined != 1 {
+			t.Errorf("the host had to void %d; %d voided, %d declined", s.hostVoided, s.voided, s.declined)
 		}
 	}
 }
@@ -594,10 +594,10 @@
 // Danger: what each connection may hold, on very many of them, would still fill memory.
 func TestHeldBytesHaveABoundInSum(t *testing.T) {
 	const bound, clients = 512 << 10, 30
-	r := start(t, "", newStub(t, never))
+	r := startEdge(t, "", newStubWorker(t, hang))
 	l := r.p.loops[0]
 	done := make(chan struct{})
-	l.post(func() { r.p.plan.Door.Holding = bound; close(done) })
+	l.post(func() { r.p.cfg.ClientLimits.MaxHeldBytes = bound; close(done) })
 	<-done
 	var conns []net.Conn
 	behind := []byte(strings.Repeat(get("/ask"), 1+(60<<10)/len(get("/ask"))))
@@ -609,7 +609,7 @@
 		}
 		conns = append(conns, c)
 	}
-	for until := time.Now().Add(5 * time.Second); r.stats().overfull == 0; {
+	for until := time.Now().Add(5 * time.Second); r.stats().overHeldBytes == 0; {
 		if time.Now().After(until) {
 			t.Fatal("no connection gave up what it held")
 		}
@@ -622,8 +622,8 @@
 				held += cc.c.InboundBuffered() + len(cc.early)
 			}
 		}
-		if held != l.holding {
-			t.Errorf("%d bytes are held, %d are counted", held, l.holding)
+		if held != l.heldBytes {
+			t.Errorf("%d bytes are held, %d are counted", held, l.heldBytes)
 		}
 		close(done)
 	})
--- a/edge/kept_list.go
+++ b/edge/kept_list.go
@@ -20,20 +20,20 @@
 func (p *Process) saveSoon() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.saving == nil && !p.closed && p.plan.State != "" {
-		p.saving = time.AfterFunc(100*time.Millisecond, func() { p.save(false) }) // of no effect after lastSave
+	if p.saving == nil && !p.closed && p.cfg.StateDir != "" {
+		p.saving = time.AfterFunc(100*time.Millisecond, func() { p.saveState(false) }) // of no effect after lastSave
 	}
 }
 
-// lastSave writes what is kept at the end of the process, and lets nothing be written after.
-func (p *Process) lastSave() {
+// saveFinal writes what is kept at the end of the process, and lets nothing be written after.
+func (p *Process) saveFinal() {
 	p.mu.Lock()
 	p.closed = true
 	if p.saving != nil {
 		p.saving.Stop()
 	}
 	p.mu.Unlock()
-	p.save(true)
+	p.saveState(true)
 }
 
 // keptList is the file of the last list.
@@ -53,7 +53,7 @@
 	seen := map[string]bool{}
 	for i := range k.Workers {
 		w := &k.Workers[i]
-		if err := w.Check(); err != nil {
+		if err := w.Validate(); err != nil {
 			return fmt.Errorf("entry %d: %w", i+1, err)
 		}
 		if seen[w.ID] {
@@ -64,13 +64,13 @@
 	if k.Release == (api.Release{}) { // none had been told
 		return nil
 	}
-	return k.Release.Check()
+	return k.Release.Validate()
 }
 
-func (p *Process) statePath() string { return filepath.Join(p.plan.State, p.plan.Name+".list.json") }
+func (p *Process) statePath() string { return filepath.Join(p.cfg.StateDir, p.cfg.Name+".list.json") }
 
-// save writes the last list beside its place and moves it there, so that a crash leaves the old one or the new.
-func (p *Process) save(last bool) {
+// saveState writes the last list beside its place and moves it there, so that a crash leaves the old one or the new.
+func (p *Process) saveState(last bool) {
 	p.disk.Lock() // Danger: two writers of one file would leave a mixture of both
 	defer p.disk.Unlock()
 	p.mu.Lock()
@@ -79,12 +79,12 @@
 		return
 	}
 	now := time.Now().UnixNano()
-	k := keptList{Version: 1, Saved: now, Clock: now + p.ahead, Release: p.newest}
-	for _, w := range p.kept {
+	k := keptList{Version: 1, Saved: now, Clock: now + p.ahead, Release: p.release}
+	for _, w := range p.workers {
 		k.Workers = append(k.Workers, w)
 	}
 	p.mu.Unlock()
-	if p.plan.State == "" || len(k.Workers) == 0 {
+	if p.cfg.StateDir == "" || len(k.Workers) == 0 {
 		return
 	}
 	slices.SortFunc(k.Workers, func(a, b api.Worker) int { return cmp.Compare(a.ID, b.ID) })
@@ -96,7 +96,7 @@
 	defer p.mu.Unlock()
 	failed := err != nil
 	if failed && !p.closed && p.saving == nil { // Danger: else the next start would not know of it until something else changes
-		p.saving = time.AfterFunc(time.Second, func() { p.save(false) })
+		p.saving = time.AfterFunc(time.Second, func() { p.saveState(false) })
 	}
 	if failed == p.unkept {
 		return
@@ -127,13 +127,13 @@
 	return err
 }
 
-// restore reads the last list, as an event with the platform's clock as it should be by now. One that is malformed is
+// restoreState reads the last list, as an event with the platform's clock as it should be by now. One that is malformed is
 // named and not used.
-func (p *Process) restore() (list *api.WorkersEvent, news *logic.News) {
-	if p.plan.State == "" {
+func (p *Process) restoreState() (list *api.WorkersEvent, news *logic.ReleaseUpdate) {
+	if p.cfg.StateDir == "" {
 		return nil, nil
 	}
-	if err := os.MkdirAll(p.plan.State, 0o755); err != nil {
+	if err := os.MkdirAll(p.cfg.StateDir, 0o755); err != nil {
 		p.log.Warn("no folder for state", zap.Error(err))
 		return nil, nil
 	}
@@ -160,13 +160,13 @@
 	}
 	p.ahead = list.Now - now
 	for _, w := range k.Workers {
-		p.kept[w.ID] = w
+		p.workers[w.ID] = w
 	}
 	p.log.Info("last list restored", zap.Int("workers", len(k.Workers)), zap.Duration("age", time.Duration(age)))
 	// What was released stays so till the platform says otherwise. A build on trial may have lost its cap meanwhile,
 	// so it gets nothing until then.
 	if k.Release != (api.Release{}) {
-		p.newest = k.Release
+		p.release = k.Release
 		n := newsOf(api.ReleaseEvent{Release: k.Release}, false)
 		if n.Phase != logic.Released {
 			n.Cap = 0
--- a/edge/live.go
+++ b/edge/live.go
@@ -10,27 +10,27 @@
 	"dunegrade/logic"
 )
 
-// Live is what an edge has from the platform that it serves on, in place of a file or an API.
-type Live struct {
+// PlatformOptions is what an edge has from the platform that it serves on, in place of a file or an API.
+type PlatformOptions struct {
 	Source  Source
 	Dialect Dialect
 	Known   api.WorkersEvent // the list as it was before a restart; it may be old
 	Release api.ReleaseEvent // where the newest build stands
 }
 
-// NewLive makes an edge that speaks PostgreSQL's protocol with clients and workers. It listens when Run is called.
-func NewLive(plan *config.Edge, live *Live, log *zap.Logger) *Process {
+// NewWithPlatform makes an edge that speaks PostgreSQL's protocol with clients and workers. It listens when Run is called.
+func NewWithPlatform(plan *config.Edge, live *PlatformOptions, log *zap.Logger) *Process {
 	p := newProcess(plan, log)
-	p.live, p.source, p.protocol = live, live.Source, newPgProtocol(live.Dialect)
+	p.platform, p.source, p.protocol = live, live.Source, newPgProtocol(live.Dialect)
 	for _, w := range live.Known.Workers {
-		p.kept[w.ID] = w
+		p.workers[w.ID] = w
 	}
-	p.newest = live.Release.Release
+	p.release = live.Release.Release
 	return p
 }
 
 // told gives what a live edge was told at its start, as its loops take it.
-func (l *Live) told() (*api.WorkersEvent, *logic.News) {
+func (l *PlatformOptions) told() (*api.WorkersEvent, *logic.ReleaseUpdate) {
 	n := newsOf(l.Release, false)
 	return &l.Known, &n
 }
@@ -40,5 +40,5 @@
 
 // canServe tells whether this edge knows enough to serve: the list of the moment, or after a while the one known before.
 func (l *loop) canServe() bool {
-	return l.listed || len(l.p.live.Known.Workers) > 0 && time.Since(l.p.began) > patientStart
+	return l.listed || len(l.p.platform.Known.Workers) > 0 && time.Since(l.p.began) > patientStart
 }
--- a/edge/loop.go
+++ b/edge/loop.go
@@ -30,11 +30,11 @@
 type eventKind uint8
 
 const (
-	evTake eventKind = iota
+	evAdmit eventKind = iota
 	evOutcome
-	evLeft
+	evClientLeft
 	evStreaming
-	evBegun
+	evAnswerBegun
 	evTimer
 	evCall // anything rare, as a function
 )
@@ -73,40 +73,40 @@
 // alone, but for what is marked otherwise.
 type loop struct {
 	gnet.BuiltinEventEngine
-	p      *Process
-	number int // of the sentry among all
-	client *gnet.Client
-	el     gnet.EventLoop
-	log    *zap.Logger
-	rng    *rand.Rand
-	now    logic.Nanos
-	sentry *logic.Sentry
-	rec    *trace.Recorder // nil: nothing is recorded
-	taking logic.TxnID     // the txn that the module is being handed; 0: none
-	life   uint64          // drawn at the start
-	serial uint64          // of the last txn
-
-	calls       slab[call]
-	outers      map[uint64]struct{} // ids of the calls in hand, where clients give them
-	clientConns slab[clientConn]
-	workerConns slab[workerConn]
-	pools       map[logic.WorkerID]*pool
-	starts      map[logic.WorkerID]startOf
-	heard       bool // of a first list
-	startsTold  bool // by the source, for each worker; 0: long past
-	dialing     int
-	reuse       reuse
-	conns       int     // to workers, open or being opened
-	starved     []*pool // that wait for one of them to end
-	holding     int     // bytes that came from clients and were not used yet
-	heap        timers
-
-	events  []event
-	acts    []act
-	resume  []*clientConn // answered; their next request may be in hand
-	pumping bool
-	depth   int // of calls from gnet within one another
-	load    logic.Load
+	p         *Process
+	number    int // of the sentry among all
+	client    *gnet.Client
+	eventLoop gnet.EventLoop
+	log       *zap.Logger
+	rng       *rand.Rand
+	now       logic.Nanos
+	sentry    *logic.Sentry
+	rec       *trace.Recorder // nil: nothing is recorded
+	taking    logic.TxnID     // the txn that the module is being handed; 0: none
+	runID     uint64          // drawn at the start
+	serial    uint64          // of the last txn
+
+	calls        slab[call]
+	externalIDs  map[uint64]struct{} // ids of the calls in hand, where clients give them
+	clientConns  slab[clientConn]
+	workerConns  slab[workerConn]
+	pools        map[logic.WorkerID]*pool
+	workerStarts map[logic.WorkerID]workerStart
+	listSeen     bool // of a first list
+	startsTold   bool // by the source, for each worker; 0: long past
+	dialing      int
+	reuse        reuse
+	conns        int     // to workers, open or being opened
+	starved      []*pool // that wait for one of them to end
+	heldBytes    int     // bytes that came from clients and were not used yet
+	timers       timerHeap
+
+	events      []event
+	acts        []act
+	resumeReads []*clientConn // answered; their next request may be in hand
+	pumping     bool
+	depth       int // of calls from gnet within one another
+	load        logic.Load
 
 	req     http1.Request // of the moment
 	resp    http1.Response
@@ -115,17 +115,17 @@
 
 	connectTimeout, workerIdle logic.Nanos
 	draining, stopping         bool
-	lastAnswers                logic.Nanos   // in a drain: when what is in hand is answered at the latest
+	answerDeadline             logic.Nanos   // in a drain: when what is in hand is answered at the latest
 	drained                    chan struct{} // closed when no request can be read any more
-	toldDrained                bool
-	closing                    []closingConn
-	closingArmed               bool
-	spare                      int  // a descriptor held for when none is left; -1: none
+	drainSignaled              bool
+	closingConns               []closingConn
+	closingTimerSet            bool
+	spareFD                    int  // a descriptor held for when none is left; -1: none
 	listed                     bool // the list of the moment has come
 	voting                     bool
 	stats                      stats
 	shown                      atomic.Pointer[stats] // for whoever asks; any goroutine
-	clients                    atomic.Int64          // open connections of clients; any goroutine
+	clientCount                atomic.Int64          // open connections of clients; any goroutine
 
 	// Work from other goroutines, and what wakes the loop for it.
 	mu     sync.Mutex
@@ -138,29 +138,29 @@
 	quit   chan struct{}
 }
 
-// startOf is what tells one process from the next under its id, with its start by this host's clock.
-type startOf struct {
-	stamp   int64
-	address string
-	build   int
-	local   logic.Nanos
+// workerStart is what tells one process from the next under its id, with its start by this host's clock.
+type workerStart struct {
+	stamp     int64
+	address   string
+	build     int
+	startedAt logic.Nanos
 }
 
 func newLoop(p *Process, i int) *loop {
-	number := int(p.plan.Module["index"].(float64)) + i
+	number := int(p.cfg.Module["index"].(float64)) + i
 	// One seed for each sentry, and nothing that two sentries share.
 	seed := int64(xxhash.Sum64(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil,
-		uint64(p.plan.Seed)), uint64(number))) >> 1)
+		uint64(p.cfg.Seed)), uint64(number))) >> 1)
 	l := &loop{p: p, number: number, log: p.log.With(zap.Int("sentry", number)), rng: rand.New(rand.NewSource(seed)),
-		outers: map[uint64]struct{}{}, pools: map[logic.WorkerID]*pool{}, starts: map[logic.WorkerID]startOf{}, rearm: make(chan struct{}, 1), drained: make(chan struct{}), spare: -1,
-		startsTold: p.live != nil, quit: make(chan struct{}), connectTimeout: logic.Nanos(p.plan.Workers.ConnectTimeout),
-		workerIdle: logic.Nanos(p.plan.Workers.Idle), reuse: reuse{upTo: logic.Nanos(p.plan.Workers.Idle), most: logic.Nanos(p.plan.Workers.Idle)}}
-	l.life = xxhash.Sum64(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64([]byte(p.plan.Name), uint64(p.epoch)), uint64(number)))
+		externalIDs: map[uint64]struct{}{}, pools: map[logic.WorkerID]*pool{}, workerStarts: map[logic.WorkerID]workerStart{}, rearm: make(chan struct{}, 1), drained: make(chan struct{}), spareFD: -1,
+		startsTold: p.platform != nil, quit: make(chan struct{}), connectTimeout: logic.Nanos(p.cfg.WorkerLimits.ConnectTimeout),
+		workerIdle: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout), reuse: reuse{upTo: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout), most: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout)}}
+	l.runID = xxhash.Sum64(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64([]byte(p.cfg.Name), uint64(p.epoch)), uint64(number)))
 	return l
 }
 
 // start brings up the event loop and its sentry; list and news are what was known before a restart.
-func (l *loop) start(list *api.WorkersEvent, news *logic.News) error {
+func (l *loop) start(list *api.WorkersEvent, news *logic.ReleaseUpdate) error {
 	var err error
 	l.client, err = gnet.NewClient(l, gnet.WithLogger(quiet{l.p.log}), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
 		gnet.WithReadBufferCap(64<<10), gnet.WithNumEventLoop(1))
@@ -175,19 +175,19 @@
 		return err
 	}
 	l.waker = ours
-	l.takeSpare()
+	l.reserveFD()
 	c, err := l.client.EnrollContext(theirs, wakeMark{})
 	if err != nil {
 		return err
 	}
-	l.el = c.EventLoop()
+	l.eventLoop = c.EventLoop()
 	l.group.Add(1)
 	go l.alarm()
 	ready := make(chan struct{})
 	l.post(func() {
 		l.hand(event{kind: evCall, do: func(now logic.Nanos) {
 			settings := map[string]any{}
-			for k, v := range l.p.plan.Module {
+			for k, v := range l.p.cfg.Module {
 				settings[k] = v
 			}
 			settings["index"] = float64(l.number)
@@ -218,11 +218,11 @@
 
 // record opens the recorder where the plan wants one.
 func (l *loop) record(settings map[string]any) (err error) {
-	t := &l.p.plan.Trace
-	if t.Folder == "" {
+	t := &l.p.cfg.Trace
+	if t.Dir == "" {
 		return nil
 	}
-	h := &tracepb.Header{Edge: l.p.plan.Name, Sentry: uint32(l.number), Customers: l.p.plan.Customers, Life: l.life,
+	h := &tracepb.Header{Edge: l.p.cfg.Name, Sentry: uint32(l.number), Customers: l.p.cfg.Customers, Life: l.runID,
 		Wall: time.Now().UnixNano(), Start: int64(l.p.clock())}
 	switch t.Level {
 	case "sampled":
@@ -230,10 +230,10 @@
 	case "decisions":
 		h.Level = trace.LevelDecisions
 	}
-	for i := range l.p.plan.Products {
-		h.Products = append(h.Products, l.p.plan.Products[i].Name)
+	for i := range l.p.cfg.Products {
+		h.Products = append(h.Products, l.p.cfg.Products[i].Name)
 	}
-	l.rec, err = trace.NewTailed(trace.Disk(t.Folder), t.Tail, trace.Keep{SegmentBytes: t.SegmentBytes, SegmentAge: t.SegmentAge,
+	l.rec, err = trace.NewTailed(trace.Disk(t.Dir), t.TailDir, trace.Keep{SegmentBytes: t.SegmentBytes, SegmentAge: t.SegmentAge,
 		TotalBytes: t.TotalBytes}, h, settings, l.log)
 	return err
 }
@@ -244,16 +244,16 @@
 		if l.rec != nil {
 			l.rec.List(now, mode, list)
 		}
-		l.sentry.List(now, mode, list)
+		l.sentry.UpdateWorkers(now, mode, list)
 	}})
 }
 
-func (l *loop) tellNews(n logic.News) {
+func (l *loop) tellNews(n logic.ReleaseUpdate) {
 	l.hand(event{kind: evCall, do: func(now logic.Nanos) {
 		if l.rec != nil {
 			l.rec.News(now, n)
 		}
-		l.sentry.News(now, n)
+		l.sentry.ReleaseUpdate(now, n)
 	}})
 }
 
@@ -280,7 +280,7 @@
 		if l.rec != nil {
 			l.rec.Told(now, from, data)
 		}
-		l.sentry.Told(now, from, data)
+		l.sentry.PeerMessage(now, from, data)
 	}})
 }
 
@@ -311,10 +311,10 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("socketpair: %w", err)
 	}
-	if ours, err = dup(fds[0], nil); err != nil {
+	if ours, err = connFromFD(fds[0], nil); err != nil {
 		return nil, nil, err
 	}
-	theirs, err = dup(fds[1], nil)
+	theirs, err = connFromFD(fds[1], nil)
 	return ours, theirs, err
 }
 
@@ -350,10 +350,10 @@
 	l.due()
 	l.checkDrained()
 	l.depth--
-	if len(l.heap) == 0 {
+	if len(l.timers) == 0 {
 		return
 	}
-	at := int64(max(l.heap[0].at, l.lastWk+logic.Nanos(wakeGap)))
+	at := int64(max(l.timers[0].at, l.lastWk+logic.Nanos(wakeGap)))
 	if armed := l.armed.Load(); armed == 0 || at < armed {
 		l.armed.Store(at)
 		select {
@@ -365,26 +365,26 @@
 
 // due runs the timers whose time has come, and drops those that no longer matter.
 func (l *loop) due() {
-	for len(l.heap) > 0 {
-		t := l.heap[0]
+	for len(l.timers) > 0 {
+		t := l.timers[0]
 		if t.at > l.now && !l.stale(t) {
 			return
 		}
-		l.heap.pop()
+		l.timers.pop()
 		if t.at > l.now || l.stale(t) {
 			continue
 		}
 		l.fire(t)
-		l.pump()
+		l.processEvents()
 	}
 }
 
 // stale tells whether what a timer was set for has ended.
 func (l *loop) stale(t timer) bool {
 	switch t.kind {
-	case expiry, last, subEnd, connWait:
+	case timerExpiry, timerHalfClose, subEnd, connWait:
 		c := l.callOf(logic.TxnID(t.token))
-		return c == nil || t.kind != expiry && t.kind != last && c.subs[t.n].state == subOver
+		return c == nil || t.kind != timerExpiry && t.kind != timerHalfClose && c.subs[t.n].state == subOver
 	case remind: // about a txn that is over: the module has nothing to do
 		return t.of != 0 && l.callOf(t.of) == nil
 	}
@@ -400,25 +400,25 @@
 				l.rec.Flush(l.now)
 			}
 		}
-		l.queue(event{kind: evTimer, token: t.token})
-	case expiry:
+		l.enqueue(event{kind: evTimer, token: t.token})
+	case timerExpiry:
 		l.expired(l.callOf(logic.TxnID(t.token)))
-	case last:
+	case timerHalfClose:
 		l.lastCall(l.callOf(logic.TxnID(t.token)))
 	case subEnd:
 		l.stop(l.callOf(logic.TxnID(t.token)), int(t.n), logic.TimedOut)
 	case connWait:
 		if c := l.callOf(logic.TxnID(t.token)); c.subs[t.n].state == subWaiting {
-			l.ended(c, int(t.n), logic.ConnectFailed, nil)
+			l.endSubmission(c, int(t.n), logic.ConnectFailed, nil)
 		}
-	case clientAt:
-		if cc := l.clientOf(t.token); cc != nil {
+	case timerClientConn:
+		if cc := l.clientByToken(t.token); cc != nil {
 			cc.armed = 0
-			l.lookAtClient(cc)
+			l.checkClient(cc)
 		}
-	case closingAt:
-		l.lookAtClosing()
-	case drainEnd:
+	case timerClosingConns:
+		l.checkClosing()
+	case timerDrainEnd:
 		l.endDrain()
 	case workerAt:
 		if wc := l.workerOf(t.token); wc != nil {
@@ -434,43 +434,43 @@
 	for n := 0; n < c.n; n++ {
 		l.stop(c, n, logic.TimedOut)
 	}
-	l.pump()
-	if c = l.callOf(id); c != nil && c.taken && !c.answered && !c.left {
+	l.processEvents()
+	if c = l.callOf(id); c != nil && c.admitted && !c.answered && !c.clientLeft {
 		// Danger: a txn that the module holds with nothing out would never be answered.
-		l.stats.unanswered++
+		l.stats.hostVoided++
 		l.log.Error("txn held past its expiry, voided by the host", zap.Uint64("txn", uint64(c.id())))
-		l.queue(event{kind: evLeft, call: c})
-		l.answerVoid(c)
-		l.pump()
+		l.enqueue(event{kind: evClientLeft, call: c})
+		l.respondVoided(c)
+		l.processEvents()
 	}
 }
 
-// queue lines up an event for the module; pump hands it over.
-func (l *loop) queue(e event) {
+// enqueue lines up an event for the module; pump hands it over.
+func (l *loop) enqueue(e event) {
 	if e.call != nil {
 		e.call.pending++
 	}
 	l.events = append(l.events, e)
 }
 
-// pump hands queued events to the module, one by one, and does what it decides before the next.
+// processEvents hands queued events to the module, one by one, and does what it decides before the next.
 // Danger: doing what was decided can end connections, and so bring events, in the middle of a decision; they wait here.
-func (l *loop) pump() {
+func (l *loop) processEvents() {
 	if l.pumping {
 		return
 	}
 	l.pumping = true
-	for len(l.events) > 0 || len(l.resume) > 0 {
+	for len(l.events) > 0 || len(l.resumeReads) > 0 {
 		for i := 0; i < len(l.events); i++ {
 			l.hand(l.events[i])
 		}
 		l.events = l.events[:0]
-		for i := 0; i < len(l.resume); i++ {
-			if cc := l.resume[i]; !cc.closed {
+		for i := 0; i < len(l.resumeReads); i++ {
+			if cc := l.resumeReads[i]; !cc.closed {
 				cc.read()
 			}
 		}
-		l.resume = l.resume[:0]
+		l.resumeReads = l.resumeReads[:0]
 	}
 	if l.rec != nil {
 		l.rec.Settle()
@@ -482,12 +482,12 @@
 func (l *loop) hand(e event) {
 	c := e.call
 	switch e.kind {
-	case evTake:
+	case evAdmit:
 		if l.rec != nil {
-			c.traced = l.rec.Take(l.now, &c.in, c.serial, c.traceID[0], c.traceID[1])
+			c.traced = l.rec.Take(l.now, &c.txn, c.serial, c.traceID[0], c.traceID[1])
 		}
 		l.taking = c.id() // what it wants to be reminded of now is this txn
-		l.sentry.Take(l.now, c.in)
+		l.sentry.Take(l.now, c.txn)
 		l.taking = 0
 	case evOutcome:
 		if e.loaded {
@@ -499,23 +499,23 @@
 			c.status = 0
 		}
 		l.sentry.Outcome(l.now, e.outcome)
-	case evLeft:
+	case evClientLeft:
 		if c.traced {
 			l.rec.Event(l.now, tracepb.Kind_LEFT, c.id(), 0, 0, 0)
 		}
-		l.sentry.Left(l.now, c.id())
+		l.sentry.ClientLeft(l.now, c.id())
 	case evStreaming:
 		if c.traced {
 			l.rec.Event(l.now, tracepb.Kind_STREAMING, c.id(), e.outcome.Number, 0, 0)
 		}
-		l.sentry.Streaming(l.now, c.id(), e.outcome.Number)
-	case evBegun: // not recorded: no protocol that is has it
-		l.sentry.Begun(l.now, c.id(), e.outcome.Number)
+		l.sentry.StreamStarted(l.now, c.id(), e.outcome.Number)
+	case evAnswerBegun: // not recorded: no protocol that is has it
+		l.sentry.ResponseStarted(l.now, c.id(), e.outcome.Number)
 	case evTimer:
 		if l.rec != nil {
 			l.rec.Event(l.now, tracepb.Kind_TIMER, 0, 0, e.token, 0)
 		}
-		l.sentry.Timer(l.now, e.token)
+		l.sentry.TimerFired(l.now, e.token)
 	case evCall:
 		e.do(l.now)
 	}
@@ -525,14 +525,14 @@
 	l.acts = l.acts[:0]
 	if c != nil {
 		c.pending--
-		l.drop(c)
+		l.releaseCall(c)
 	}
 }
 
 // perform does one thing that the module decided.
 func (l *loop) perform(a act) {
 	if a.kind == actRemind {
-		l.heap.push(timer{at: l.now + a.span, token: a.token, kind: remind, of: a.txn})
+		l.timers.push(timer{at: l.now + a.span, token: a.token, kind: remind, of: a.txn})
 		return
 	}
 	c := l.callOf(a.txn)
@@ -547,9 +547,9 @@
 			l.stop(c, a.n, logic.Cancelled)
 		}
 	case actDecline:
-		l.answerDecline(c, a.span)
+		l.respondDeclined(c, a.span)
 	case actVoid:
-		l.answerVoid(c)
+		l.respondVoided(c)
 	}
 }
 
@@ -580,7 +580,7 @@
 	}
 	l.acts = append(l.acts, act{kind: actVoid, txn: t})
 }
-func (l *loop) Remind(after logic.Nanos, token uint64) {
+func (l *loop) SetTimer(after logic.Nanos, token uint64) {
 	if l.rec != nil {
 		l.rec.Event(l.now, tracepb.Kind_REMIND, 0, 0, token, uint64(after))
 	}
@@ -596,13 +596,13 @@
 	}
 	l.vote(v, rel, stage)
 }
-func (l *loop) Watch() {
+func (l *loop) WatchWorkers() {
 	if l.rec != nil {
 		l.rec.Event(l.now, tracepb.Kind_WATCH, 0, 0, 0, 0)
 	}
 	l.p.source.Refresh()
 }
-func (l *loop) Tell(to int, data []byte) {
+func (l *loop) SendToPeer(to int, data []byte) {
 	if l.rec != nil {
 		l.rec.Tell(l.now, to, data)
 	}
@@ -630,18 +630,18 @@
 func (l *loop) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	l.enter()
 	switch ctx := c.Context().(type) {
-	case *accepted:
+	case *acceptedClient:
 		l.openClient(c, ctx)
 	case *pool:
 		l.openWorker(c, ctx)
-	case *returned:
+	case *returnedWorker:
 		ctx.pool.conns++
 		l.conns++
 		ctx.pool.dialing++
 		l.dialing++
 		l.openWorker(c, ctx.pool)
 	}
-	l.pump()
+	l.processEvents()
 	l.leave()
 	return nil, gnet.None
 }
@@ -651,7 +651,7 @@
 	l.enter()
 	switch ctx := c.Context().(type) {
 	case *clientConn:
-		ctx.arrive()
+		ctx.recordArrival()
 		ctx.read()
 	case *workerConn:
 		ctx.read()
@@ -664,10 +664,10 @@
 		l.mu.Unlock()
 		for _, do := range todo {
 			do()
-			l.pump()
+			l.processEvents()
 		}
 	}
-	l.pump()
+	l.processEvents()
 	l.leave()
 	return gnet.None
 }
@@ -681,7 +681,7 @@
 	switch ctx := c.Context().(type) {
 	case *clientConn:
 		if !ctx.closed {
-			ctx.gone(l.reasonOf(err))
+			ctx.gone(l.endReasonOf(err))
 		}
 	case *workerConn:
 		if !ctx.closed {
@@ -691,7 +691,7 @@
 	// Danger: a write that fails closes its connection in the middle of whatever wrote; what follows waits till that
 	// is through.
 	if outer {
-		l.pump()
+		l.processEvents()
 		l.leave()
 	}
 	return gnet.None
--- a/edge/news.go
+++ b/edge/news.go
@@ -18,9 +18,9 @@
 	lines := make([]api.Worker, 0, len(e.Workers))
 	p.mu.Lock()
 	for _, w := range e.Workers {
-		if err := w.Check(); err != nil {
+		if err := w.Validate(); err != nil {
 			p.log.Error("line of the list not heeded", zap.Uint64("revision", e.Revision), zap.Error(err))
-			held, known := p.kept[w.ID]
+			held, known := p.workers[w.ID]
 			if !known {
 				continue
 			}
@@ -37,13 +37,13 @@
 	}
 	e.Workers = lines
 	if e.Type == api.Whole {
-		clear(p.kept)
+		clear(p.workers)
 	}
 	for _, w := range e.Workers {
 		if w.State == api.Gone {
-			delete(p.kept, w.ID)
+			delete(p.workers, w.ID)
 		} else {
-			p.kept[w.ID] = w
+			p.workers[w.ID] = w
 		}
 	}
 	p.ahead = e.Now - time.Now().UnixNano()
@@ -68,16 +68,16 @@
 	for _, w := range e.Workers {
 		id := logic.WorkerID(w.ID)
 		listed[id] = true
-		start := l.started(id, w, e.Now)
+		start := l.workerStartTime(id, w, e.Now)
 		state, known := states[w.State]
 		if !known {
 			state = logic.Draining // a standing that a newer planner knows gets nothing new
 		}
-		list = append(list, logic.Worker{ID: id, Zone: logic.ZoneID(numberOf(l.p.zones, w.Zone)), Kind: logic.KindID(numberOf(l.p.kinds, w.Kind)),
+		list = append(list, logic.Worker{ID: id, Zone: logic.ZoneID(lookupID(l.p.zones, w.Zone)), Kind: logic.KindID(lookupID(l.p.kinds, w.Kind)),
 			Cell: w.Cell, State: state, Weight: w.Weight, Rel: logic.RelID(w.Build), Start: start})
 		pool := l.poolOf(id, w.Address)
 		if pool.gone = state == logic.Gone; pool.gone {
-			delete(l.starts, id)
+			delete(l.workerStarts, id)
 		}
 		if state != logic.Up {
 			l.dropWaiting(pool)
@@ -87,12 +87,12 @@
 		for id, pool := range l.pools {
 			if !listed[id] {
 				pool.gone = true
-				delete(l.starts, id)
+				delete(l.workerStarts, id)
 				l.dropWaiting(pool)
 			}
 		}
 	}
-	l.heard = true
+	l.listSeen = true
 	l.listed = l.listed || mode != logic.Restored
 	l.tellList(mode, list)
 	for id, pool := range l.pools {
@@ -105,31 +105,31 @@
 	}
 }
 
-// started gives a worker's start by this host's clock, the same for each telling of one process. Danger: a process that
+// workerStartTime gives a worker's start by this host's clock, the same for each telling of one process. Danger: a process that
 // took another's place without a start of its own would pass for warm, and answer for what that one did. So where the
-// address or the build has changed, or an id appears after the first list, what is not told to have started earlier
-// counts as started now.
-func (l *loop) started(id logic.WorkerID, w api.Worker, platform int64) logic.Nanos {
-	was, known := l.starts[id]
+// address or the build has changed, or an id appears after the first list, what is not told to have workerStartTime earlier
+// counts as workerStartTime now.
+func (l *loop) workerStartTime(id logic.WorkerID, w api.Worker, platform int64) logic.Nanos {
+	was, known := l.workerStarts[id]
 	if known && (w.State != api.Up || was.stamp == w.StartedAt && was.address == w.Address && was.build == w.Build) {
-		return was.local
+		return was.startedAt
 	}
-	is := startOf{stamp: w.StartedAt, address: w.Address, build: w.Build}
+	is := workerStart{stamp: w.StartedAt, address: w.Address, build: w.Build}
 	switch {
 	case w.StartedAt == 0 && l.startsTold: // each start is told
 	case w.StartedAt != 0 && (!known || was.stamp != w.StartedAt || l.startsTold):
 		// The clocks differ, the age does not; it is taken once, or each telling would look like a new start.
-		is.local = l.now - logic.Nanos(max(0, platform-w.StartedAt))
-	case known || l.heard:
-		is.local = l.now
+		is.startedAt = l.now - logic.Nanos(max(0, platform-w.StartedAt))
+	case known || l.listSeen:
+		is.startedAt = l.now
 	}
-	l.starts[id] = is
-	return is.local
+	l.workerStarts[id] = is
+	return is.startedAt
 }
 
-// numberOf gives the number of a zone or kind. Danger: a name that the settings lack must not pass for the first of
+// lookupID gives the number of a zone or kind. Danger: a name that the settings lack must not pass for the first of
 // them, or a repeat that may go to workers of the same zone only would leave it; so it gets a number of its own.
-func numberOf(names map[string]int, name string) int {
+func lookupID(names map[string]int, name string) int {
 	if n, known := names[name]; known || len(names) == 0 && name == "" {
 		return n
 	}
@@ -154,27 +154,27 @@
 var phases = map[string]logic.Phase{api.OnTrial: logic.OnTrial, api.GoingBack: logic.GoingBack,
 	api.Released: logic.Released, api.Withdrawn: logic.Withdrawn}
 
-func newsOf(e api.ReleaseEvent, answer bool) logic.News {
-	return logic.News{Stage: e.Release.Stage, Answer: answer, Rel: logic.RelID(e.Release.Build), Cap: e.Release.Cap,
+func newsOf(e api.ReleaseEvent, answer bool) logic.ReleaseUpdate {
+	return logic.ReleaseUpdate{Stage: e.Release.Stage, VoteReply: answer, Rel: logic.RelID(e.Release.Build), Cap: e.Release.Cap,
 		Phase: phases[e.Release.Phase], Age: logic.Nanos(max(0, e.Now-e.Release.Since))}
 }
 
-// heeds notes where the newest build stands, as pushed or in answer to a vote, and passes it on where it counts; it tells
+// acceptRelease notes where the newest build stands, as pushed or in answer to a vote, and passes it on where it counts; it tells
 // whether it did. Danger: answers and pushes come on connections of their own, so either may have been overtaken. What
 // began before that which is in force, by the platform's clock, must not loosen it again; what tightens is always
 // heeded. It is passed on under the lock, or two that come at once would reach a loop in the other order.
-func (p *Process) heeds(r api.Release, pass func()) bool {
-	if err := r.Check(); err != nil {
+func (p *Process) acceptRelease(r api.Release, pass func()) bool {
+	if err := r.Validate(); err != nil {
 		p.log.Error("news of a release not heeded", zap.Error(err))
 		return false
 	}
 	back := func(phase string) bool { return phase == api.GoingBack || phase == api.Withdrawn }
 	p.mu.Lock()
-	was := p.newest
+	was := p.release
 	overtaken := r.Since < was.Since && (r.Build < was.Build || r.Build == was.Build &&
 		(r.Cap > was.Cap || back(was.Phase) && !back(r.Phase)))
 	if !overtaken {
-		p.newest = r
+		p.release = r
 		pass()
 	}
 	p.mu.Unlock()
@@ -189,7 +189,7 @@
 
 func (p *Process) Release(e api.ReleaseEvent) {
 	n := newsOf(e, false)
-	p.heeds(e.Release, func() {
+	p.acceptRelease(e.Release, func() {
 		for _, l := range p.loops {
 			l.post(func() { l.tellNews(n) })
 		}
@@ -223,8 +223,8 @@
 	}
 }
 
-var verdicts = map[logic.Verdict]string{logic.NoVote: api.VoteNone, logic.On: api.VoteOn, logic.Hold: api.VoteHold,
-	logic.Back: api.VoteBack}
+var verdicts = map[logic.Verdict]string{logic.VerdictNone: api.VoteNone, logic.VerdictOn: api.VoteOn, logic.VerdictHold: api.VoteHold,
+	logic.VerdictBack: api.VoteBack}
 
 // vote casts the sentry's vote beside the loop, one at a time; its answer comes back as news.
 func (l *loop) vote(v logic.Verdict, rel logic.RelID, stage int) {
@@ -232,7 +232,7 @@
 		return
 	}
 	l.voting = true
-	wait := time.Duration(l.p.plan.Module["release.vote-timeout"].(float64))
+	wait := time.Duration(l.p.cfg.Module["release.vote-timeout"].(float64))
 	l.group.Add(1)
 	go func() {
 		defer l.group.Done()
@@ -245,7 +245,7 @@
 			case <-ctx.Done():
 			}
 		}()
-		e, err := l.p.source.Vote(ctx, api.Vote{Edge: l.p.plan.Name, Sentry: l.number, Verdict: verdicts[v],
+		e, err := l.p.source.Vote(ctx, api.Vote{Edge: l.p.cfg.Name, Sentry: l.number, Verdict: verdicts[v],
 			Build: int(rel), Stage: stage})
 		news := newsOf(e, true)
 		pass := func() {
@@ -254,18 +254,18 @@
 				l.tellNews(news)
 			})
 		}
-		if err == nil && l.p.heeds(e.Release, pass) {
+		if err == nil && l.p.acceptRelease(e.Release, pass) {
 			return
 		}
 		switch {
-		case errors.Is(err, api.ErrMoot):
-			news.Ending = logic.Moot
-		case errors.Is(err, api.ErrFull):
-			news.Ending = logic.Full
-		case errors.Is(err, api.ErrUnknown):
+		case errors.Is(err, api.ErrStaleVote):
+			news.Ending = logic.Skipped
+		case errors.Is(err, api.ErrTooManyVotes):
+			news.Ending = logic.Rejected
+		case errors.Is(err, api.ErrVoteOutcomeUnknown):
 			news.Ending = logic.TimedOut
 		default:
-			news.Ending = logic.Erred
+			news.Ending = logic.ErrorResponse
 		}
 		pass()
 	}()
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -12,21 +12,21 @@
 
 // openPeers opens the socket for other sentries' messages. hearPeers reads from it, once there are loops to hand them to.
 func (p *Process) openPeers() error {
-	if !p.plan.Module["allow.messages"].(bool) {
+	if !p.cfg.Module["allow.messages"].(bool) {
 		return nil // addresses may stand in the settings all the same
 	}
-	for _, a := range p.plan.Peers {
+	for _, a := range p.cfg.Peers {
 		u, err := net.ResolveUDPAddr("udp", a)
 		if err != nil {
 			return fmt.Errorf("peer %s: %w", a, err)
 		}
 		p.peers = append(p.peers, u)
 	}
-	own := p.peers[int(p.plan.Module["index"].(float64))]
+	own := p.peers[int(p.cfg.Module["index"].(float64))]
 	var err error
-	if p.plan.PeerListen != "" {
-		if own, err = net.ResolveUDPAddr("udp", p.plan.PeerListen); err != nil {
-			return fmt.Errorf("peer %s: %w", p.plan.PeerListen, err)
+	if p.cfg.PeerListen != "" {
+		if own, err = net.ResolveUDPAddr("udp", p.cfg.PeerListen); err != nil {
+			return fmt.Errorf("peer %s: %w", p.cfg.PeerListen, err)
 		}
 	}
 	if p.tells, err = net.ListenUDP("udp", own); err != nil {
@@ -44,7 +44,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if p.plan.PeerListen != "" { // bare: its sender's address says whose it is
+		if p.cfg.PeerListen != "" { // bare: its sender's address says whose it is
 			if err == nil && n <= longestTell {
 				p.hearPeer(from, append([]byte(nil), buf[:n]...))
 			}
@@ -80,7 +80,7 @@
 	if p.tells == nil || to < 0 || to >= len(p.peers) || len(data) > longestTell {
 		return
 	}
-	if p.plan.PeerListen != "" {
+	if p.cfg.PeerListen != "" {
 		p.tells.WriteToUDP(data, p.peers[to])
 		return
 	}
--- a/edge/pg.go
+++ b/edge/pg.go
@@ -10,26 +10,26 @@
 	"dunegrade/pgwire"
 )
 
-// Asked is what a statement says of itself.
-type Asked struct {
-	ID       uint64 // by which its client knows it; no two are open at once
-	Product  logic.ProductID
-	Customer logic.CustomerID
-	Key      logic.KeyID
-	Cost     logic.Nanos
-	Repeat   bool
-	Patience logic.Nanos // from when the client sent it
-	From, To int         // where the statement tells its patience, in whole milliseconds
+// StatementInfo is what a statement says of itself.
+type StatementInfo struct {
+	ID                       uint64 // by which its client knows it; no two are open at once
+	Product                  logic.ProductID
+	Customer                 logic.CustomerID
+	Key                      logic.KeyID
+	Cost                     logic.Nanos
+	Repeat                   bool
+	Timeout                  logic.Nanos // from when the client sent it
+	TimeoutStart, TimeoutEnd int         // where the statement tells its patience, in whole milliseconds
 }
 
 // Dialect reads what clients and workers write inside PostgreSQL's messages. It keeps no state.
 type Dialect interface {
-	// Read reads a statement. Its error is what the client is told.
-	Read(statement []byte, to *Asked) *pgwire.Fault
+	// ParseStatement reads a statement. Its error is what the client is told.
+	ParseStatement(statement []byte, to *StatementInfo) *pgwire.ProtocolError
 	// Load reads a load report, and tells whether it is one.
 	Load(report []byte, to *logic.Load) bool
-	// Hello gives the start-up message for workers, and the name of the parameter that holds load reports.
-	Hello() (message []byte, gauge string)
+	// EncodeStartup gives the start-up message for workers, and the name of the parameter that holds load reports.
+	EncodeStartup() (message []byte, gauge string)
 }
 
 // pgProtocol is PostgreSQL's protocol behind the seam.
@@ -41,11 +41,11 @@
 
 func newPgProtocol(d Dialect) *pgProtocol {
 	s := &pgProtocol{dialect: d}
-	s.hello, s.gauge = d.Hello()
+	s.hello, s.gauge = d.EncodeStartup()
 	return s
 }
 
-func (s *pgProtocol) front(cc *clientConn, was clientProtocol) clientProtocol {
+func (s *pgProtocol) newClientProtocol(cc *clientConn, was clientProtocol) clientProtocol {
 	d, ok := was.(*pgFront)
 	if !ok {
 		d = &pgFront{}
@@ -54,13 +54,13 @@
 	return d
 }
 
-func (s *pgProtocol) back(wc *workerConn, was workerProtocol) workerProtocol {
+func (s *pgProtocol) newWorkerProtocol(wc *workerConn, was workerProtocol) workerProtocol {
 	k, ok := was.(*pgBack)
 	if !ok {
 		k = &pgBack{}
 	}
 	k.wc, k.s, k.writing = wc, s, false
-	k.from.Reset(s.gauge, int(wc.l.p.plan.Door.Answer))
+	k.from.Reset(s.gauge, int(wc.l.p.cfg.ClientLimits.AnswerBufferBytes))
 	return k
 }
 
@@ -68,7 +68,7 @@
 type pgFront struct {
 	cc     *clientConn
 	s      *pgProtocol
-	from   pgwire.Front
+	from   pgwire.FrontendParser
 	partAt logic.Nanos // when a part of a message was first seen; 0: there is none
 	asksAt logic.Nanos // when it asked whether this edge can serve, which it could not; 0: it did not
 }
@@ -81,7 +81,7 @@
 func (d *pgFront) waits() (until logic.Nanos) {
 	cc := d.cc
 	l := cc.l
-	door := &l.p.plan.Door
+	door := &l.p.cfg.ClientLimits
 	switch {
 	case d.asksAt > 0:
 		d.asksAt = 0
@@ -91,26 +91,26 @@
 		}
 		return l.now + 5*logic.Millisecond
 	case cc.served == 0 && (d.partAt > 0 || !d.from.Started()):
-		if until = cc.opened + logic.Nanos(door.SlowHead); until <= l.now {
+		if until = cc.opened + logic.Nanos(door.HeadTimeout); until <= l.now {
 			l.stats.refused++
 			d.end(endSlow, "08P01", "the first message came too slowly")
 			return 0
 		}
 	case d.partAt > 0:
-		if until = d.partAt + logic.Nanos(door.SlowBody); until <= l.now {
+		if until = d.partAt + logic.Nanos(door.BodyTimeout); until <= l.now {
 			l.stats.refused++
 			d.end(endSlow, "08P01", "the message came too slowly")
 			return 0
 		}
 	default:
-		patience := door.Idle
-		if l.p.open.Load() > int64(door.Connections/2) {
-			patience = door.Spare
+		patience := door.IdleTimeout
+		if l.p.openClients.Load() > int64(door.MaxConnections/2) {
+			patience = door.PressureIdleTimeout
 		}
 		if until = cc.since + logic.Nanos(patience); until <= l.now {
 			return cc.endIdle()
 		}
-		until = min(until, l.now+logic.Nanos(door.Spare))
+		until = min(until, l.now+logic.Nanos(door.PressureIdleTimeout))
 	}
 	return until
 }
@@ -140,39 +140,39 @@
 	l := cc.l
 	size, want, text, err := d.from.Next(in)
 	if cc.call != nil { // a txn is in hand: only another one may be taken, what else comes is answered in its turn
-		if err != nil || want != pgwire.Statement {
+		if err != nil || want != pgwire.Query {
 			return false
 		}
 		return d.behind(size, text)
 	}
-	if err == pgwire.ErrMore {
+	if err == pgwire.ErrIncomplete {
 		if d.partAt == 0 {
 			d.partAt = l.now
-			l.armClient(cc, min(l.now+logic.Nanos(l.p.plan.Door.SlowBody), max(l.now, cc.opened+logic.Nanos(l.p.plan.Door.SlowHead))))
+			l.armClient(cc, min(l.now+logic.Nanos(l.p.cfg.ClientLimits.BodyTimeout), max(l.now, cc.opened+logic.Nanos(l.p.cfg.ClientLimits.HeadTimeout))))
 		}
 		return false
 	}
 	if err != nil {
-		var f *pgwire.Fault
+		var f *pgwire.ProtocolError
 		errors.As(err, &f)
 		l.stats.refused++
-		d.end(endMalformed, f.Code, f.What)
+		d.end(endMalformed, f.Code, f.Message)
 		return false
 	}
 	d.partAt = 0
 	switch want {
-	case pgwire.Encryption:
+	case pgwire.EncryptionRequest:
 		cc.used(size)
 		cc.put(pgwire.NoEncryption)
-	case pgwire.Start:
+	case pgwire.Startup:
 		cc.used(size)
-		cc.put(pgwire.Welcome)
+		cc.put(pgwire.StartupResponse)
 		cc.since = l.now
-		l.armClient(cc, l.now+logic.Nanos(l.p.plan.Door.Spare))
-	case pgwire.Leave:
+		l.armClient(cc, l.now+logic.Nanos(l.p.cfg.ClientLimits.PressureIdleTimeout))
+	case pgwire.Terminate:
 		cc.used(size)
 		cc.close(endByClient)
-	case pgwire.Empty:
+	case pgwire.EmptyQuery:
 		if !l.canServe() && l.draining {
 			d.stop(endDrain)
 			return false
@@ -183,8 +183,8 @@
 			return false
 		}
 		cc.used(size)
-		cc.put(pgwire.EmptyAnswer)
-	case pgwire.Statement:
+		cc.put(pgwire.EmptyQueryAnswer)
+	case pgwire.Query:
 		d.statement(size, text)
 	}
 	return !cc.closed
@@ -194,28 +194,28 @@
 func (d *pgFront) statement(size int, text []byte) {
 	cc := d.cc
 	l := cc.l
-	var a Asked
-	if f := d.s.dialect.Read(text, &a); f != nil {
+	var a StatementInfo
+	if f := d.s.dialect.ParseStatement(text, &a); f != nil {
 		l.stats.refused++
 		cc.used(size)
-		d.error(f.Code, f.What, "")
+		d.error(f.Code, f.Message, "")
 		return
 	}
 	// Danger: two txns under one id would be one to the workers, and one answer pass for the other's.
-	if _, open := l.outers[a.ID]; open {
+	if _, open := l.externalIDs[a.ID]; open {
 		l.stats.refused++
 		cc.used(size)
 		d.error("42710", "this id is open already", "")
 		return
 	}
-	if l.calls.used() >= l.p.plan.Door.Open {
-		l.stats.atDoor++
+	if l.calls.inUse() >= l.p.cfg.ClientLimits.MaxOpenTxns {
+		l.stats.overLimit++
 		cc.used(size)
 		d.error("53300", "declined: too many are open", "")
 		return
 	}
 	if !l.inDrainTime() {
-		l.stats.atDoor++
+		l.stats.overLimit++
 		cc.used(size)
 		d.error("57P03", stopText, "")
 		return
@@ -226,11 +226,11 @@
 // behind takes a txn behind others of its connection, and tells whether it did. One with a fault waits for its turn.
 func (d *pgFront) behind(size int, text []byte) bool {
 	l := d.cc.l
-	var a Asked
-	if d.s.dialect.Read(text, &a) != nil || l.calls.used() >= l.p.plan.Door.Open || !l.inDrainTime() {
+	var a StatementInfo
+	if d.s.dialect.ParseStatement(text, &a) != nil || l.calls.inUse() >= l.p.cfg.ClientLimits.MaxOpenTxns || !l.inDrainTime() {
 		return false
 	}
-	if _, open := l.outers[a.ID]; open {
+	if _, open := l.externalIDs[a.ID]; open {
 		return false
 	}
 	d.begins(size, text, &a, false)
@@ -238,7 +238,7 @@
 }
 
 // begins makes a call of what was asked and hands it on; first: it is the one whose answer is next.
-func (d *pgFront) begins(size int, text []byte, a *Asked, first bool) {
+func (d *pgFront) begins(size int, text []byte, a *StatementInfo, first bool) {
 	cc := d.cc
 	l := cc.l
 	c := l.newCall()
@@ -248,12 +248,12 @@
 	} else {
 		cc.behind = append(cc.behind, queue{call: c})
 	}
-	c.product, c.keep, c.outer = int(a.Product), true, a.ID
-	c.in = logic.Txn{Product: a.Product, Customer: a.Customer, Key: a.Key, Cost: a.Cost, Repeat: a.Repeat,
-		Expiry: max(l.now, cc.cameBy(size)+a.Patience)} // one whose time is over is given up by the module
+	c.product, c.keepAlive, c.externalID = int(a.Product), true, a.ID
+	c.txn = logic.Txn{Product: a.Product, Customer: a.Customer, Key: a.Key, Cost: a.Cost, Repeat: a.Repeat,
+		Expiry: max(l.now, cc.cameBy(size)+a.Timeout)} // one whose time is over is given up by the module
 	c.request = append(c.request[:0], text...)
-	c.from, c.to = a.From, a.To
-	l.outers[a.ID] = struct{}{}
+	c.timeoutStart, c.timeoutEnd = a.TimeoutStart, a.TimeoutEnd
+	l.externalIDs[a.ID] = struct{}{}
 	cc.used(size)
 	cc.whole(c)
 }
@@ -281,7 +281,7 @@
 }
 
 func (d *pgFront) voided(c *call) {
-	if l := d.cc.l; c.last == logic.TimedOut || c.last == logic.Cancelled || l.now >= c.in.Expiry {
+	if l := d.cc.l; c.lastEnding == logic.TimedOut || c.lastEnding == logic.Cancelled || l.now >= c.txn.Expiry {
 		d.fails(c, "57014", "voided: no answer in time; it may have had its effect", "")
 	} else {
 		d.fails(c, "58000", "voided: it may have had its effect", "")
@@ -292,31 +292,31 @@
 type pgBack struct {
 	wc      *workerConn
 	s       *pgProtocol
-	from    pgwire.Back
+	from    pgwire.BackendParser
 	writing bool
 	begun   bool // the module has heard that an answer began
 }
 
-func (k *pgBack) opened() { k.wc.c.Write(k.s.hello) }
+func (k *pgBack) handleOpen() { k.wc.c.Write(k.s.hello) }
 
-// ask writes a statement, with the patience that is left.
-func (k *pgBack) ask(c *call, n int) error {
+// writeSubmission writes a statement, with the patience that is left.
+func (k *pgBack) writeSubmission(c *call, n int) error {
 	wc := k.wc
 	l := wc.l
 	k.writing, k.begun = true, false
-	if !k.from.Ask() {
+	if !k.from.BeginQuery() {
 		return errors.New("the connection is not idle")
 	}
-	left := max(1, int64((c.in.Expiry-l.now)/logic.Millisecond))
+	left := max(1, int64((c.txn.Expiry-l.now)/logic.Millisecond))
 	var digits [20]byte
-	l.scratch = pgwire.AppendQuery(l.scratch[:0], c.request[:c.from], strconv.AppendInt(digits[:0], left, 10), c.request[c.to:])
-	l.stats.bytesOut += uint64(len(l.scratch))
+	l.scratch = pgwire.AppendQuery(l.scratch[:0], c.request[:c.timeoutStart], strconv.AppendInt(digits[:0], left, 10), c.request[c.timeoutEnd:])
+	l.stats.bytesToWorkers += uint64(len(l.scratch))
 	_, err := wc.c.Write(l.scratch)
 	k.writing = false
 	return err
 }
 
-func (k *pgBack) unsent() bool { return k.writing || !k.wc.closed && k.wc.c.OutboundBuffered() > 0 }
+func (k *pgBack) hasUnsent() bool { return k.writing || !k.wc.closed && k.wc.c.OutboundBuffered() > 0 }
 
 // stale looks at the socket itself. Danger: a second copy of an answer that has arrived and was not read yet would pass
 // for the next one.
@@ -325,9 +325,9 @@
 	return err != unix.EAGAIN
 }
 
-// began tells whether a part of an answer has come, be it unread.
-func (k *pgBack) began() bool {
-	if k.from.Began() || k.wc.c.InboundBuffered() > 0 {
+// answerStarted tells whether a part of an answer has come, be it unread.
+func (k *pgBack) answerStarted() bool {
+	if k.from.AnswerStarted() || k.wc.c.InboundBuffered() > 0 {
 		return true
 	}
 	n, err := peekByte(k.wc.c.Fd())
@@ -339,14 +339,14 @@
 	return true
 }
 
-func (k *pgBack) forget() {
-	if cap(k.from.Pass) > 8<<10 {
-		k.from.Pass = nil
+func (k *pgBack) releaseBuffers() {
+	if cap(k.from.Answer) > 8<<10 {
+		k.from.Answer = nil
 	}
 }
 
-func (k *pgBack) ends(error) bool {
-	if k.wc.call == nil || !k.from.Refused() {
+func (k *pgBack) completeOnClose(error) bool {
+	if k.wc.call == nil || !k.from.ErrorPending() {
 		return false
 	}
 	k.refused(true)
@@ -361,35 +361,35 @@
 		return false
 	}
 	size, told, err := k.from.Next(in)
-	if err == pgwire.ErrMore {
+	if err == pgwire.ErrIncomplete {
 		k.waits()
 		return false
 	}
 	if err != nil {
-		if wc.greets {
-			l.stats.garbage++
-			l.closeWorker(wc, true)
+		if wc.handshaking {
+			l.stats.malformedAnswers++
+			l.closeWorkerConn(wc, true)
 		} else {
-			wc.fault()
+			wc.failMalformed()
 		}
 		return false
 	}
 	wc.c.Discard(size)
 	switch told {
-	case pgwire.Open:
+	case pgwire.SessionReady:
 		l.ready(wc)
 		return !wc.closed
-	case pgwire.Value:
+	case pgwire.ValueReceived:
 		k.load()
-		out := append(k.from.Pass, pgwire.Ready...)
+		out := append(k.from.Answer, pgwire.ReadyForQuery...)
 		l.complete(wc, logic.OK, out, false)
 		return false
-	case pgwire.Refusal:
-		if wc.greets { // too many connections: nothing was asked
-			l.closeWorker(wc, true)
+	case pgwire.ErrorReceived:
+		if wc.handshaking { // too many connections: nothing was asked
+			l.closeWorkerConn(wc, true)
 			return false
 		}
-		k.refused(k.from.Refused())
+		k.refused(k.from.ErrorPending())
 		return false
 	}
 	return true
@@ -397,23 +397,23 @@
 
 // waits tells the module, once, of an answer that has begun and is not whole yet.
 func (k *pgBack) waits() {
-	if wc := k.wc; wc.call != nil && !k.begun && k.began() {
+	if wc := k.wc; wc.call != nil && !k.begun && k.answerStarted() {
 		k.begun = true
-		wc.l.queue(event{kind: evBegun, call: wc.call, outcome: logic.Outcome{Number: wc.n}})
+		wc.l.enqueue(event{kind: evAnswerBegun, call: wc.call, outcome: logic.Outcome{Number: wc.n}})
 	}
 }
 
 // refused completes a submission that was answered with an error.
 func (k *pgBack) refused(shut bool) {
 	k.load()
-	e := logic.Erred
+	e := logic.ErrorResponse
 	if k.from.Code == "53300" {
-		e = logic.Full
+		e = logic.Rejected
 	}
 	k.wc.l.complete(k.wc, e, nil, shut)
 }
 
 func (k *pgBack) load() {
 	wc := k.wc
-	wc.loaded = k.from.Load != nil && k.s.dialect.Load(k.from.Load, &wc.load) && plausible(&wc.load)
+	wc.hasLoad = k.from.Load != nil && k.s.dialect.Load(k.from.Load, &wc.load) && plausibleLoad(&wc.load)
 }
--- a/edge/process.go
+++ b/edge/process.go
@@ -21,40 +21,40 @@
 
 // Process is one edge: a listener, some event loops with a sentry each, and a source of news.
 type Process struct {
-	plan      *config.Edge
-	log       *zap.Logger
-	loops     []*loop
-	routes    classifier
-	protocol  protocol
-	live      *Live // nil: by file or API
-	customers map[string]int
-	zones     map[string]int
-	kinds     map[string]int
-	products  map[string]int
-	source    Source
-	open      atomic.Int64 // connections of clients
-	listener  net.Listener
-	began     time.Time
-	epoch     int64
-	tells     *net.UDPConn
-	peers     []*net.UDPAddr
+	cfg         *config.Edge
+	log         *zap.Logger
+	loops       []*loop
+	routes      classifier
+	protocol    protocol
+	platform    *PlatformOptions // nil: by file or API
+	customerIDs map[string]int
+	zones       map[string]int
+	kinds       map[string]int
+	products    map[string]int
+	source      Source
+	openClients atomic.Int64 // connections of clients
+	listener    net.Listener
+	began       time.Time
+	epoch       int64
+	tells       *net.UDPConn
+	peers       []*net.UDPAddr
 
-	mu     sync.Mutex // guards what follows; never held on the ordinary path
-	kept   map[string]api.Worker
-	newest api.Release // the last one told
-	ahead  int64       // of the platform's clock before ours, when it last told the list
-	saving *time.Timer
-	closed bool // nothing is saved any more
-	unkept bool // the last save failed
-	disk   sync.Mutex
-	listed atomic.Bool
+	mu      sync.Mutex // guards what follows; never held on the ordinary path
+	workers map[string]api.Worker
+	release api.Release // the last one told
+	ahead   int64       // of the platform's clock before ours, when it last told the list
+	saving  *time.Timer
+	closed  bool // nothing is saved any more
+	unkept  bool // the last save failed
+	disk    sync.Mutex
+	listed  atomic.Bool
 }
 
 // New makes an edge of a checked plan. It listens when Run is called.
 func New(plan *config.Edge, log *zap.Logger) *Process {
 	p := newProcess(plan, log)
-	if plan.Source.API != "" {
-		p.source = newAPISource(plan.Source.API, plan.Name, log)
+	if plan.Source.APIURL != "" {
+		p.source = newAPISource(plan.Source.APIURL, plan.Name, log)
 	} else {
 		p.source = newFileSource(plan.Source.File, log)
 	}
@@ -62,9 +62,9 @@
 }
 
 func newProcess(plan *config.Edge, log *zap.Logger) *Process {
-	p := &Process{plan: plan, log: log, routes: newTable(plan.Routes), protocol: httpProtocol{}, customers: numbers(plan.Customers, 1),
-		zones: numbers(plan.Zones, 0), kinds: numbers(plan.Kinds, 0), products: map[string]int{}, began: time.Now(),
-		kept: map[string]api.Worker{}}
+	p := &Process{cfg: plan, log: log, routes: newTable(plan.Routes), protocol: httpProtocol{}, customerIDs: indexNames(plan.Customers, 1),
+		zones: indexNames(plan.Zones, 0), kinds: indexNames(plan.Kinds, 0), products: map[string]int{}, began: time.Now(),
+		workers: map[string]api.Worker{}}
 	p.epoch = p.began.UnixNano()
 	for i := range plan.Products {
 		p.products[plan.Products[i].Name] = i
@@ -72,7 +72,7 @@
 	return p
 }
 
-func numbers(names []string, from int) map[string]int {
+func indexNames(names []string, from int) map[string]int {
 	m := map[string]int{}
 	for i, n := range names {
 		m[n] = i + from
@@ -94,17 +94,17 @@
 func (p *Process) Run(ctx context.Context, listening func(net.Addr)) error {
 	// Danger: an event loop that waits in the kernel keeps its processor from the others for up to 10 ms, so that
 	// with no processor to spare every timer and every other loop is late by that.
-	if runtime.GOMAXPROCS(0) < p.plan.Loops+1 {
-		runtime.GOMAXPROCS(p.plan.Loops + 1)
+	if runtime.GOMAXPROCS(0) < p.cfg.Loops+1 {
+		runtime.GOMAXPROCS(p.cfg.Loops + 1)
 	}
-	list, news := p.restore()
-	if p.live != nil {
-		list, news = p.live.told()
+	list, news := p.restoreState()
+	if p.platform != nil {
+		list, news = p.platform.told()
 	}
 	if err := p.openPeers(); err != nil {
 		return err
 	}
-	for i := 0; i < p.plan.Loops; i++ {
+	for i := 0; i < p.cfg.Loops; i++ {
 		l := newLoop(p, i)
 		if err := l.start(list, news); err != nil {
 			return fmt.Errorf("event loop %d: %w", i, err)
@@ -119,7 +119,7 @@
 		p.stopLoops()
 		return err
 	}
-	if p.listener, err = net.Listen("tcp", p.plan.Listen); err != nil {
+	if p.listener, err = net.Listen("tcp", p.cfg.Listen); err != nil {
 		if admin != nil {
 			admin.Close()
 		}
@@ -132,18 +132,18 @@
 	group.Go(func() { p.source.Run(sourceCtx, p) })
 	var accepting sync.WaitGroup
 	accepting.Go(p.accept)
-	p.log.Info("serving", zap.String("name", p.plan.Name), zap.Stringer("address", p.listener.Addr()),
-		zap.Int("loops", p.plan.Loops))
+	p.log.Info("serving", zap.String("name", p.cfg.Name), zap.Stringer("address", p.listener.Addr()),
+		zap.Int("loops", p.cfg.Loops))
 	if listening != nil {
 		listening(p.listener.Addr())
 	}
 	<-ctx.Done()
 	began := time.Now()
-	deadline := began.Add(p.plan.KeepOpen + p.plan.DrainWithin)
-	p.log.Info("stopping: still accepting", zap.Int64("open", p.open.Load()), zap.Duration("for", p.plan.KeepOpen))
-	time.Sleep(p.plan.KeepOpen) // clients still come for as long
-	p.endAccepting(&accepting)
-	p.log.Info("stopping: listener closed", p.census().fields()...)
+	deadline := began.Add(p.cfg.ShutdownDelay + p.cfg.DrainTimeout)
+	p.log.Info("stopping: still accepting", zap.Int64("open", p.openClients.Load()), zap.Duration("for", p.cfg.ShutdownDelay))
+	time.Sleep(p.cfg.ShutdownDelay) // clients still come for as long
+	p.closeListener(&accepting)
+	p.log.Info("stopping: listener closed", p.connCounts().logFields()...)
 	whole := p.drain(deadline)
 	p.logDrained(whole)
 	if admin != nil {
@@ -152,11 +152,11 @@
 	stopSource()
 	group.Wait()
 	p.stopLoops()
-	p.lastSave()
-	owed := p.owed()
-	p.log.Info("stopped", zap.Duration("drained-in", time.Since(began)), zap.Uint64("owed", owed), zap.Any("ends", p.ends()))
+	p.saveFinal()
+	owedAtEnd := p.owedAtEnd()
+	p.log.Info("stopped", zap.Duration("drained-in", time.Since(began)), zap.Uint64("owed", owedAtEnd), zap.Any("ends", p.clientEnds()))
 	if !whole {
-		return fmt.Errorf("drain: not through after %v, %d requests were still owed", p.plan.KeepOpen+p.plan.DrainWithin, owed)
+		return fmt.Errorf("drain: not through after %v, %d requests were still owed", p.cfg.ShutdownDelay+p.cfg.DrainTimeout, owedAtEnd)
 	}
 	return nil
 }
--- a/edge/protocol.go
+++ b/edge/protocol.go
@@ -5,10 +5,10 @@
 // protocol is the seam between host and wire: how requests, answers and the host's own answers look as bytes.
 // A protocol decides nothing about a txn; it tells the host what has come in whole, and writes what the host says.
 type protocol interface {
-	// front makes the client's side of a new connection; was is one of an ended connection, or nil.
-	front(cc *clientConn, was clientProtocol) clientProtocol
-	// back makes the worker's side of a new connection; was is one of an ended connection, or nil.
-	back(wc *workerConn, was workerProtocol) workerProtocol
+	// newClientProtocol makes the client's side of a new connection; was is one of an ended connection, or nil.
+	newClientProtocol(cc *clientConn, was clientProtocol) clientProtocol
+	// newWorkerProtocol makes the worker's side of a new connection; was is one of an ended connection, or nil.
+	newWorkerProtocol(wc *workerConn, was workerProtocol) workerProtocol
 }
 
 // clientProtocol is one client's connection in a protocol.
@@ -33,24 +33,24 @@
 
 // workerProtocol is one connection to a worker in a protocol.
 type workerProtocol interface {
-	// opened is told that the connection stands. It calls loop.ready, now or once a greeting is through.
-	opened()
-	// ask writes submission n of a call.
-	ask(c *call, n int) error
+	// handleOpen is told that the connection stands. It calls loop.ready, now or once a greeting is through.
+	handleOpen()
+	// writeSubmission writes submission n of a call.
+	writeSubmission(c *call, n int) error
 	// read takes what has come in, up to a whole answer at the most, which goes to loop.complete; it tells whether
 	// there may be more to do.
 	read(in []byte) bool
-	// ends tells whether the connection's end was the end of an answer, which it has then completed.
-	ends(err error) bool
-	// unsent tells whether a part of what was asked is still in this host.
-	unsent() bool
+	// completeOnClose tells whether the connection's end was the end of an answer, which it has then completed.
+	completeOnClose(err error) bool
+	// hasUnsent tells whether a part of what was asked is still in this host.
+	hasUnsent() bool
 	// stale tells whether an idle connection has come to something that was not read yet: its end, or bytes that
 	// nobody asked for.
 	stale() bool
-	// began tells whether a part of an answer has come, where the protocol cares.
-	began() bool
+	// answerStarted tells whether a part of an answer has come, where the protocol cares.
+	answerStarted() bool
 	// halfClose ends our sending and leaves what comes readable; it tells whether the protocol knows that.
 	halfClose() bool
-	// forget frees what large answers have left behind.
-	forget()
+	// releaseBuffers frees what large answers have left behind.
+	releaseBuffers()
 }
--- a/edge/routes.go
+++ b/edge/routes.go
@@ -26,7 +26,7 @@
 	for i := range t {
 		r := &t[i]
 		r.KeyHeader, r.CustomerHeader = strings.ToLower(r.KeyHeader), strings.ToLower(r.CustomerHeader)
-		r.CostHeader, r.RepeatMark = strings.ToLower(r.CostHeader), strings.ToLower(r.RepeatMark)
+		r.CostHeader, r.RepeatHeader = strings.ToLower(r.CostHeader), strings.ToLower(r.RepeatHeader)
 	}
 	return t
 }
@@ -34,7 +34,7 @@
 func (t table) match(method, path []byte) *config.Route {
 	for i := range t {
 		r := &t[i]
-		if (r.Method == "" || r.Method == view(method)) && under(path, r.Prefix) {
+		if (r.Method == "" || r.Method == unsafeString(method)) && under(path, r.Prefix) {
 			return r
 		}
 	}
@@ -43,7 +43,7 @@
 
 // under tells whether a path lies under a prefix, at the border of a segment.
 func under(path []byte, prefix string) bool {
-	if len(path) < len(prefix) || view(path[:len(prefix)]) != prefix {
+	if len(path) < len(prefix) || unsafeString(path[:len(prefix)]) != prefix {
 		return false
 	}
 	return len(path) == len(prefix) || prefix[len(prefix)-1] == '/' || path[len(prefix)] == '/'
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -21,7 +21,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 2
 	}
-	log, err := NewLog(plan.Log)
+	log, err := NewLogger(plan.LogLevel)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 2
@@ -50,8 +50,8 @@
 	return 0
 }
 
-// NewLog makes a logger of JSON lines on standard error, from a level on.
-func NewLog(level string) (*zap.Logger, error) {
+// NewLogger makes a logger of JSON lines on standard error, from a level on.
+func NewLogger(level string) (*zap.Logger, error) {
 	at, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, fmt.Errorf("log level: %w", err)
--- a/edge/source.go
+++ b/edge/source.go
@@ -20,8 +20,8 @@
 	"dunegrade/config"
 )
 
-// Hearer is told what a source learns, from the source's goroutines.
-type Hearer interface {
+// EventHandler is told what a source learns, from the source's goroutines.
+type EventHandler interface {
 	Workers(api.WorkersEvent)
 	Release(api.ReleaseEvent)
 	Report(api.Report)
@@ -31,7 +31,7 @@
 // Source tells of workers and releases, and takes votes.
 type Source interface {
 	// Run tells to until ctx ends. It starts no goroutine that outlives it.
-	Run(ctx context.Context, to Hearer)
+	Run(ctx context.Context, to EventHandler)
 	// Refresh has the whole list told again. It does not block.
 	Refresh()
 	// Vote casts a vote. Its errors are those of api.Client.Vote.
@@ -56,7 +56,7 @@
 	return s.client.Vote(ctx, v)
 }
 
-func (s *apiSource) Run(ctx context.Context, to Hearer) {
+func (s *apiSource) Run(ctx context.Context, to EventHandler) {
 	defer s.client.Close()
 	var group sync.WaitGroup
 	group.Go(func() {
@@ -189,7 +189,7 @@
 // coarsely.
 const settled = 2 * time.Second
 
-func (s *fileSource) Run(ctx context.Context, to Hearer) {
+func (s *fileSource) Run(ctx context.Context, to EventHandler) {
 	var seen time.Time // the change that was read when it was old enough
 	var last []byte    // what was read then, nil: nothing yet
 	away := false      // it could not be read
@@ -231,8 +231,8 @@
 }
 
 // tell hands on what a file's text says; one that is refused leaves in force what was told before.
-func (s *fileSource) tell(to Hearer, revision uint64, text []byte) {
-	list, err := config.ParseList(s.path, string(text))
+func (s *fileSource) tell(to EventHandler, revision uint64, text []byte) {
+	list, err := config.ParseWorkerList(s.path, string(text))
 	if err != nil {
 		s.log.Error("list file refused", zap.Error(err))
 		return
--- a/edge/source_test.go
+++ b/edge/source_test.go
@@ -22,24 +22,24 @@
 	"dunegrade/logic"
 )
 
-// ear keeps what a source tells.
-type ear struct {
+// recordingHandler keeps what a source tells.
+type recordingHandler struct {
 	lists    chan api.WorkersEvent
 	releases chan api.ReleaseEvent
 	reports  chan api.Report
 	tallies  chan api.Tally
 }
 
-func newEar() *ear {
-	return &ear{make(chan api.WorkersEvent, 64), make(chan api.ReleaseEvent, 64), make(chan api.Report, 64), make(chan api.Tally, 64)}
+func newEar() *recordingHandler {
+	return &recordingHandler{make(chan api.WorkersEvent, 64), make(chan api.ReleaseEvent, 64), make(chan api.Report, 64), make(chan api.Tally, 64)}
 }
-func (e *ear) Workers(x api.WorkersEvent) { e.lists <- x }
-func (e *ear) Release(x api.ReleaseEvent) { e.releases <- x }
-func (e *ear) Report(x api.Report)        { e.reports <- x }
-func (e *ear) Tally(x api.Tally)          { e.tallies <- x }
+func (e *recordingHandler) Workers(x api.WorkersEvent) { e.lists <- x }
+func (e *recordingHandler) Release(x api.ReleaseEvent) { e.releases <- x }
+func (e *recordingHandler) Report(x api.Report)        { e.reports <- x }
+func (e *recordingHandler) Tally(x api.Tally)          { e.tallies <- x }
 
-// hear runs a source until the test ends.
-func hear(t *testing.T, s Source) *ear {
+// runSource runs a source until the test ends.
+func runSource(t *testing.T, s Source) *recordingHandler {
 	e, done := newEar(), make(chan struct{})
 	ctx, stop := context.WithCancel(context.Background())
 	go func() { s.Run(ctx, e); close(done) }()
@@ -84,7 +84,7 @@
 		}
 	}))
 	s := newAPISource(server.URL, "edge-0", zap.NewNop())
-	s.client.Silence = 300 * time.Millisecond
+	s.client.WatchIdleTimeout = 300 * time.Millisecond
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	e := newEar()
@@ -110,7 +110,7 @@
 		status int
 		body   string
 		want   error
-	}{{200, `{"release":{"build":7,"phase":"on-trial"}}`, nil}, {409, "", api.ErrMoot}, {429, "", api.ErrFull}, {200, "no JSON", nil}, {500, "", nil}, {0, "", api.ErrUnknown}} {
+	}{{200, `{"release":{"build":7,"phase":"on-trial"}}`, nil}, {409, "", api.ErrStaleVote}, {429, "", api.ErrTooManyVotes}, {200, "no JSON", nil}, {500, "", nil}, {0, "", api.ErrVoteOutcomeUnknown}} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			var v api.Vote
 			if json.NewDecoder(r.Body).Decode(&v) != nil || v.Verdict != api.VoteBack || r.URL.Path != "/v1/releases/7/votes" {
@@ -149,7 +149,7 @@
 	}
 	write(`(worker a (address "127.0.0.1:1")) (release (build 1))`)
 	s := newFileSource(path, zap.NewNop())
-	e := hear(t, s)
+	e := runSource(t, s)
 	if got := await(t, e.lists); len(got.Workers) != 1 {
 		t.Errorf("told %+v", got)
 	}
@@ -200,16 +200,16 @@
 
 func TestTraceContext(t *testing.T) {
 	seen := make(chan string, 4)
-	r := start(t, "", newStub(t, func(c net.Conn, req *http.Request, b []byte) bool {
+	r := startEdge(t, "", newStubWorker(t, func(c net.Conn, req *http.Request, b []byte) bool {
 		seen <- req.Header.Get("Traceparent")
 		return echo(c, req, b)
 	}))
 	const given = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
-	r.ask("GET /ask HTTP/1.1\r\nHost: t\r\nTraceParent: "+given+"\r\n\r\n", "GET")
+	r.roundTrip("GET /ask HTTP/1.1\r\nHost: t\r\nTraceParent: "+given+"\r\n\r\n", "GET")
 	if got := <-seen; got != given {
 		t.Errorf("passed on %q", got)
 	}
-	r.ask(get("/ask"), "GET")
+	r.roundTrip(get("/ask"), "GET")
 	if got := <-seen; len(got) != len(given) || !strings.HasPrefix(got, "00-") || !strings.HasSuffix(got, "-01") {
 		t.Errorf("gave %q", got)
 	}
@@ -217,18 +217,18 @@
 
 // Two loops are two sentries: both serve, and messages reach the one they are for.
 func TestLoopsAreSentries(t *testing.T) {
-	a, b := freeUDP(t), freeUDP(t)
-	w := newStub(t, echo)
-	r := start(t, fmt.Sprintf("(loops 2) (sentries 3) (peers %s %s %s) (allow (messages true))", a, a, b), w)
+	a, b := freeUDPAddress(t), freeUDPAddress(t)
+	w := newStubWorker(t, echo)
+	r := startEdge(t, fmt.Sprintf("(loops 2) (sentries 3) (peers %s %s %s) (allow (messages true))", a, a, b), w)
 	for i := 0; i < 8; i++ {
-		if answers, _ := r.ask(get("/ask"), "GET"); answers[0].StatusCode != 200 {
+		if answers, _ := r.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
 			t.Fatalf("got %d", answers[0].StatusCode)
 		}
 	}
 	r.settle()
 	for _, l := range r.p.loops {
 		taken := make(chan uint64)
-		l.post(func() { taken <- l.stats.taken })
+		l.post(func() { taken <- l.stats.admitted })
 		if n := <-taken; n != 4 {
 			t.Errorf("sentry %d took %d of 8", l.number, n)
 		}
@@ -240,7 +240,7 @@
 		t.Fatal(err)
 	}
 	defer third.Close()
-	r.p.loops[1].post(func() { r.p.loops[1].Tell(2, []byte("seen")) })
+	r.p.loops[1].post(func() { r.p.loops[1].SendToPeer(2, []byte("seen")) })
 	buf := make([]byte, 512)
 	third.SetReadDeadline(time.Now().Add(5 * time.Second))
 	n, _, err := third.ReadFromUDP(buf)
@@ -251,12 +251,12 @@
 	for _, junk := range []string{"", "x", "\x00\x02\x00\x00" + strings.Repeat("x", 300), "\x00\x63\x00\x01evidence", "\xff\xff\xff\xff"} {
 		third.WriteToUDP([]byte(junk), r.p.peers[0])
 	}
-	if answers, _ := r.ask(get("/ask"), "GET"); answers[0].StatusCode != 200 {
+	if answers, _ := r.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
 		t.Errorf("after nonsense: %d", answers[0].StatusCode)
 	}
 }
 
-func freeUDP(t *testing.T) string {
+func freeUDPAddress(t *testing.T) string {
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/edge/stats.go
+++ b/edge/stats.go
@@ -8,26 +8,26 @@
 
 // stats are a loop's plain counts. The loop writes them; others get a copy once a beat.
 type stats struct {
-	clients, taken, settled, declined, voided, left  uint64
-	refused, unrouted, atDoor, slowReaders           uint64
-	sent, dials, dialsFailed, garbage, unanswered    uint64
-	carried, bytesOut, shed, rested, stale, overfull uint64
-	carrying                                         int64
-	endings                                          [16]uint64
-	replies                                          [6]uint64
-	ends, owed                                       [endReasons]uint64 // of clients' connections, and requests unanswered then
+	clientsAccepted, admitted, settled, declined, voided, clientLeft uint64
+	refused, noRoute, overLimit, slowReaders                         uint64
+	sent, dials, dialsFailed, malformedAnswers, hostVoided           uint64
+	streamed, bytesToWorkers, shed, rested, stale, overHeldBytes     uint64
+	streaming                                                        int64
+	endings                                                          [16]uint64
+	repliesByClass                                                   [6]uint64
+	clientEnds, owedAtEnd                                            [numEndReasons]uint64 // of clients' connections, and requests unanswered then
 	// As it is now.
 	open, inHand, toWorkers int64
 }
 
 var endingNames = map[logic.Ending]string{logic.OK: "ok", logic.Cancelled: "cancelled", logic.TimedOut: "timed-out",
-	logic.Full: "full", logic.Moot: "moot", logic.Broken: "broken", logic.Erred: "erred",
-	logic.ConnectFailed: "connect-failed", logic.Spoilt: "spoilt"}
+	logic.Rejected: "full", logic.Skipped: "moot", logic.Disconnected: "broken", logic.ErrorResponse: "erred",
+	logic.ConnectFailed: "connect-failed", logic.MalformedResponse: "spoilt"}
 
 // show copies the counts for whoever asks.
 func (l *loop) show() {
 	s := l.stats
-	s.open, s.inHand, s.toWorkers = l.clients.Load(), int64(l.calls.used()), int64(l.workerConns.used())
+	s.open, s.inHand, s.toWorkers = l.clientCount.Load(), int64(l.calls.inUse()), int64(l.workerConns.inUse())
 	l.shown.Store(&s)
 }
 
@@ -75,28 +75,28 @@
 		count(descTxns, s.settled, "settled")
 		count(descTxns, s.declined, "declined")
 		count(descTxns, s.voided, "voided")
-		count(descTxns, s.left, "left")
-		count(descTaken, s.taken)
+		count(descTxns, s.clientLeft, "left")
+		count(descTaken, s.admitted)
 		for e, text := range endingNames {
 			count(descEndings, s.endings[e], text)
 		}
 		count(descSent, s.sent)
-		for why, name := range endNames {
-			count(descEnds, s.ends[why], name)
-			count(descOwed, s.owed[why], name)
+		for why, name := range endReasonNames {
+			count(descEnds, s.clientEnds[why], name)
+			count(descOwed, s.owedAtEnd[why], name)
 		}
 		count(descRefused, s.refused, "malformed")
-		count(descRefused, s.unrouted, "no-route")
-		count(descRefused, s.atDoor, "open-limit")
+		count(descRefused, s.noRoute, "no-route")
+		count(descRefused, s.overLimit, "open-limit")
 		count(descRefused, s.slowReaders, "slow-reader")
-		count(descRefused, s.overfull, "held-bytes")
+		count(descRefused, s.overHeldBytes, "held-bytes")
 		count(descDials, s.dials-s.dialsFailed, "true")
 		count(descDials, s.dialsFailed, "false")
-		count(descGarbage, s.garbage)
-		count(descBug, s.unanswered)
+		count(descGarbage, s.malformedAnswers)
+		count(descBug, s.hostVoided)
 		gauge("client-connections", s.open)
 		gauge("worker-connections", s.toWorkers)
 		gauge("txns", s.inHand)
-		gauge("streams", s.carrying)
+		gauge("streams", s.streaming)
 	}
 }
--- a/edge/timers.go
+++ b/edge/timers.go
@@ -6,15 +6,15 @@
 type timerKind uint8
 
 const (
-	remind    timerKind = iota // the module's, by its token
-	expiry                     // a call's patience is over
-	last                       // shortly before that
-	subEnd                     // a submission's time-out
-	connWait                   // a submission waits for a connection
-	clientAt                   // something about a client's connection is to be looked at
-	workerAt                   // the same for a worker's
-	closingAt                  // connections that deliver their last answer are to be looked at
-	drainEnd                   // what is still in hand in a drain is answered
+	remind            timerKind = iota // the module's, by its token
+	timerExpiry                        // a call's patience is over
+	timerHalfClose                     // shortly before that
+	subEnd                             // a submission's time-out
+	connWait                           // a submission waits for a connection
+	timerClientConn                    // something about a client's connection is to be looked at
+	workerAt                           // the same for a worker's
+	timerClosingConns                  // connections that deliver their last answer are to be looked at
+	timerDrainEnd                      // what is still in hand in a drain is answered
 )
 
 // timer is an entry of the heap. It is never taken back: whoever it wakes checks whether it still matters.
@@ -26,10 +26,10 @@
 	of    logic.TxnID // of a reminder: the txn that it is about, if any
 }
 
-// timers is a binary heap by time. Most entries come in order, for which a push costs one comparison.
-type timers []timer
+// timerHeap is a binary heap by time. Most entries come in order, for which a push costs one comparison.
+type timerHeap []timer
 
-func (h *timers) push(t timer) {
+func (h *timerHeap) push(t timer) {
 	q := append(*h, t)
 	i := len(q) - 1
 	for i > 0 {
@@ -43,7 +43,7 @@
 	*h = q
 }
 
-func (h *timers) pop() timer {
+func (h *timerHeap) pop() timer {
 	q := *h
 	top, last := q[0], q[len(q)-1]
 	q = q[:len(q)-1]
@@ -74,8 +74,8 @@
 	free  []int32
 }
 
-// take gives a place and what stood there last, made anew where there is none.
-func (s *slab[T]) take() (int32, *T) {
+// get gives a place and what stood there last, made anew where there is none.
+func (s *slab[T]) get() (int32, *T) {
 	if n := len(s.free); n > 0 {
 		at := s.free[n-1]
 		s.free = s.free[:n-1]
@@ -85,8 +85,8 @@
 	return int32(len(s.items) - 1), s.items[len(s.items)-1]
 }
 
-func (s *slab[T]) give(at int32) { s.free = append(s.free, at) }
+func (s *slab[T]) put(at int32) { s.free = append(s.free, at) }
 
-func (s *slab[T]) used() int { return len(s.items) - len(s.free) }
+func (s *slab[T]) inUse() int { return len(s.items) - len(s.free) }
 
-func tokenOf(at int32, gen uint32) uint64 { return uint64(uint32(at)) | uint64(gen)<<32 }
+func slotToken(at int32, gen uint32) uint64 { return uint64(uint32(at)) | uint64(gen)<<32 }
--- a/edge/trace_test.go
+++ b/edge/trace_test.go
@@ -22,7 +22,7 @@
 	said := func(text string) int { return lines.FilterMessageSnippet(text).Len() }
 	parent := t.TempDir()
 	dir := filepath.Join(parent, "trace")
-	w := newStub(t, echo)
+	w := newStubWorker(t, echo)
 	r := startLogged(t, zap.New(core), fmt.Sprintf(`(trace (folder %q) (segment 64KiB) (age 1s) (total 1MiB) (tail none))`, dir), w)
 	asked := 0
 	until := func(what string, done func() bool) {
@@ -31,7 +31,7 @@
 			if time.Since(begun) > 20*time.Second {
 				t.Fatalf("not within 20 s: %s; %v", what, lines.All())
 			}
-			r.ask(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
+			r.roundTrip(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
 		}
 	}
 	segments := func(dir string) int {
@@ -80,13 +80,13 @@
 	}{{"(level whole)", 40, true}, {"(level sampled) (one-in 1000000)", 20, false}, {"(level decisions)", 40, false}} {
 		t.Run(c.level, func(t *testing.T) {
 			dir := t.TempDir()
-			bad := newStub(t, say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
-			r := start(t, fmt.Sprintf(`(trace (folder %q) %s)`, dir, c.level), bad)
-			r.ask(strings.Repeat("POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\n\r\n", 20), strings.Fields(strings.Repeat("POST ", 20))...)
-			good := newStub(t, echo)
-			r2 := start(t, fmt.Sprintf(`(index 1) (sentries 2) (trace (folder %q) %s)`, dir, c.level), good)
-			r2.ask(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
-			for _, x := range []*rig{r, r2} {
+			bad := newStubWorker(t, say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
+			r := startEdge(t, fmt.Sprintf(`(trace (folder %q) %s)`, dir, c.level), bad)
+			r.roundTrip(strings.Repeat("POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\n\r\n", 20), strings.Fields(strings.Repeat("POST ", 20))...)
+			good := newStubWorker(t, echo)
+			r2 := startEdge(t, fmt.Sprintf(`(index 1) (sentries 2) (trace (folder %q) %s)`, dir, c.level), good)
+			r2.roundTrip(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
+			for _, x := range []*testEdge{r, r2} {
 				x.stop()
 				if err := <-x.done; err != nil {
 					t.Fatal(err)
--- a/edge/worker.go
+++ b/edge/worker.go
@@ -13,24 +13,24 @@
 
 // workerConn is one connection to a worker. It carries one submission at a time.
 type workerConn struct {
-	l        *loop
-	c        gnet.Conn
-	pool     *pool
-	at       int32
-	gen2     uint32 // of this place
-	closed   bool
-	call     *call // whose submission n is out here, or nil
-	gen      uint32
-	n        int
-	used     int // submissions it has carried
-	protocol workerProtocol
-	load     logic.Load
-	loaded   bool
-	idled    logic.Nanos // before its last use
-	greets   bool        // it stands, and cannot be asked yet
-	stops    logic.Nanos // when we ended our sending; 0: we did not
-	since    logic.Nanos // when it became idle
-	armed    logic.Nanos
+	l           *loop
+	c           gnet.Conn
+	pool        *pool
+	at          int32
+	gen2        uint32 // of this place
+	closed      bool
+	call        *call // whose submission n is out here, or nil
+	gen         uint32
+	n           int
+	used        int // submissions it has carried
+	protocol    workerProtocol
+	load        logic.Load
+	hasLoad     bool
+	idled       logic.Nanos // before its last use
+	handshaking bool        // it stands, and cannot be asked yet
+	stops       logic.Nanos // when we ended our sending; 0: we did not
+	since       logic.Nanos // when it became idle
+	armed       logic.Nanos
 }
 
 func (l *loop) workerOf(token uint64) *workerConn {
@@ -50,7 +50,7 @@
 	address := p.address
 	go func() {
 		defer l.group.Done()
-		d := net.Dialer{Timeout: l.p.plan.Workers.ConnectTimeout}
+		d := net.Dialer{Timeout: l.p.cfg.WorkerLimits.ConnectTimeout}
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		go func() { // a loop that halts does not wait for dials
@@ -71,19 +71,19 @@
 }
 
 func (l *loop) openWorker(c gnet.Conn, p *pool) {
-	at, wc := l.workerConns.take()
+	at, wc := l.workerConns.get()
 	was := wc.protocol
-	*wc = workerConn{l: l, c: c, pool: p, at: at, gen2: wc.gen2 + 1, greets: true, since: l.now}
-	wc.protocol = l.p.protocol.back(wc, was)
+	*wc = workerConn{l: l, c: c, pool: p, at: at, gen2: wc.gen2 + 1, handshaking: true, since: l.now}
+	wc.protocol = l.p.protocol.newWorkerProtocol(wc, was)
 	c.SetContext(wc)
 	l.armWorker(wc, l.now+l.connectTimeout)
-	wc.protocol.opened()
+	wc.protocol.handleOpen()
 }
 
 // ready takes a connection that can be asked.
 func (l *loop) ready(wc *workerConn) {
-	if wc.greets {
-		wc.greets = false
+	if wc.handshaking {
+		wc.handshaking = false
 		wc.pool.dialing--
 		l.dialing--
 	}
@@ -95,17 +95,17 @@
 		return
 	}
 	wc.armed = at
-	l.heap.push(timer{at: at, token: tokenOf(wc.at, wc.gen2), kind: workerAt})
+	l.timers.push(timer{at: at, token: slotToken(wc.at, wc.gen2), kind: workerAt})
 }
 
 // lookAtWorker closes a connection that has been idle for too long.
 func (l *loop) lookAtWorker(wc *workerConn) {
-	if wc.greets { // Danger: a worker that takes connections and says nothing would hold them, and who waits for them
+	if wc.handshaking { // Danger: a worker that takes connections and says nothing would hold them, and who waits for them
 		if wc.since+l.connectTimeout > l.now {
 			l.armWorker(wc, wc.since+l.connectTimeout)
 			return
 		}
-		l.closeWorker(wc, true)
+		l.closeWorkerConn(wc, true)
 		return
 	}
 	if wc.call != nil {
@@ -119,14 +119,14 @@
 		l.cut(wc, logic.Cancelled)
 		return
 	}
-	if rest := logic.Nanos(l.p.plan.Workers.Rest); l.now-wc.since < rest {
+	if rest := logic.Nanos(l.p.cfg.WorkerLimits.ReuseDelay); l.now-wc.since < rest {
 		l.armWorker(wc, wc.since+rest)
 		return
 	}
 	if len(wc.pool.waiting) > 0 {
 		if wc.protocol.stale() {
 			l.stats.stale++
-			l.closeWorker(wc, true)
+			l.closeWorkerConn(wc, true)
 			return
 		}
 		wc.pool.idle = slices.DeleteFunc(wc.pool.idle, func(x *workerConn) bool { return x == wc })
@@ -137,7 +137,7 @@
 	}
 	if wc.since+l.workerIdle <= l.now {
 		l.stats.rested++
-		l.closeWorker(wc, false)
+		l.closeWorkerConn(wc, false)
 		return
 	}
 	l.armWorker(wc, wc.since+l.workerIdle)
@@ -147,13 +147,13 @@
 	for len(p.idle) > 0 {
 		wc := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		l.closeWorker(wc, false)
+		l.closeWorkerConn(wc, false)
 	}
 }
 
-// closeWorker ends a connection from our side; hard resets it, so that the worker sees at once that nobody
+// closeWorkerConn ends a connection from our side; hard resets it, so that the worker sees at once that nobody
 // waits. What was out on it is not told to anyone: the caller does that.
-func (l *loop) closeWorker(wc *workerConn, hard bool) {
+func (l *loop) closeWorkerConn(wc *workerConn, hard bool) {
 	if wc.closed {
 		return
 	}
@@ -162,7 +162,7 @@
 	}
 	c := wc.c
 	wc.release()
-	l.el.Close(c)
+	l.eventLoop.Close(c)
 }
 
 // release gives up the connection's place.
@@ -172,8 +172,8 @@
 	wc.gen2++
 	p.conns--
 	l.conns--
-	if wc.greets { // it never came up
-		wc.greets = false
+	if wc.handshaking { // it never came up
+		wc.handshaking = false
 		p.dialing--
 		l.dialing--
 		l.stats.dialsFailed++
@@ -185,8 +185,8 @@
 			break
 		}
 	}
-	wc.protocol.forget()
-	l.workerConns.give(wc.at)
+	wc.protocol.releaseBuffers()
+	l.workerConns.put(wc.at)
 	l.open(p)
 	l.feed()
 }
@@ -195,29 +195,29 @@
 func (wc *workerConn) gone(err error) {
 	l := wc.l
 	c, n := wc.call, wc.n
-	if c != nil && wc.protocol.ends(err) {
+	if c != nil && wc.protocol.completeOnClose(err) {
 		if !wc.closed {
 			wc.release()
 		}
 		return
 	}
 	// What never left this host whole cannot have run.
-	e := logic.Broken
-	if c != nil && wc.protocol.unsent() {
+	e := logic.Disconnected
+	if c != nil && wc.protocol.hasUnsent() {
 		e = logic.ConnectFailed
 	}
 	if wc.stops > 0 {
 		e = logic.Cancelled
 	}
-	if c != nil && e != logic.ConnectFailed && wc.protocol.began() {
-		e = logic.Spoilt
+	if c != nil && e != logic.ConnectFailed && wc.protocol.answerStarted() {
+		e = logic.MalformedResponse
 	}
 	if c != nil {
 		l.reuse.used(l.now, wc.idled, l.now-c.subs[n].since <= atOnce)
 	}
 	wc.release()
 	if c != nil {
-		l.ended(c, n, e, nil)
+		l.endSubmission(c, n, e, nil)
 	}
 }
 
@@ -226,10 +226,10 @@
 	l := wc.l
 	for !wc.closed {
 		size := wc.c.InboundBuffered()
-		if wc.call == nil && !wc.greets && size > 0 {
+		if wc.call == nil && !wc.handshaking && size > 0 {
 			// Danger: bytes that nobody asked for would pass for the next txn's answer.
-			l.stats.garbage++
-			l.closeWorker(wc, true)
+			l.stats.malformedAnswers++
+			l.closeWorkerConn(wc, true)
 			return
 		}
 		in, _ := wc.c.Peek(size)
@@ -239,12 +239,12 @@
 	}
 }
 
-// fault ends a submission whose answer makes no sense. It may have run.
-func (wc *workerConn) fault() {
+// failMalformed ends a submission whose answer makes no sense. It may have run.
+func (wc *workerConn) failMalformed() {
 	l, c, n := wc.l, wc.call, wc.n
-	l.stats.garbage++
-	l.closeWorker(wc, true)
-	l.ended(c, n, logic.Spoilt, nil)
+	l.stats.malformedAnswers++
+	l.closeWorkerConn(wc, true)
+	l.endSubmission(c, n, logic.MalformedResponse, nil)
 }
 
 // complete takes a whole answer: how the submission ended, and what its client is to get where it is OK.
@@ -256,7 +256,7 @@
 		}
 	}
 	l.reuse.used(l.now, wc.idled, false)
-	if e == logic.OK && !c.answered && !c.left {
+	if e == logic.OK && !c.answered && !c.clientLeft {
 		l.stats.settled++
 		cc := c.client
 		if cc.answer(c, out); !cc.closed {
@@ -266,31 +266,31 @@
 	// Danger: bytes after a whole answer are an answer to nothing; the connection is not used again.
 	extra := !wc.closed && wc.c.InboundBuffered() > 0
 	var load *logic.Load
-	if wc.loaded {
+	if wc.hasLoad {
 		load = &wc.load
 	}
 	if !wc.closed {
 		wc.call = nil
 	}
-	l.ended(c, n, e, load)
-	if c.answered || c.left {
-		l.endWaiting(c)
+	l.endSubmission(c, n, e, load)
+	if c.answered || c.clientLeft {
+		l.endWaitingSubs(c)
 	}
 	if wc.closed {
 		return
 	}
 	if extra {
-		l.stats.garbage++
+		l.stats.malformedAnswers++
 	}
 	if shut || extra {
-		l.closeWorker(wc, extra)
+		l.closeWorkerConn(wc, extra)
 		return
 	}
 	l.offer(wc)
 }
 
-// plausible refuses what no worker can mean. Danger: one NaN in a smoothed figure stays there for good.
-func plausible(l *logic.Load) bool {
+// plausibleLoad refuses what no worker can mean. Danger: one NaN in a smoothed figure stays there for good.
+func plausibleLoad(l *logic.Load) bool {
 	for _, f := range [3]float64{l.Util, l.Queue, l.Busy} {
 		if !(f >= -1 && f < 1e9) {
 			return false
@@ -299,8 +299,8 @@
 	return true
 }
 
-// view looks at bytes as a string for the length of a call.
-func view(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
+// unsafeString looks at bytes as a string for the length of a call.
+func unsafeString(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
 
 // equalFold compares a header's name without regard to ASCII case; an empty want fits nothing.
 func equalFold(b []byte, want string) bool {
