--- a/edge/worker_http.go
+++ b/edge/worker_http.go
@@ -11,162 +11,162 @@
 	"dunegrade/logic"
 )
 
-// httpState is what of an answer is being read.
-type httpState uint8
+// answerState is what of an answer is being read.
+type answerState uint8
 
 const (
-	atHead httpState = iota
-	inFixed
-	inChunks
-	inOpen // a body that ends with the connection
+	atHead answerState = iota
+	answerFixed
+	answerChunked
+	answerUntilClose // a body that ends with the connection
 )
 
-// httpBack is a worker's connection that speaks HTTP/1.1.
-type httpBack struct {
-	wc     *workerConn
-	state  httpState
-	status int
-	shut   bool   // the worker closes after this answer
-	closes bool   // the answer says that the client's connection ends with it
-	buf    []byte // the answer's head as the client gets it; with a known length, its body as well
-	body   []byte // a body whose length is not known yet
-	left   int64
-	chunks http1.Dechunker
+// httpWorker is a worker's connection that speaks HTTP/1.1.
+type httpWorker struct {
+	wc           *workerConn
+	state        answerState
+	status       int
+	workerCloses bool   // the worker closes after this answer
+	closesConn   bool   // the answer says that the client's connection ends with it
+	answer       []byte // the answer's head as the client gets it; with a known length, its body as well
+	unsizedBody  []byte // a body whose length is not known yet
+	remaining    int64
+	chunks       http1.Dechunker
 }
 
-func (k *httpBack) opened() { k.wc.l.ready(k.wc) }
+func (k *httpWorker) handleOpen() { k.wc.l.ready(k.wc) }
 
-func (k *httpBack) ask(c *call, n int) error {
-	k.state, k.buf, k.body, k.closes = atHead, k.buf[:0], k.body[:0], false
-	k.wc.l.stats.bytesOut += uint64(len(c.request))
+func (k *httpWorker) writeSubmission(c *call, n int) error {
+	k.state, k.answer, k.unsizedBody, k.closesConn = atHead, k.answer[:0], k.unsizedBody[:0], false
+	k.wc.l.stats.bytesToWorkers += uint64(len(c.request))
 	_, err := k.wc.c.Write(c.request)
 	return err
 }
 
-func (k *httpBack) unsent() bool { return false }
+func (k *httpWorker) hasUnsent() bool { return false }
 
-func (k *httpBack) stale() bool { return false }
+func (k *httpWorker) stale() bool { return false }
 
-func (k *httpBack) began() bool     { return false }
-func (k *httpBack) halfClose() bool { return false }
+func (k *httpWorker) answerStarted() bool { return false }
+func (k *httpWorker) halfClose() bool     { return false }
 
-func (k *httpBack) forget() {
-	if cap(k.buf) > keptBuffer {
-		k.buf = nil
+func (k *httpWorker) releaseBuffers() {
+	if cap(k.answer) > keptBuffer {
+		k.answer = nil
 	}
-	if cap(k.body) > keptBuffer {
-		k.body = nil
+	if cap(k.unsizedBody) > keptBuffer {
+		k.unsizedBody = nil
 	}
 }
 
-func (k *httpBack) ends(err error) bool {
-	if k.state != inOpen || !errors.Is(err, io.EOF) {
+func (k *httpWorker) completeOnClose(err error) bool {
+	if k.state != answerUntilClose || !errors.Is(err, io.EOF) {
 		return false
 	}
 	k.complete(true)
 	return true
 }
 
-func (k *httpBack) read(in []byte) bool {
+func (k *httpWorker) read(in []byte) bool {
 	wc := k.wc
-	if len(in) == 0 && !(k.state == inFixed && k.left == 0 && wc.call != nil) {
+	if len(in) == 0 && !(k.state == answerFixed && k.remaining == 0 && wc.call != nil) {
 		return false
 	}
 	switch k.state {
 	case atHead:
 		return k.head(in)
-	case inFixed:
-		n := int(min(k.left, int64(len(in))))
-		k.buf = append(k.buf, in[:n]...)
+	case answerFixed:
+		n := int(min(k.remaining, int64(len(in))))
+		k.answer = append(k.answer, in[:n]...)
 		if n > 0 {
 			wc.c.Discard(n)
 		}
-		if k.left -= int64(n); k.left == 0 {
-			k.complete(k.shut)
+		if k.remaining -= int64(n); k.remaining == 0 {
+			k.complete(k.workerCloses)
 			return false
 		}
-		return !k.overflows(len(k.buf))
-	case inChunks:
+		return !k.overflows(len(k.answer))
+	case answerChunked:
 		took, data, done, err := k.chunks.Next(in)
-		if err != nil && err != http1.ErrMore {
-			wc.fault()
+		if err != nil && err != http1.ErrIncomplete {
+			wc.failMalformed()
 			return false
 		}
-		k.body = append(k.body, data...)
+		k.unsizedBody = append(k.unsizedBody, data...)
 		if took > 0 {
 			wc.c.Discard(took)
 		}
 		if done {
-			k.complete(k.shut)
+			k.complete(k.workerCloses)
 			return false
 		}
-		return !(k.overflows(len(k.body)) || err != nil || took == 0)
+		return !(k.overflows(len(k.unsizedBody)) || err != nil || took == 0)
 	}
-	k.body = append(k.body, in...)
+	k.unsizedBody = append(k.unsizedBody, in...)
 	wc.c.Discard(len(in))
-	return !k.overflows(len(k.body))
+	return !k.overflows(len(k.unsizedBody))
 }
 
 // head reads an answer's head, and tells whether there may be more to do.
-func (k *httpBack) head(in []byte) bool {
+func (k *httpWorker) head(in []byte) bool {
 	wc := k.wc
 	l, c := wc.l, wc.call
 	r := &l.resp
-	n, err := r.Parse(in, int(l.p.plan.Workers.Answer), c.toHead)
-	if err == http1.ErrMore {
+	n, err := r.Parse(in, int(l.p.cfg.WorkerLimits.MaxAnswerHeadBytes), c.isHead)
+	if err == http1.ErrIncomplete {
 		return false
 	}
 	if err != nil || r.Status == 101 {
-		wc.fault()
+		wc.failMalformed()
 		return false
 	}
 	if r.Status < 200 { // nothing final yet
 		wc.c.Discard(n)
 		return true
 	}
-	k.status, k.shut = r.Status, r.Close
-	wc.loaded = readLoad(r, &wc.load)
-	k.buf = append(k.buf[:0], "HTTP/1.1 "...)
-	k.buf = strconv.AppendInt(k.buf, int64(r.Status), 10)
-	k.buf = append(k.buf, ' ')
-	k.buf = append(k.buf, r.Reason...)
-	k.buf = append(k.buf, "\r\n"...)
+	k.status, k.workerCloses = r.Status, r.Close
+	wc.hasLoad = readLoad(r, &wc.load)
+	k.answer = append(k.answer[:0], "HTTP/1.1 "...)
+	k.answer = strconv.AppendInt(k.answer, int64(r.Status), 10)
+	k.answer = append(k.answer, ' ')
+	k.answer = append(k.answer, r.Reason...)
+	k.answer = append(k.answer, "\r\n"...)
 	unseen := r.Status == 503 && r.Get("dunegrade-unseen") != nil
-	k.buf = r.AppendFields(k.buf)
-	k.buf = append(k.buf, viaLine...)
+	k.answer = r.AppendFields(k.answer)
+	k.answer = append(k.answer, viaHeader...)
 	if unseen {
 		k.status = unseenStatus
 	}
 	length := r.Length
-	if c.toHead {
+	if c.isHead {
 		if v := r.Get("content-length"); v != nil {
-			k.buf = append(k.buf, "Content-Length: "...)
-			k.buf = append(k.buf, v...)
-			k.buf = append(k.buf, "\r\n"...)
+			k.answer = append(k.answer, "Content-Length: "...)
+			k.answer = append(k.answer, v...)
+			k.answer = append(k.answer, "\r\n"...)
 		}
 	}
 	wc.c.Discard(n)
 	switch {
 	case length == http1.Chunked:
-		k.state, k.chunks = inChunks, http1.Dechunker{}
+		k.state, k.chunks = answerChunked, http1.Dechunker{}
 	case length == http1.UntilClose:
-		k.state = inOpen
+		k.state = answerUntilClose
 	default:
-		k.state, k.left = inFixed, length
-		if !c.toHead && r.Status != 204 && r.Status != 304 {
-			k.buf = append(k.buf, "Content-Length: "...)
-			k.buf = strconv.AppendInt(k.buf, length, 10)
-			k.buf = append(k.buf, "\r\n"...)
+		k.state, k.remaining = answerFixed, length
+		if !c.isHead && r.Status != 204 && r.Status != 304 {
+			k.answer = append(k.answer, "Content-Length: "...)
+			k.answer = strconv.AppendInt(k.answer, length, 10)
+			k.answer = append(k.answer, "\r\n"...)
 		}
-		if c.client != nil && !c.answered && (!c.keep || l.draining) {
-			k.buf = append(k.buf, "Connection: close\r\n"...)
-			k.closes = true
-		} else if c.minor == 0 && c.keep {
-			k.buf = append(k.buf, "Connection: keep-alive\r\n"...)
+		if c.client != nil && !c.answered && (!c.keepAlive || l.draining) {
+			k.answer = append(k.answer, "Connection: close\r\n"...)
+			k.closesConn = true
+		} else if c.httpMinor == 0 && c.keepAlive {
+			k.answer = append(k.answer, "Connection: keep-alive\r\n"...)
 		}
-		k.buf = append(k.buf, "\r\n"...)
+		k.answer = append(k.answer, "\r\n"...)
 	}
-	if c.product >= 0 && l.p.plan.Products[c.product].Stream && length != 0 && settles(k.status) {
+	if c.product >= 0 && l.p.cfg.Products[c.product].Stream && length != 0 && settles(k.status) {
 		return !k.overflows(1 << 62)
 	}
 	return true
@@ -177,57 +177,57 @@
 func settles(status int) bool { return status < 500 }
 
 // overflows hands an answer that is too large to be kept whole, or that streams, on to a carrier.
-func (k *httpBack) overflows(size int) bool {
+func (k *httpWorker) overflows(size int) bool {
 	wc := k.wc
 	l, c := wc.l, wc.call
-	if int64(size) <= l.p.plan.Door.Answer {
+	if int64(size) <= l.p.cfg.ClientLimits.AnswerBufferBytes {
 		return false
 	}
-	if c.answered || c.left || !settles(k.status) {
+	if c.answered || c.clientLeft || !settles(k.status) {
 		// Nobody waits for it: what is not wanted must not fill memory.
 		n := wc.n
 		e := logic.OK
 		if !settles(k.status) {
-			e = logic.Erred
+			e = logic.ErrorResponse
 		}
-		l.closeWorker(wc, true)
-		l.ended(c, n, e, nil)
+		l.closeWorkerConn(wc, true)
+		l.endSubmission(c, n, e, nil)
 		return true
 	}
-	return l.carry(k)
+	return l.startRelay(k)
 }
 
 // complete takes a whole answer.
-func (k *httpBack) complete(shut bool) {
+func (k *httpWorker) complete(shut bool) {
 	wc := k.wc
 	l, c := wc.l, wc.call
 	e := logic.OK
 	switch {
 	case k.status == unseenStatus:
-		e = logic.Full
+		e = logic.Rejected
 	case !settles(k.status):
-		e = logic.Erred
+		e = logic.ErrorResponse
 	}
-	out := k.buf
-	if e == logic.OK && !c.answered && !c.left {
+	out := k.answer
+	if e == logic.OK && !c.answered && !c.clientLeft {
 		c.status = k.status
-		if k.state != inFixed { // a body whose length is known only now
-			if c.toHead {
+		if k.state != answerFixed { // a body whose length is known only now
+			if c.isHead {
 				out = append(out, "\r\n"...)
 			} else {
 				out = append(out, "Content-Length: "...)
-				out = strconv.AppendInt(out, int64(len(k.body)), 10)
+				out = strconv.AppendInt(out, int64(len(k.unsizedBody)), 10)
 				out = append(out, "\r\n"...)
-				if !c.keep || l.draining {
+				if !c.keepAlive || l.draining {
 					out = append(out, "Connection: close\r\n"...)
-					k.closes = true
+					k.closesConn = true
 				}
 				out = append(out, "\r\n"...)
-				out = append(out, k.body...)
+				out = append(out, k.unsizedBody...)
 			}
-			k.buf = out
+			k.answer = out
 		}
-		c.closes = k.closes // that of the attempt that answers: another's head may have been written earlier or later
+		c.closesConn = k.closesConn // that of the attempt that answers: another's head may have been written earlier or later
 	}
 	l.complete(wc, e, out, shut)
 }
@@ -240,7 +240,7 @@
 		return false
 	}
 	*to = logic.Load{Util: -1, Queue: -1, Busy: -1}
-	text := view(v)
+	text := unsafeString(v)
 	if after, found := strings.CutPrefix(text, "JSON "); found {
 		var report struct {
 			CPU   *float64           `json:"cpu_utilization"`
@@ -261,7 +261,7 @@
 		if b, ok := report.Named["busy"]; ok {
 			to.Busy = b
 		}
-		return plausible(to)
+		return plausibleLoad(to)
 	}
 	text = strings.TrimPrefix(text, "TEXT ")
 	for len(text) > 0 {
@@ -292,5 +292,5 @@
 			to.Busy = f
 		}
 	}
-	return plausible(to)
+	return plausibleLoad(to)
 }
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -21,14 +21,14 @@
 
 // Flaws of builds.
 const (
-	Good       Flaw = "good"
+	NoFlaw     Flaw = "good"
 	Errors     Flaw = "errors"    // fails a share (Strength) of all txns
 	Slow       Flaw = "slow"      // needs Strength times the work
 	OneProduct Flaw = "product"   // fails a share of one product's txns
 	UnderLoad  Flaw = "load"      // slow by Strength, and fails a fifth, when its machine is over half busy
 	LateFlaw   Flaw = "late"      // fails a share, from 6 s after its start on
 	Wrong      Flaw = "wrong"     // a share of its answers is wrong, and looks like any other
-	SlowsAll   Flaw = "slows-all" // slows all machines by up to Strength, in step with its share of the traffic
+	SlowsFleet Flaw = "slows-all" // slows all machines by up to Strength, in step with its share of the traffic
 	FlawAfter       = 6 * Second  // when a LateFlaw shows
 	FlawLoad        = 0.5         // busy share at which UnderLoad shows
 	LoadFails       = 0.2         // share of txns that it then fails
@@ -45,37 +45,37 @@
 
 // Kind is what a machine can do.
 type Kind struct {
-	Cores        int
-	Slots        int // txns waiting or in work; beyond them it turns away unseen
-	Speed        float64
-	ColdFrom     float64
-	Cold         Nanos
-	FallMultiple float64 // sent more than that many times its present capacity
-	FallAfter    Nanos   // for so long, a cold machine falls over
-	CancelStops  bool    // work whose connection has gone stops
-	BaseErrors   float64 // share of txns that any build fails
-	ReportEvery  Nanos
-	ReportNoise  float64
+	Cores             int
+	Slots             int // txns waiting or in work; beyond them it turns away unseen
+	Speed             float64
+	ColdStartCapacity float64
+	WarmUp            Nanos
+	OverloadMultiple  float64 // sent more than that many times its present capacity
+	OverloadWindow    Nanos   // for so long, a cold machine falls over
+	StopsOnCancel     bool    // work whose connection has gone stops
+	BaseErrorRate     float64 // share of txns that any build fails
+	ReportInterval    Nanos
+	ReportNoise       float64
 }
 
 // Job is a txn as a machine sees it.
 type Job struct {
-	ID      uint64
-	Product int
-	Mark    uint64 // by which a repeat is known; 0: none
-	Memory  Nanos  // for how long the mark is remembered
-	Work    Nanos  // on a core of speed 1
-	From    int    // the sentry it came through
+	ID       uint64
+	Product  int
+	DedupKey uint64 // by which a repeat is known; 0: none
+	Memory   Nanos  // for how long the mark is remembered
+	Work     Nanos  // on a core of speed 1
+	From     int    // the sentry it came through
 }
 
-// Verdict is what a machine says to a job that arrives.
-type Verdict int
+// Admission is what a machine says to a job that arrives.
+type Admission int
 
 // Verdicts.
 const (
-	Taken Verdict = iota
-	TurnedAway
-	Down
+	Accepted Admission = iota
+	Refused
+	MachineDown
 )
 
 // End is how a job ended.
@@ -89,8 +89,8 @@
 	Dropped     // a repeat, answered as what ran before
 )
 
-// Done is a job that has ended.
-type Done struct {
+// CompletedJob is a job that has ended.
+type CompletedJob struct {
 	Job
 	End     End
 	Arrived Nanos
@@ -98,37 +98,37 @@
 	At      Nanos
 }
 
-// Ran tells whether the job's effect took place at this machine.
-func (d Done) Ran() bool { return d.End != Dropped }
-
-// Ailment is what is wrong with a machine by itself. The zero value is a healthy one.
-type Ailment struct {
-	Slow      float64 // takes so many times as long; 0 or 1: no
-	Neighbour float64 // share of the machine that another program takes
-	Fails     float64 // share of txns that it fails at once
-	Hangs     bool    // takes txns and ends none
-	Idle      bool    // reports to be idle, whatever it does
-	Stale     bool    // its reports stand still
+// TookEffect tells whether the job's effect took place at this machine.
+func (d CompletedJob) TookEffect() bool { return d.End != Dropped }
+
+// MachineFault is what is wrong with a machine by itself. The zero value is a healthy one.
+type MachineFault struct {
+	Slow           float64 // takes so many times as long; 0 or 1: no
+	NeighbourShare float64 // share of the machine that another program takes
+	FailureRate    float64 // share of txns that it fails at once
+	Hangs          bool    // takes txns and ends none
+	ReportsIdle    bool    // reports to be idle, whatever it does
+	ReportsStale   bool    // its reports stand still
 }
 
-// Shared is what all machines of a fleet have in common: the marks of effects, and the drag of a build that slows all.
-type Shared struct {
+// SharedState is what all machines of a fleet have in common: the marks of effects, and the drag of a build that slows all.
+type SharedState struct {
 	marks map[uint64]mark
 	order []uint64
-	// Drag is how many times as long everything takes; the host sets it from the traffic that a build gets.
-	Drag float64
+	// SlowdownFactor is how many times as long everything takes; the host sets it from the traffic that a build gets.
+	SlowdownFactor float64
 }
 
 type mark struct {
 	at, memory Nanos
 }
 
-// NewShared makes what the machines of one fleet share.
-func NewShared() *Shared { return &Shared{marks: map[uint64]mark{}, Drag: 1} }
+// NewSharedState makes what the machines of one fleet share.
+func NewSharedState() *SharedState { return &SharedState{marks: map[uint64]mark{}, SlowdownFactor: 1} }
 
 // repeat notes an effect's mark, and tells whether it is known already.
-func (s *Shared) repeat(now Nanos, j Job) bool {
-	if j.Mark == 0 || j.Memory <= 0 {
+func (s *SharedState) repeat(now Nanos, j Job) bool {
+	if j.DedupKey == 0 || j.Memory <= 0 {
 		return false
 	}
 	for len(s.order) > 0 {
@@ -139,16 +139,16 @@
 		delete(s.marks, s.order[0])
 		s.order = s.order[1:]
 	}
-	if m, known := s.marks[j.Mark]; known && now-m.at < m.memory {
+	if m, known := s.marks[j.DedupKey]; known && now-m.at < m.memory {
 		return true
 	}
-	s.marks[j.Mark] = mark{now, j.Memory}
-	s.order = append(s.order, j.Mark)
+	s.marks[j.DedupKey] = mark{now, j.Memory}
+	s.order = append(s.order, j.DedupKey)
 	return false
 }
 
 type running struct {
-	Done
+	CompletedJob
 	ends Nanos
 	gone bool // its client went away, and the machine stops for that
 }
@@ -164,8 +164,8 @@
 	Kind    Kind
 	Build   Build
 	Started Nanos // 0: long past
-	Ail     Ailment
-	shared  *Shared
+	Fault   MachineFault
+	shared  *SharedState
 	rng     *rand.Rand
 	queue   []running
 	work    []running
@@ -175,12 +175,12 @@
 	busy     float64   // smoothed share of cores busy
 	busyAt   Nanos
 	settled  float64 // txns a second, smoothed
-	report   Report
+	report   LoadReport
 	reported Nanos
 }
 
 // NewMachine starts a machine. seed gives it its own chance.
-func NewMachine(kind Kind, build Build, started Nanos, shared *Shared, seed int64) *Machine {
+func NewMachine(kind Kind, build Build, started Nanos, shared *SharedState, seed int64) *Machine {
 	if build.Speed == 0 {
 		build.Speed = 1
 	}
@@ -190,10 +190,10 @@
 
 // Ramp is the share of its capacity that the machine has by now.
 func (m *Machine) Ramp(now Nanos) float64 {
-	if m.Started == 0 || m.Kind.Cold <= 0 || now-m.Started >= m.Kind.Cold {
+	if m.Started == 0 || m.Kind.WarmUp <= 0 || now-m.Started >= m.Kind.WarmUp {
 		return 1
 	}
-	return m.Kind.ColdFrom + (1-m.Kind.ColdFrom)*float64(now-m.Started)/float64(m.Kind.Cold)
+	return m.Kind.ColdStartCapacity + (1-m.Kind.ColdStartCapacity)*float64(now-m.Started)/float64(m.Kind.WarmUp)
 }
 
 // Fell tells whether the machine has fallen over.
@@ -202,48 +202,48 @@
 // InHand is how many jobs wait or are in work.
 func (m *Machine) InHand() int { return len(m.queue) + len(m.work) }
 
-// Arrive takes a job. Work that is turned away counts towards falling over as well.
-func (m *Machine) Arrive(now Nanos, j Job) Verdict {
+// Submit takes a job. Work that is turned away counts towards falling over as well.
+func (m *Machine) Submit(now Nanos, j Job) Admission {
 	if m.down {
-		return Down
+		return MachineDown
 	}
 	m.press(now, j)
 	if m.down {
-		return Down
+		return MachineDown
 	}
 	if m.InHand() >= m.Kind.Slots {
-		return TurnedAway
+		return Refused
 	}
-	m.queue = append(m.queue, running{Done: Done{Job: j, Arrived: now}})
+	m.queue = append(m.queue, running{CompletedJob: CompletedJob{Job: j, Arrived: now}})
 	m.begin(now)
-	return Taken
+	return Accepted
 }
 
 // press notes what a cold machine is sent. It falls over once that is more, over FallAfter, than the multiple of
 // what it can do; two txns of slack are left for chance.
 func (m *Machine) press(now Nanos, j Job) {
-	if m.Ramp(now) >= 1 || m.Kind.FallMultiple <= 0 {
+	if m.Ramp(now) >= 1 || m.Kind.OverloadMultiple <= 0 {
 		m.arrivals = m.arrivals[:0]
 		return
 	}
 	m.arrivals = append(m.arrivals, arrival{now, j.Work, j.From})
 	sum, from := Nanos(0), 0
 	for i, a := range m.arrivals {
-		if now-a.at > m.Kind.FallAfter {
+		if now-a.at > m.Kind.OverloadWindow {
 			from = i + 1
 		} else {
 			sum += a.work
 		}
 	}
 	m.arrivals = append(m.arrivals[:0], m.arrivals[from:]...)
-	can := float64(m.Kind.Cores) * m.Kind.Speed * m.Ramp(now) * float64(m.Kind.FallAfter)
-	if float64(sum) > m.Kind.FallMultiple*can+2*float64(sum)/float64(len(m.arrivals)) {
+	can := float64(m.Kind.Cores) * m.Kind.Speed * m.Ramp(now) * float64(m.Kind.OverloadWindow)
+	if float64(sum) > m.Kind.OverloadMultiple*can+2*float64(sum)/float64(len(m.arrivals)) {
 		m.down = true
 	}
 }
 
-// Pressed lists how much work came from which sentry over the last FallAfter.
-func (m *Machine) Pressed() map[int]Nanos {
+// RecentWork lists how much work came from which sentry over the last FallAfter.
+func (m *Machine) RecentWork() map[int]Nanos {
 	sum := map[int]Nanos{}
 	for _, a := range m.arrivals {
 		sum[a.from] += a.work
@@ -260,7 +260,7 @@
 		r.Began = now
 		span, end := m.how(now, r.Job)
 		r.End, r.ends = end, now+span
-		if m.Ail.Hangs {
+		if m.Fault.Hangs {
 			r.ends = math.MaxInt64
 		}
 		m.work = append(m.work, r)
@@ -272,10 +272,10 @@
 	if m.shared.repeat(now, j) {
 		return Millisecond, Dropped
 	}
-	if m.Ail.Fails > 0 && m.rng.Float64() < m.Ail.Fails {
+	if m.Fault.FailureRate > 0 && m.rng.Float64() < m.Fault.FailureRate {
 		return Millisecond, Failed
 	}
-	times, fails, wrong := 1.0, m.Kind.BaseErrors, 0.0
+	times, fails, wrong := 1.0, m.Kind.BaseErrorRate, 0.0
 	b := m.Build
 	switch b.Flaw {
 	case Errors:
@@ -298,10 +298,10 @@
 	case Wrong:
 		wrong = b.Strength
 	}
-	if m.Ail.Slow > 1 {
-		times *= m.Ail.Slow
+	if m.Fault.Slow > 1 {
+		times *= m.Fault.Slow
 	}
-	speed := m.Kind.Speed * b.Speed * m.Ramp(now) * (1 - m.Ail.Neighbour) / max(1, m.shared.Drag)
+	speed := m.Kind.Speed * b.Speed * m.Ramp(now) * (1 - m.Fault.NeighbourShare) / max(1, m.shared.SlowdownFactor)
 	span := Nanos(float64(j.Work) * times / max(speed, 0.001))
 	switch x := m.rng.Float64(); {
 	case x < fails:
@@ -313,8 +313,8 @@
 }
 
 // Advance ends what is through by now, in order of time.
-func (m *Machine) Advance(now Nanos) []Done {
-	var out []Done
+func (m *Machine) Advance(now Nanos) []CompletedJob {
+	var out []CompletedJob
 	for {
 		best := -1
 		for i := range m.work {
@@ -330,13 +330,13 @@
 		m.work = append(m.work[:best], m.work[best+1:]...)
 		r.At = r.ends
 		m.settled++
-		out = append(out, r.Done)
+		out = append(out, r.CompletedJob)
 		m.begin(r.ends)
 	}
 }
 
-// Next is when the next job ends, or the end of time.
-func (m *Machine) Next() Nanos {
+// NextCompletion is when the next job ends, or the end of time.
+func (m *Machine) NextCompletion() Nanos {
 	next := Nanos(math.MaxInt64)
 	for i := range m.work {
 		next = min(next, m.work[i].ends)
@@ -346,7 +346,7 @@
 
 // Cancel stops a job whose connection has gone, where the machine does that. It tells whether it had begun.
 func (m *Machine) Cancel(now Nanos, id uint64) (began, found bool) {
-	if !m.Kind.CancelStops {
+	if !m.Kind.StopsOnCancel {
 		return false, false
 	}
 	for i := range m.queue {
@@ -377,23 +377,23 @@
 	m.busy = m.busy*keep + (1-keep)*float64(len(m.work))/float64(m.Kind.Cores)
 }
 
-// Report is what a machine says of its load.
-type Report struct {
+// LoadReport is what a machine says of its load.
+type LoadReport struct {
 	Util  float64
 	Queue float64
 	Busy  float64
 }
 
 // Load gives the machine's report, which it renews now and then only, with some noise.
-func (m *Machine) Load(now Nanos) Report {
-	if now-m.reported >= m.Kind.ReportEvery && !m.Ail.Stale {
+func (m *Machine) Load(now Nanos) LoadReport {
+	if now-m.reported >= m.Kind.ReportInterval && !m.Fault.ReportsStale {
 		m.reported = now
 		m.fade(now)
 		noise := 1 + m.Kind.ReportNoise*m.rng.NormFloat64()
-		m.report = Report{Util: max(0, m.busy*noise), Queue: float64(len(m.queue)), Busy: float64(m.InHand())}
+		m.report = LoadReport{Util: max(0, m.busy*noise), Queue: float64(len(m.queue)), Busy: float64(m.InHand())}
 	}
-	if m.Ail.Idle {
-		return Report{}
+	if m.Fault.ReportsIdle {
+		return LoadReport{}
 	}
 	return m.report
 }
--- a/fleet/machine_test.go
+++ b/fleet/machine_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-var kind = Kind{Cores: 2, Slots: 8, Speed: 1, ColdFrom: 0.25, Cold: 4 * Second, FallMultiple: 2, FallAfter: Second, CancelStops: true,
-	ReportEvery: Second}
+var kind = Kind{Cores: 2, Slots: 8, Speed: 1, ColdStartCapacity: 0.25, WarmUp: 4 * Second, OverloadMultiple: 2, OverloadWindow: Second, StopsOnCancel: true,
+	ReportInterval: Second}
 
 // load sends n jobs, so many a second, and gives what ended how, and the mean time of the fine ones.
 func load(m *Machine, from Nanos, n int, rate float64, product int) (ends map[End]int, turned int, mean Nanos) {
 	ends = map[End]int{}
 	sum, fine := Nanos(0), 0
-	take := func(list []Done) {
+	take := func(list []CompletedJob) {
 		for _, d := range list {
 			ends[d.End]++
 			if d.End == Fine {
@@ -25,7 +25,7 @@
 	for i := 0; i < n; i++ {
 		now += Nanos(float64(Second) / rate)
 		take(m.Advance(now))
-		if m.Arrive(now, Job{ID: uint64(i), Product: product, Work: 10 * Millisecond}) != Taken {
+		if m.Submit(now, Job{ID: uint64(i), Product: product, Work: 10 * Millisecond}) != Accepted {
 			turned++
 		}
 	}
@@ -47,7 +47,7 @@
 		wrong    float64
 		slowerBy float64 // than the good one at an idle machine
 	}{
-		{"good", Build{Flaw: Good}, 0, 20, 0, 0, 1},
+		{"good", Build{Flaw: NoFlaw}, 0, 20, 0, 0, 1},
 		{"errors", Build{Flaw: Errors, Strength: 0.3}, 0, 20, 0.3, 0, 1},
 		{"slow", Build{Flaw: Slow, Strength: 3}, 0, 20, 0, 0, 3},
 		{"its product", Build{Flaw: OneProduct, Strength: 0.5, Product: 1}, 1, 20, 0.5, 0, 1},
@@ -58,7 +58,7 @@
 		{"wrong", Build{Flaw: Wrong, Strength: 0.2}, 0, 20, 0, 0.2, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ends, turned, mean := load(NewMachine(kind, c.build, 0, NewShared(), 5), 0, n, c.rate, c.product)
+			ends, turned, mean := load(NewMachine(kind, c.build, 0, NewSharedState(), 5), 0, n, c.rate, c.product)
 			if turned > 0 {
 				t.Errorf("%d turned away", turned)
 			}
@@ -88,7 +88,7 @@
 		{"cold, over it", 300, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := NewMachine(kind, Build{}, 1, NewShared(), 5)
+			m := NewMachine(kind, Build{}, 1, NewSharedState(), 5)
 			load(m, c.from, int(c.rate), c.rate, 0)
 			if m.Fell() != c.down {
 				t.Errorf("fell: %t", m.Fell())
@@ -98,15 +98,15 @@
 }
 
 func TestRepeatsAreDroppedWithinTheirMemory(t *testing.T) {
-	shared := NewShared()
+	shared := NewSharedState()
 	a, b := NewMachine(kind, Build{}, 0, shared, 1), NewMachine(kind, Build{}, 0, shared, 2)
-	job := Job{ID: 1, Mark: 7, Memory: Second, Work: 10 * Millisecond}
+	job := Job{ID: 1, DedupKey: 7, Memory: Second, Work: 10 * Millisecond}
 	for _, c := range []struct {
 		m    *Machine
 		at   Nanos
 		want End
 	}{{a, 0, Fine}, {b, 500 * Millisecond, Dropped}, {a, 900 * Millisecond, Dropped}, {b, 1500 * Millisecond, Fine}} {
-		c.m.Arrive(c.at, job)
+		c.m.Submit(c.at, job)
 		if got := c.m.Advance(c.at + 100*Millisecond); len(got) != 1 || got[0].End != c.want {
 			t.Errorf("at %d ms: %+v, want end %d", c.at/Millisecond, got, c.want)
 		}
@@ -114,10 +114,10 @@
 }
 
 func TestTroubles(t *testing.T) {
-	m := NewMachine(kind, Build{}, 0, NewShared(), 1)
-	m.Ail = Ailment{Hangs: true}
+	m := NewMachine(kind, Build{}, 0, NewSharedState(), 1)
+	m.Fault = MachineFault{Hangs: true}
 	for i := 0; i < 10; i++ {
-		m.Arrive(Nanos(i), Job{ID: uint64(i), Work: Millisecond})
+		m.Submit(Nanos(i), Job{ID: uint64(i), Work: Millisecond})
 	}
 	if len(m.Advance(100*Second)) != 0 || m.InHand() != kind.Slots {
 		t.Errorf("a hung machine ended something, or holds %d", m.InHand())
@@ -128,25 +128,25 @@
 	if began, found := m.Cancel(Second, 7); began || !found {
 		t.Error("waiting work was not called off")
 	}
-	idle := NewMachine(kind, Build{}, 0, NewShared(), 1)
-	idle.Ail = Ailment{Idle: true}
-	idle.Arrive(0, Job{ID: 1, Work: Second})
-	if idle.Load(2*Second) != (Report{}) {
+	idle := NewMachine(kind, Build{}, 0, NewSharedState(), 1)
+	idle.Fault = MachineFault{ReportsIdle: true}
+	idle.Submit(0, Job{ID: 1, Work: Second})
+	if idle.Load(2*Second) != (LoadReport{}) {
 		t.Error("a machine that pretends to be idle reports its load")
 	}
 	for _, c := range []struct {
 		name string
-		ail  Ailment
+		ail  MachineFault
 		drag float64
 		took Nanos
-	}{{"slow", Ailment{Slow: 5}, 1, 50}, {"neighbour", Ailment{Neighbour: 0.5}, 1, 20}, {"drag", Ailment{}, 3, 30}} {
-		shared := NewShared()
-		shared.Drag = c.drag
+	}{{"slow", MachineFault{Slow: 5}, 1, 50}, {"neighbour", MachineFault{NeighbourShare: 0.5}, 1, 20}, {"drag", MachineFault{}, 3, 30}} {
+		shared := NewSharedState()
+		shared.SlowdownFactor = c.drag
 		m := NewMachine(kind, Build{}, 0, shared, 1)
-		m.Ail = c.ail
-		m.Arrive(0, Job{ID: 1, Work: 10 * Millisecond})
-		if m.Next()/Millisecond != c.took {
-			t.Errorf("%s: takes %d ms, want %d", c.name, m.Next()/Millisecond, c.took)
+		m.Fault = c.ail
+		m.Submit(0, Job{ID: 1, Work: 10 * Millisecond})
+		if m.NextCompletion()/Millisecond != c.took {
+			t.Errorf("%s: takes %d ms, want %d", c.name, m.NextCompletion()/Millisecond, c.took)
 		}
 	}
 }
--- a/http1/chunk.go
+++ b/http1/chunk.go
@@ -36,7 +36,7 @@
 				if len(rest) > longestChunkLine {
 					return at, nil, false, ErrChunk
 				}
-				return at, nil, false, ErrMore
+				return at, nil, false, ErrIncomplete
 			}
 			if nl == 0 || rest[nl-1] != '\r' || nl > longestChunkLine || bytes.IndexByte(rest[:nl-1], '\r') >= 0 {
 				return at, nil, false, ErrChunk
@@ -74,7 +74,7 @@
 		case inData:
 			n := min(int64(len(rest)), d.left)
 			if n == 0 {
-				return at, nil, false, ErrMore
+				return at, nil, false, ErrIncomplete
 			}
 			if d.left -= n; d.left == 0 {
 				d.state = afterData
--- a/http1/head.go
+++ b/http1/head.go
@@ -11,35 +11,35 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// ErrMore says that the head or body in hand is not complete yet.
-var ErrMore = errors.New("http1: more bytes are needed")
+// ErrIncomplete says that the head or body in hand is not complete yet.
+var ErrIncomplete = errors.New("http1: more bytes are needed")
 
-// Fault is why a message is refused; Status is what a client is answered.
-type Fault struct {
-	Status int
-	What   string
+// ParseError is why a message is refused; Status is what a client is answered.
+type ParseError struct {
+	Status  int
+	Message string
 }
 
-func (f *Fault) Error() string { return "http1: " + f.What }
+func (f *ParseError) Error() string { return "http1: " + f.Message }
 
 // What a message can be refused for.
 var (
-	ErrTooLarge   = &Fault{431, "the head is larger than the limit"}
-	ErrLine       = &Fault{400, "the first line is malformed"}
-	ErrVersion    = &Fault{505, "the version is neither HTTP/1.0 nor HTTP/1.1"}
-	ErrMethod     = &Fault{501, "the method is not carried here"}
-	ErrBare       = &Fault{400, "a bare CR or LF"}
-	ErrFold       = &Fault{400, "an obsolete line folding"}
-	ErrName       = &Fault{400, "a malformed header name"}
-	ErrValue      = &Fault{400, "a malformed header value"}
-	ErrLengths    = &Fault{400, "more than one length, or both a length and a coding"}
-	ErrLength     = &Fault{400, "a malformed Content-Length"}
-	ErrCoding     = &Fault{501, "a Transfer-Encoding other than chunked"}
-	ErrCodingOld  = &Fault{400, "a Transfer-Encoding under HTTP/1.0"}
-	ErrHost       = &Fault{400, "no Host, or more than one"}
-	ErrMany       = &Fault{431, "more header lines than the limit"}
-	ErrChunk      = &Fault{400, "a malformed chunk"}
-	ErrStatusLine = &Fault{502, "the status line is malformed"}
+	ErrTooLarge   = &ParseError{431, "the head is larger than the limit"}
+	ErrLine       = &ParseError{400, "the first line is malformed"}
+	ErrVersion    = &ParseError{505, "the version is neither HTTP/1.0 nor HTTP/1.1"}
+	ErrMethod     = &ParseError{501, "the method is not carried here"}
+	ErrBare       = &ParseError{400, "a bare CR or LF"}
+	ErrFold       = &ParseError{400, "an obsolete line folding"}
+	ErrName       = &ParseError{400, "a malformed header name"}
+	ErrValue      = &ParseError{400, "a malformed header value"}
+	ErrLengths    = &ParseError{400, "more than one length, or both a length and a coding"}
+	ErrLength     = &ParseError{400, "a malformed Content-Length"}
+	ErrCoding     = &ParseError{501, "a Transfer-Encoding other than chunked"}
+	ErrCodingOld  = &ParseError{400, "a Transfer-Encoding under HTTP/1.0"}
+	ErrHost       = &ParseError{400, "no Host, or more than one"}
+	ErrMany       = &ParseError{431, "more header lines than the limit"}
+	ErrChunk      = &ParseError{400, "a malformed chunk"}
+	ErrStatusLine = &ParseError{502, "the status line is malformed"}
 )
 
 const (
@@ -68,8 +68,8 @@
 type Request struct {
 	head
 	Method, Target []byte
-	Continue       bool // the client waits for a 100
-	Expects        bool // it expects anything else
+	ExpectContinue bool // the client waits for a 100
+	ExpectOther    bool // it expects anything else
 }
 
 // Response is a parsed answer head.
@@ -89,7 +89,7 @@
 		if len(buf) > limit {
 			return nil, nil, ErrTooLarge
 		}
-		return nil, nil, ErrMore
+		return nil, nil, ErrIncomplete
 	}
 	if nl >= limit {
 		return nil, nil, ErrTooLarge
@@ -162,9 +162,9 @@
 			r.hosts++
 		case is(f.Name, "expect"):
 			if is(v, "100-continue") {
-				r.Continue = true
+				r.ExpectContinue = true
 			} else {
-				r.Expects = true
+				r.ExpectOther = true
 			}
 		}
 	}
--- a/http1/http1_test.go
+++ b/http1/http1_test.go
@@ -90,11 +90,11 @@
 			if got := string(r.AppendFields(nil)); got != c.fields {
 				t.Errorf("fields %q, want %q", got, c.fields)
 			}
-			if r.Length != c.length || r.Close != c.close || r.Continue != c.cont {
-				t.Errorf("length %d close %t continue %t", r.Length, r.Close, r.Continue)
+			if r.Length != c.length || r.Close != c.close || r.ExpectContinue != c.cont {
+				t.Errorf("length %d close %t continue %t", r.Length, r.Close, r.ExpectContinue)
 			}
 			for cut := 0; cut < n; cut++ { // any part of it is incomplete, never refused
-				if _, err := r.Parse([]byte(c.in[:cut]), limit); err != ErrMore {
+				if _, err := r.Parse([]byte(c.in[:cut]), limit); err != ErrIncomplete {
 					t.Fatalf("cut at %d: %v", cut, err)
 				}
 			}
@@ -143,12 +143,12 @@
 		if done {
 			return body, len(have) + len(in) - at, nil
 		}
-		if err != nil && err != ErrMore {
+		if err != nil && err != ErrIncomplete {
 			return body, 0, err
 		}
-		if err == ErrMore {
+		if err == ErrIncomplete {
 			if at == len(in) {
-				return body, 0, ErrMore
+				return body, 0, ErrIncomplete
 			}
 			n := min(size, len(in)-at)
 			have = append(append([]byte{}, have...), in[at:at+n]...)
@@ -174,7 +174,7 @@
 		{"overflow", "fffffffffffffffff\r\n", "", 0, ErrChunk},
 		{"data longer than told", "3\r\nabcd\r\n0\r\n\r\n", "abc", 0, ErrChunk},
 		{"a folded trailer", "0\r\nX: y\r\n z\r\n\r\n", "", 0, ErrChunk},
-		{"cut off", "3\r\nab", "ab", 0, ErrMore},
+		{"cut off", "3\r\nab", "ab", 0, ErrIncomplete},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -215,9 +215,9 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var r Request
 		n, err := r.Parse(in, 4096)
-		var fault *Fault
+		var fault *ParseError
 		if err != nil {
-			if err != ErrMore && !errors.As(err, &fault) {
+			if err != ErrIncomplete && !errors.As(err, &fault) {
 				t.Fatalf("odd error %v", err)
 			}
 			return
--- a/lab/day.go
+++ b/lab/day.go
@@ -137,46 +137,46 @@
 const longest = 24 * time.Hour
 
 func readDay(r *config.Reader) (*Day, error) {
-	f := r.Root().Must("day")
-	r.Root().Done()
-	d := &Day{Name: f.Title("a day's name")}
+	f := r.Root().RequireField("day")
+	r.Root().RejectUnknown()
+	d := &Day{Name: f.TakeName("a day's name")}
 	d.Seed = f.Int("seed", 1, 0, math.MaxInt64)
-	f.Must("length")
-	d.Length = f.Span("length", time.Minute, time.Second, longest)
-	s := f.Part("sentries")
+	f.RequireField("length")
+	d.Length = f.Duration("length", time.Minute, time.Second, longest)
+	s := f.OptionalField("sentries")
 	d.Sentries = int(s.Int("processes", 1, 1, 32))
 	d.Loops = int(s.Int("loops", 1, 1, 8))
-	d.Messages = s.Flag("messages", false)
-	if d.Weights = s.Nums("weights", 0.001, 1000); len(d.Weights) > 0 && len(d.Weights) != d.Sentries {
-		s.Fault(fmt.Sprintf("%d weights", len(d.Weights)), fmt.Sprintf("one for each of %d processes", d.Sentries))
+	d.Messages = s.Bool("messages", false)
+	if d.Weights = s.Floats("weights", 0.001, 1000); len(d.Weights) > 0 && len(d.Weights) != d.Sentries {
+		s.AddError(fmt.Sprintf("%d weights", len(d.Weights)), fmt.Sprintf("one for each of %d processes", d.Sentries))
 	}
-	s.Done()
-	m := f.Must("fleet")
+	s.RejectUnknown()
+	m := f.RequireField("fleet")
 	d.Machines = int(m.Int("machines", 8, 1, 200))
 	d.Kind = fleet.Kind{Cores: int(m.Int("cores", 2, 1, 256)), Slots: int(m.Int("slots", 32, 1, 100000)),
-		ColdFrom: m.Num("cold-from", 0.3, 0.01, 1), Cold: fleet.Nanos(m.Span("cold", 3*time.Second, 0, time.Hour)),
-		FallMultiple: m.Num("fall-multiple", 3, 0, 1000), FallAfter: fleet.Nanos(m.Span("fall-after", time.Second, 0, time.Hour)),
-		CancelStops: m.Flag("cancel-stops", true), BaseErrors: m.Num("base-errors", 0.0005, 0, 1),
-		ReportEvery: fleet.Nanos(m.Span("report-every", 300*time.Millisecond, 0, time.Hour)),
-		ReportNoise: m.Num("report-noise", 0.03, 0, 1)}
-	d.SpeedLow, d.SpeedHigh = m.Num("speed-low", 0.9, 0.01, 100), m.Num("speed-high", 1.1, 0.01, 100)
+		ColdStartCapacity: m.Float("cold-from", 0.3, 0.01, 1), WarmUp: fleet.Nanos(m.Duration("cold", 3*time.Second, 0, time.Hour)),
+		OverloadMultiple: m.Float("fall-multiple", 3, 0, 1000), OverloadWindow: fleet.Nanos(m.Duration("fall-after", time.Second, 0, time.Hour)),
+		StopsOnCancel: m.Bool("cancel-stops", true), BaseErrorRate: m.Float("base-errors", 0.0005, 0, 1),
+		ReportInterval: fleet.Nanos(m.Duration("report-every", 300*time.Millisecond, 0, time.Hour)),
+		ReportNoise:    m.Float("report-noise", 0.03, 0, 1)}
+	d.SpeedLow, d.SpeedHigh = m.Float("speed-low", 0.9, 0.01, 100), m.Float("speed-high", 1.1, 0.01, 100)
 	if d.SpeedLow > d.SpeedHigh {
-		m.Fault(fmt.Sprintf("(speed-low %g)", d.SpeedLow), fmt.Sprintf("at most (speed-high %g)", d.SpeedHigh))
+		m.AddError(fmt.Sprintf("(speed-low %g)", d.SpeedLow), fmt.Sprintf("at most (speed-high %g)", d.SpeedHigh))
 	}
-	d.NoiseCV = m.Num("work-cv", 0.6, 0, 5)
-	d.Boot = m.Span("boot", 800*time.Millisecond, 0, time.Hour)
-	m.Done()
+	d.NoiseCV = m.Float("work-cv", 0.6, 0, 5)
+	d.Boot = m.Duration("boot", 800*time.Millisecond, 0, time.Hour)
+	m.RejectUnknown()
 	d.readProducts(f)
-	t := f.Must("traffic")
-	d.Rate = t.Num("rate", 100, 0.1, 1e6)
+	t := f.RequireField("traffic")
+	d.Rate = t.Float("rate", 100, 0.1, 1e6)
 	d.Keys = int(t.Int("keys", 2000, 1, 1e7))
 	d.Retries = int(t.Int("retries", 1, 0, 10))
-	d.Backoff = t.Span("backoff", 50*time.Millisecond, 0, time.Minute)
-	d.Patience = t.Num("patience", 0.6, 0.05, 1)
-	t.Done()
+	d.Backoff = t.Duration("backoff", 50*time.Millisecond, 0, time.Minute)
+	d.Patience = t.Float("patience", 0.6, 0.05, 1)
+	t.RejectUnknown()
 	d.readPlatform(f)
 	d.readScript(f)
-	f.Done()
+	f.RejectUnknown()
 	if err := r.Err(); err != nil {
 		return nil, err
 	}
@@ -185,74 +185,74 @@
 
 func (d *Day) readProducts(f *config.Form) {
 	sum := 0.0
-	for _, p := range f.Many("product") {
-		x := Product{Name: p.Title("a product's name"), Share: p.Num("share", 1, 0, 1),
-			Work: p.Span("work", 20*time.Millisecond, 0, time.Minute), SLA: p.Span("sla", 300*time.Millisecond, time.Millisecond, time.Hour),
-			Expiry: p.Span("expiry", time.Second, time.Millisecond, time.Hour),
+	for _, p := range f.Fields("product") {
+		x := Product{Name: p.TakeName("a product's name"), Share: p.Float("share", 1, 0, 1),
+			Work: p.Duration("work", 20*time.Millisecond, 0, time.Minute), SLA: p.Duration("sla", 300*time.Millisecond, time.Millisecond, time.Hour),
+			Expiry: p.Duration("expiry", time.Second, time.Millisecond, time.Hour),
 			Effect: p.OneOf("effect", "inquiry-like", "inquiry-like", "referenced", "once-only"),
-			Memory: p.Span("memory", 0, 0, time.Hour), Revenue: p.Num("revenue", 1, 0, 1e6),
-			Late: p.Num("late-revenue", 0, 0, 1), Body: int(p.Size("body", 0, 0, 1<<20))}
+			Memory: p.Duration("memory", 0, 0, time.Hour), Revenue: p.Float("revenue", 1, 0, 1e6),
+			Late: p.Float("late-revenue", 0, 0, 1), Body: int(p.Bytes("body", 0, 0, 1<<20))}
 		if x.Effect == "referenced" && x.Memory == 0 {
-			p.Must("memory")
+			p.RequireField("memory")
 		}
-		p.Done()
+		p.RejectUnknown()
 		sum += x.Share
 		d.Products = append(d.Products, x)
 	}
 	if len(d.Products) == 0 {
-		f.Must("product")
+		f.RequireField("product")
 		return
 	}
 	if math.Abs(sum-1) > 0.005 {
-		f.Fault(fmt.Sprintf("shares of products that sum to %.3f", sum), "shares that sum to 1")
+		f.AddError(fmt.Sprintf("shares of products that sum to %.3f", sum), "shares that sum to 1")
 	}
 }
 
 func (d *Day) readPlatform(f *config.Form) {
-	p := f.Must("platform")
-	d.Stages = p.Nums("stages", 0.001, 1)
-	p.Must("stages")
+	p := f.RequireField("platform")
+	d.Stages = p.Floats("stages", 0.001, 1)
+	p.RequireField("stages")
 	for i := 1; i < len(d.Stages); i++ {
 		if d.Stages[i] <= d.Stages[i-1] {
-			p.Fault(fmt.Sprintf("stage %g after %g", d.Stages[i], d.Stages[i-1]), "stages that rise")
+			p.AddError(fmt.Sprintf("stage %g after %g", d.Stages[i], d.Stages[i-1]), "stages that rise")
 		}
 	}
-	d.Slack = p.Num("slack", 1.3, 1, 10)
-	d.Bake = p.Span("bake", 2*time.Second, 0, time.Hour)
+	d.Slack = p.Float("slack", 1.3, 1, 10)
+	d.Bake = p.Duration("bake", 2*time.Second, 0, time.Hour)
 	d.Votes = p.OneOf("votes", "single", "single", "majority", "clocked")
 	d.NeedOn = int(p.Int("need-on", 1, 1, 1000))
 	d.NeedBack = int(p.Int("need-back", 1, 1, 1000))
 	d.NeedHold = int(p.Int("need-hold", 1, 1, 1000))
-	d.StageFor = p.Span("stage-time", 3*time.Second, 0, time.Hour)
-	d.TallyEvery = p.Span("tally-every", 0, 0, time.Hour)
-	d.TallySample = p.Num("tally-sample", 0.2, 0, 1)
+	d.StageFor = p.Duration("stage-time", 3*time.Second, 0, time.Hour)
+	d.TallyEvery = p.Duration("tally-every", 0, 0, time.Hour)
+	d.TallySample = p.Float("tally-sample", 0.2, 0, 1)
 	d.Style = p.OneOf("style", "in-place", "in-place", "beside")
 	d.Counts = p.OneOf("counts", "all", "all", "product")
-	d.Window = p.Span("window", 6*time.Second, time.Millisecond, time.Hour)
-	d.Free = p.Num("free", 3, 0, 1e6)
-	d.OneWay = p.Flag("one-way", false)
+	d.Window = p.Duration("window", 6*time.Second, time.Millisecond, time.Hour)
+	d.Free = p.Float("free", 3, 0, 1e6)
+	d.OneWay = p.Bool("one-way", false)
 	d.Guarded = int(p.Int("guarded-stages", 0, 0, 100))
-	d.Push = p.Span("push", 2*time.Second, 10*time.Millisecond, time.Hour)
-	d.NewsLate = p.Span("news-late", 200*time.Millisecond, 0, time.Minute)
-	d.ListLate = p.Span("list-late", 200*time.Millisecond, 0, time.Minute)
-	d.VotesPerSecond = p.Num("votes-per-second", 20, 0.1, 1e6)
-	d.Flags = p.Num("flags", 0.3, 0, 1)
-	d.FlagsLate = p.Span("flags-late", time.Second, 0, time.Minute)
-	d.Drain = p.Span("drain", 2*time.Second, 0, time.Hour)
-	d.Grace = p.Span("grace", 500*time.Millisecond, 0, time.Hour)
-	p.Done()
+	d.Push = p.Duration("push", 2*time.Second, 10*time.Millisecond, time.Hour)
+	d.NewsLate = p.Duration("news-late", 200*time.Millisecond, 0, time.Minute)
+	d.ListLate = p.Duration("list-late", 200*time.Millisecond, 0, time.Minute)
+	d.VotesPerSecond = p.Float("votes-per-second", 20, 0.1, 1e6)
+	d.Flags = p.Float("flags", 0.3, 0, 1)
+	d.FlagsLate = p.Duration("flags-late", time.Second, 0, time.Minute)
+	d.Drain = p.Duration("drain", 2*time.Second, 0, time.Hour)
+	d.Grace = p.Duration("grace", 500*time.Millisecond, 0, time.Hour)
+	p.RejectUnknown()
 }
 
 func (d *Day) readScript(f *config.Form) {
-	for _, o := range f.Many("offer") {
-		x := Offer{At: o.Span("at", 0, 0, longest), Strength: o.Num("strength", 0, 0, 100), Product: o.Text("product", ""),
-			Speed: o.Num("speed", 1, 0.01, 100),
+	for _, o := range f.Fields("offer") {
+		x := Offer{At: o.Duration("at", 0, 0, longest), Strength: o.Float("strength", 0, 0, 100), Product: o.Text("product", ""),
+			Speed: o.Float("speed", 1, 0.01, 100),
 			Flaw: fleet.Flaw(o.OneOf("flaw", "good", "good", "errors", "slow", "product", "load", "late", "wrong",
 				"slows-all"))}
 		if x.Flaw == fleet.OneProduct && d.product(x.Product) < 0 {
-			o.Fault(strconv.Quote(x.Product), "(product ...) with the name of one")
+			o.AddError(strconv.Quote(x.Product), "(product ...) with the name of one")
 		}
-		o.Done()
+		o.RejectUnknown()
 		d.Offers = append(d.Offers, x)
 	}
 	sort.SliceStable(d.Offers, func(i, j int) bool { return d.Offers[i].At < d.Offers[j].At })
@@ -261,16 +261,16 @@
 		kinds = append(kinds, k)
 	}
 	sort.Strings(kinds)
-	for _, g := range f.Many("trouble") {
-		x := Trouble{Kind: g.Title("a kind of trouble"), At: g.Span("at", 0, 0, longest), For: g.Span("for", 5*time.Second, 0, longest),
-			Many: int(g.Int("many", 1, 0, 1000)), Size: g.Num("size", 0, 0, 1000), Extra: g.Num("extra", 0, 0, 1000)}
+	for _, g := range f.Fields("trouble") {
+		x := Trouble{Kind: g.TakeName("a kind of trouble"), At: g.Duration("at", 0, 0, longest), For: g.Duration("for", 5*time.Second, 0, longest),
+			Many: int(g.Int("many", 1, 0, 1000)), Size: g.Float("size", 0, 0, 1000), Extra: g.Float("extra", 0, 0, 1000)}
 		if troubleKinds[x.Kind] == "" {
-			g.Fault(strconv.Quote(x.Kind), "one of "+strings.Join(kinds, ", "))
+			g.AddError(strconv.Quote(x.Kind), "one of "+strings.Join(kinds, ", "))
 		}
-		for _, n := range g.Nums("on", 0, 1000) {
+		for _, n := range g.Floats("on", 0, 1000) {
 			x.On = append(x.On, int(n))
 		}
-		g.Done()
+		g.RejectUnknown()
 		d.Troubles = append(d.Troubles, x)
 	}
 	sort.SliceStable(d.Troubles, func(i, j int) bool { return d.Troubles[i].At < d.Troubles[j].At })
@@ -341,7 +341,7 @@
 	w("  (release (votes %s) (style %s) (counts %s) (caps %s) (shares %s)", d.Votes, d.Style, d.Counts, nums(d.caps()), nums(d.Stages))
 	w("    (window %v) (free %g) (bake %v) (votes-back %d) (votes-per-second %g) (guarded-stages %d) (one-way %t))", d.Window, d.Free,
 		d.Bake, d.NeedBack, d.VotesPerSecond, d.Guarded, d.OneWay)
-	w("  (rules (cold %v) (cold-from %g) (fall-multiple %g) (fall-after %v) (drain-grace %v)))", time.Duration(d.Kind.Cold),
-		d.Kind.ColdFrom, d.Kind.FallMultiple, time.Duration(d.Kind.FallAfter), d.Grace)
+	w("  (rules (cold %v) (cold-from %g) (fall-multiple %g) (fall-after %v) (drain-grace %v)))", time.Duration(d.Kind.WarmUp),
+		d.Kind.ColdStartCapacity, d.Kind.OverloadMultiple, time.Duration(d.Kind.OverloadWindow), d.Grace)
 	return b.String()
 }
--- a/lab/figures.go
+++ b/lab/figures.go
@@ -173,7 +173,7 @@
 	}
 	bad := map[int]bool{}
 	for n, b := range per {
-		bad[n] = b.Flaw != string(fleet.Good)
+		bad[n] = b.Flaw != string(fleet.NoFlaw)
 	}
 	for _, a := range rec.Arrivals {
 		t := byID[a.Txn]
--- a/lab/load.go
+++ b/lab/load.go
@@ -305,7 +305,7 @@
 			add(", p50", func(s *LoadSlice) float64 { return float64(s.Times.ValueAtQuantile(50)) })
 			add(", p99", func(s *LoadSlice) float64 { return float64(s.Times.ValueAtQuantile(99)) })
 		}
-		svg, err := chart.Lines(c.title, chart.Axes{X: "second of load", Y: c.unit, LogY: c.of == nil}, list)
+		svg, err := chart.LineChart(c.title, chart.Axes{X: "second of load", Y: c.unit, LogY: c.of == nil}, list)
 		if err != nil {
 			return "", err
 		}
--- a/lab/platform.go
+++ b/lab/platform.go
@@ -91,7 +91,7 @@
 
 func newPlatform(day *Day, rec *Record, park *park, now func() at) *platform {
 	p := &platform{day: day, rec: rec, park: park, now: now, rng: rand.New(rand.NewSource(day.Seed + 17)), quit: make(chan struct{}),
-		build: 1, before: 1, builds: map[int]fleet.Build{1: {Number: 1, Flaw: fleet.Good, Speed: 1}}, phase: api.Released,
+		build: 1, before: 1, builds: map[int]fleet.Build{1: {Number: 1, Flaw: fleet.NoFlaw, Speed: 1}}, phase: api.Released,
 		stage: len(day.Stages) - 1, standing: map[int]VoteRecord{}, tokens: 2 * day.VotesPerSecond, reports: map[string][]api.Report{},
 		lists: map[string]api.Worker{}, backAt: map[int]at{}, released: map[int]at{}, offered: map[int]at{}}
 	return p
@@ -101,7 +101,7 @@
 func (p *platform) start(host string) error {
 	for i := 0; i < p.day.Machines; i++ {
 		s := &placeState{n: i, speed: p.day.SpeedLow + (p.day.SpeedHigh-p.day.SpeedLow)*p.rng.Float64()}
-		s.old = p.park.add(i, p.builds[1], s.speed, fleet.Ailment{})
+		s.old = p.park.add(i, p.builds[1], s.speed, fleet.MachineFault{})
 		if err := s.old.start(false); err != nil {
 			return err
 		}
@@ -292,7 +292,7 @@
 
 // starting has a machine start at a place.
 func (p *platform) starting(s *placeState, b fleet.Build) {
-	s.boot = p.park.add(s.n, b, s.speed, fleet.Ailment{})
+	s.boot = p.park.add(s.n, b, s.speed, fleet.MachineFault{})
 	s.boots = p.now() + p.day.Boot
 }
 
--- a/lab/report.go
+++ b/lab/report.go
@@ -32,7 +32,7 @@
 		return s
 	}
 	axes := chart.Axes{X: "second of the day"}
-	day, err := chart.Lines("txns by the second they were asked for", axes, []chart.Series{
+	day, err := chart.LineChart("txns by the second they were asked for", axes, []chart.Series{
 		of("asked", color.RGBA{120, 120, 120, 255}, func(s Second) int { return s.Asked }),
 		of("in time", color.RGBA{30, 130, 60, 255}, func(s Second) int { return s.InTime }),
 		of("late", color.RGBA{220, 150, 0, 255}, func(s Second) int { return s.Late }),
@@ -42,7 +42,7 @@
 	if err != nil {
 		return "", fmt.Errorf("report: %w", err)
 	}
-	build, err := chart.Lines("submissions at the newest build, a second", axes, []chart.Series{
+	build, err := chart.LineChart("submissions at the newest build, a second", axes, []chart.Series{
 		of("submissions", color.RGBA{150, 60, 160, 255}, func(s Second) int { return s.Trial })})
 	if err != nil {
 		return "", fmt.Errorf("report: %w", err)
--- a/lab/rivals.go
+++ b/lab/rivals.go
@@ -50,7 +50,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	v := &rival{kind: kind, plan: plan, client: api.NewClient(plan.Source.API), all: map[string]api.Worker{},
+	v := &rival{kind: kind, plan: plan, client: api.NewClient(plan.Source.APIURL), all: map[string]api.Worker{},
 		rng: rand.New(rand.NewSource(plan.Seed + int64(plan.Module["index"].(float64))))}
 	var group sync.WaitGroup
 	q := func() url.Values { return url.Values{"edge": {plan.Name}} }
@@ -67,7 +67,7 @@
 	front := &http.Server{Handler: v.handler()}
 	go front.Serve(ln)
 	<-ctx.Done()
-	down, cancel := context.WithTimeout(context.Background(), plan.DrainWithin)
+	down, cancel := context.WithTimeout(context.Background(), plan.DrainTimeout)
 	defer cancel()
 	front.Shutdown(down)
 	admin.Close()
@@ -188,7 +188,7 @@
 }
 
 func (v *rival) handler() http.Handler {
-	transport := &http.Transport{MaxIdleConnsPerHost: 64, DialContext: (&net.Dialer{Timeout: v.plan.Workers.ConnectTimeout}).DialContext}
+	transport := &http.Transport{MaxIdleConnsPerHost: 64, DialContext: (&net.Dialer{Timeout: v.plan.WorkerLimits.ConnectTimeout}).DialContext}
 	proxy := &httputil.ReverseProxy{Transport: transport,
 		Rewrite: func(r *httputil.ProxyRequest) {
 			r.Out.URL.Scheme = "http"
@@ -208,7 +208,7 @@
 		ctx := r.Context()
 		if ms, err := strconv.Atoi(r.Header.Get("x-envoy-upstream-rq-timeout-ms")); err == nil {
 			var stop context.CancelFunc
-			ctx, stop = context.WithTimeout(ctx, time.Duration(ms)*time.Millisecond-v.plan.Slack)
+			ctx, stop = context.WithTimeout(ctx, time.Duration(ms)*time.Millisecond-v.plan.AnswerSlack)
 			defer stop()
 		}
 		to, ok := v.pick()
--- a/lab/run.go
+++ b/lab/run.go
@@ -347,7 +347,7 @@
 // trouble plays one, to its end.
 func (r *run) trouble(t Trouble, on []int) {
 	end := t.At + t.For
-	ill := func(set, unset func(*fleet.Ailment)) {
+	ill := func(set, unset func(*fleet.MachineFault)) {
 		ws := r.workers(on)
 		for _, w := range ws {
 			w.ailing(set)
@@ -370,20 +370,20 @@
 			w.vanish(false)
 		}
 	case "hang":
-		ill(func(a *fleet.Ailment) { a.Hangs = true }, func(a *fleet.Ailment) { a.Hangs = false })
+		ill(func(a *fleet.MachineFault) { a.Hangs = true }, func(a *fleet.MachineFault) { a.Hangs = false })
 		for _, w := range r.workers(on) { // what hung is restarted by whoever looks after it
 			w.vanish(false)
 		}
 	case "slow":
-		ill(func(a *fleet.Ailment) { a.Slow = t.Size }, func(a *fleet.Ailment) { a.Slow = 0 })
+		ill(func(a *fleet.MachineFault) { a.Slow = t.Size }, func(a *fleet.MachineFault) { a.Slow = 0 })
 	case "fast-errors":
-		ill(func(a *fleet.Ailment) { a.Fails = t.Size }, func(a *fleet.Ailment) { a.Fails = 0 })
+		ill(func(a *fleet.MachineFault) { a.FailureRate = t.Size }, func(a *fleet.MachineFault) { a.FailureRate = 0 })
 	case "neighbour":
-		ill(func(a *fleet.Ailment) { a.Neighbour = min(0.95, t.Size) }, func(a *fleet.Ailment) { a.Neighbour = 0 })
+		ill(func(a *fleet.MachineFault) { a.NeighbourShare = min(0.95, t.Size) }, func(a *fleet.MachineFault) { a.NeighbourShare = 0 })
 	case "late-reports":
-		ill(func(a *fleet.Ailment) { a.Stale = true }, func(a *fleet.Ailment) { a.Stale = false })
+		ill(func(a *fleet.MachineFault) { a.ReportsStale = true }, func(a *fleet.MachineFault) { a.ReportsStale = false })
 	case "false-reports":
-		ill(func(a *fleet.Ailment) { a.Idle = true }, func(a *fleet.Ailment) { a.Idle = false })
+		ill(func(a *fleet.MachineFault) { a.ReportsIdle = true }, func(a *fleet.MachineFault) { a.ReportsIdle = false })
 	case "costly-connect", "garbage":
 		set := func(ws []*worker, cost time.Duration, share float64) {
 			r.park.mu.Lock()
--- a/lab/stages_test.go
+++ b/lab/stages_test.go
@@ -152,7 +152,7 @@
 			d.in(k, func() {
 				for _, s := range d.sentries {
 					d.hits["no list"]++
-					s.hand(func() { s.m.List(d.clock(), logic.NoList, nil) })
+					s.hand(func() { s.m.UpdateWorkers(d.clock(), logic.ListUnavailable, nil) })
 				}
 			})
 		}
@@ -174,7 +174,7 @@
 	{"vote answers overtaken by news", func(d *vday) {
 		// The state that has been left, at its cap: it must not come back in force. It is not noted as told.
 		n := d.before
-		n.Answer, n.Age = true, logic.Nanos(d.now-d.beforeAt)
+		n.VoteReply, n.Age = true, logic.Nanos(d.now-d.beforeAt)
 		for k := 200 * ms; k < lasts; k += 300 * ms {
 			d.in(k, func() {
 				for _, s := range d.sentries {
@@ -209,20 +209,20 @@
 				}
 				return
 			}
-			w.m.Ail.Hangs = on
+			w.m.Fault.Hangs = on
 		})
 	}, "hung", ""},
 	{"worker slow", func(d *vday) {
 		d.ails(func(w *vworker, on bool) {
 			d.hits["slowed"]++
-			w.m.Ail.Slow = map[bool]float64{true: 8}[on]
+			w.m.Fault.Slow = map[bool]float64{true: 8}[on]
 		})
 	}, "slowed", ""},
 	{"worker fails", func(d *vday) {
-		d.ails(func(w *vworker, on bool) { w.m.Ail.Fails = map[bool]float64{true: 0.7}[on] })
+		d.ails(func(w *vworker, on bool) { w.m.Fault.FailureRate = map[bool]float64{true: 0.7}[on] })
 	}, "erred", ""},
 	{"worker reports to be idle", func(d *vday) {
-		d.ails(func(w *vworker, on bool) { w.m.Ail.Idle, w.m.Ail.Slow = on, map[bool]float64{true: 4}[on] })
+		d.ails(func(w *vworker, on bool) { w.m.Fault.ReportsIdle, w.m.Fault.Slow = on, map[bool]float64{true: 4}[on] })
 	}, "idle", ""},
 	{"answers malformed", func(d *vday) {
 		d.ails(func(w *vworker, on bool) { w.garbage = map[bool]float64{true: 0.6}[on] })
@@ -351,8 +351,8 @@
 					}
 					for _, s := range d.sentries { // whoever fell silent or rested was found again
 						for _, w := range s.m.Explain(0, 0, 0) {
-							if w.Against == "silent" || strings.HasPrefix(w.Against, "rests") {
-								t.Errorf("sentry %d still takes worker %s for ill: %s", s.n, w.Worker, w.Against)
+							if w.Reason == "silent" || strings.HasPrefix(w.Reason, "rests") {
+								t.Errorf("sentry %d still takes worker %s for ill: %s", s.n, w.Worker, w.Reason)
 							}
 						}
 					}
--- a/lab/virtual_test.go
+++ b/lab/virtual_test.go
@@ -55,15 +55,15 @@
 	seq      int
 	rng      *rand.Rand
 	settings map[string]any
-	shared   *fleet.Shared
+	shared   *fleet.SharedState
 	sentries []*vsentry
 	places   []*vworker // what serves at each place
 	workers  map[string]*vworker
 	order    []string // of the list
 	ids      int
-	release  logic.News
+	release  logic.ReleaseUpdate
 	since    at
-	before   logic.News // what stood before the present state
+	before   logic.ReleaseUpdate // what stood before the present state
 	beforeAt at
 	rate     float64
 	offered  int // the newest build
@@ -120,14 +120,14 @@
 	held     int
 	taking   bool
 	kept     []logic.Worker // the last list told
-	keptNews logic.News
+	keptNews logic.ReleaseUpdate
 	dead     bool
 	acts     []func()
 	busy     bool
 }
 
 func newVirtual(day *Day) *vday {
-	d := &vday{day: day, rec: &Record{}, rng: rand.New(rand.NewSource(day.Seed)), shared: fleet.NewShared(), workers: map[string]*vworker{},
+	d := &vday{day: day, rec: &Record{}, rng: rand.New(rand.NewSource(day.Seed)), shared: fleet.NewSharedState(), workers: map[string]*vworker{},
 		hits: map[string]int{}, rate: day.Rate, offered: 2}
 	plan, err := config.ParseEdge("virtual.sexp", day.EdgeText(0, "127.0.0.1:1", "127.0.0.1:2", "http://127.0.0.1:3", "state", nil))
 	if err != nil {
@@ -135,7 +135,7 @@
 	}
 	d.settings = plan.Module
 	d.settings["index"] = 0.0
-	d.release = logic.News{Rel: 1, Phase: logic.Released, Cap: 1, Stage: len(day.Stages) - 1}
+	d.release = logic.ReleaseUpdate{Rel: 1, Phase: logic.Released, Cap: 1, Stage: len(day.Stages) - 1}
 	d.before = d.release
 	for i := 0; i < day.Machines; i++ {
 		d.places = append(d.places, d.boot(i, 1, 0))
@@ -226,7 +226,7 @@
 				d.hits["left"]++
 				t.over, r.Left = true, d.now
 				s.held--
-				s.hand(func() { s.m.Left(d.clock(), t.id) })
+				s.hand(func() { s.m.ClientLeft(d.clock(), t.id) })
 			}
 		})
 	}
@@ -258,8 +258,8 @@
 		if news.Phase != logic.Released { // as the edge restores it
 			news.Cap = 0
 		}
-		s.hand(func() { s.m.List(d.clock(), logic.Restored, list) })
-		s.hand(func() { s.m.News(d.clock(), news) })
+		s.hand(func() { s.m.UpdateWorkers(d.clock(), logic.Restored, list) })
+		s.hand(func() { s.m.ReleaseUpdate(d.clock(), news) })
 	}
 	life := s.life
 	d.in(100*ms, func() {
@@ -348,7 +348,7 @@
 		s.held--
 		t.rec.Answered, t.rec.Status, t.rec.Build = d.now, 200, b.arrival.Build
 	}
-	o := logic.Outcome{Txn: t.id, Number: b.n, Ending: e, Elapsed: logic.Nanos(d.now - b.sent), Over: t.over, Load: load}
+	o := logic.Outcome{Txn: t.id, Number: b.n, Ending: e, Elapsed: logic.Nanos(d.now - b.sent), Final: t.over, Load: load}
 	s.hand(func() { s.m.Outcome(d.clock(), o) })
 }
 
@@ -401,31 +401,31 @@
 }
 func (s *vsentry) Decline(id logic.TxnID, after logic.Nanos) { s.final(id, 503, "declined") }
 func (s *vsentry) Void(id logic.TxnID)                       { s.final(id, 502, "voided") }
-func (s *vsentry) Remind(after logic.Nanos, token uint64) {
+func (s *vsentry) SetTimer(after logic.Nanos, token uint64) {
 	life := s.life
 	s.d.in(at(after), func() {
 		if s.life == life {
-			s.hand(func() { s.m.Timer(s.d.clock(), token) })
+			s.hand(func() { s.m.TimerFired(s.d.clock(), token) })
 		}
 	})
 }
-func (s *vsentry) Watch()                   {}
-func (s *vsentry) Tell(to int, data []byte) {}
-func (s *vsentry) Log(string)               {}
+func (s *vsentry) WatchWorkers()                  {}
+func (s *vsentry) SendToPeer(to int, data []byte) {}
+func (s *vsentry) Log(string)                     {}
 
 // Vote reaches the platform, which counts nothing: the script moves the stages. Its answer is the present news.
 func (s *vsentry) Vote(v logic.Verdict, rel logic.RelID, stage int) {
 	d, life := s.d, s.life
 	d.hits["vote"]++
-	if v == logic.Back {
+	if v == logic.VerdictBack {
 		d.backs = append(d.backs, d.now)
 	}
 	n := d.present()
-	n.Answer = true
+	n.VoteReply = true
 	wait := 30 * ms
 	if d.stalled || d.votesLost {
 		d.hits["vote lost"]++
-		n, wait = logic.News{Answer: true, Ending: logic.TimedOut}, time.Second
+		n, wait = logic.ReleaseUpdate{VoteReply: true, Ending: logic.TimedOut}, time.Second
 	}
 	d.in(wait, func() {
 		if s.life == life && !s.dead {
@@ -435,7 +435,7 @@
 }
 
 // tellNews gives a sentry news, noted as told unless it is to be held against the sentry that it heeds it.
-func (s *vsentry) tellNews(n logic.News, noted bool) {
+func (s *vsentry) tellNews(n logic.ReleaseUpdate, noted bool) {
 	if s.dead {
 		return
 	}
@@ -443,7 +443,7 @@
 		s.keptNews = n
 		s.d.rec.Told = append(s.d.rec.Told, Told{Edge: s.n, At: s.d.now, Release: &ToldRelease{int(n.Rel), n.Stage, phaseNames[n.Phase], n.Cap}})
 	}
-	s.hand(func() { s.m.News(s.d.clock(), n) })
+	s.hand(func() { s.m.ReleaseUpdate(s.d.clock(), n) })
 }
 
 var phaseNames = map[logic.Phase]string{logic.OnTrial: api.OnTrial, logic.GoingBack: api.GoingBack, logic.Released: api.Released,
@@ -474,7 +474,7 @@
 		lines = append(lines, s.line(w))
 	}
 	s.kept = lines
-	s.hand(func() { s.m.List(s.d.clock(), logic.Whole, lines) })
+	s.hand(func() { s.m.UpdateWorkers(s.d.clock(), logic.Whole, lines) })
 }
 
 func (s *vsentry) tellChange(w api.Worker) {
@@ -487,7 +487,7 @@
 	if l.State != logic.Gone {
 		s.kept = append(s.kept, l)
 	}
-	s.hand(func() { s.m.List(s.d.clock(), logic.Changes, []logic.Worker{l}) })
+	s.hand(func() { s.m.UpdateWorkers(s.d.clock(), logic.Changes, []logic.Worker{l}) })
 }
 
 // ---- Workers ----
@@ -506,7 +506,7 @@
 func (w *vworker) begin(build int, started at) {
 	d := w.d
 	w.build, w.started, w.state, w.up = build, started, api.Up, true
-	w.m = fleet.NewMachine(d.day.Kind, fleet.Build{Number: build, Flaw: fleet.Good}, fleet.Nanos(started), d.shared, d.rng.Int63())
+	w.m = fleet.NewMachine(d.day.Kind, fleet.Build{Number: build, Flaw: fleet.NoFlaw}, fleet.Nanos(started), d.shared, d.rng.Int63())
 	w.m.Kind.Speed = d.day.SpeedLow + (d.day.SpeedHigh-d.day.SpeedLow)*d.rng.Float64()
 	if d.now > 0 {
 		d.list(w)
@@ -529,7 +529,7 @@
 		b.arrival.Began = true // as far as anyone knows
 		d.in(way, func() {
 			d.hits["broken"]++
-			b.s.over(b, logic.Broken, nil)
+			b.s.over(b, logic.Disconnected, nil)
 		})
 	}
 	clear(w.jobs)
@@ -598,15 +598,15 @@
 	b.job = uint64(d.ids)
 	j := fleet.Job{ID: b.job, Product: t.Product, Work: fleet.Nanos(float64(p.Work) * (0.5 + d.rng.Float64())), From: b.s.n}
 	if p.Effect == "referenced" {
-		j.Mark, j.Memory = t.Lineage, fleet.Nanos(p.Memory)
+		j.DedupKey, j.Memory = t.Lineage, fleet.Nanos(p.Memory)
 	}
-	switch w.m.Arrive(fleet.Nanos(d.now), j) {
-	case fleet.TurnedAway:
+	switch w.m.Submit(fleet.Nanos(d.now), j) {
+	case fleet.Refused:
 		b.arrival.Turned, b.arrival.End = true, "turned away"
-		d.in(way, func() { b.s.over(b, logic.Full, nil) })
-	case fleet.Down:
+		d.in(way, func() { b.s.over(b, logic.Rejected, nil) })
+	case fleet.MachineDown:
 		from := map[int]time.Duration{}
-		for k, v := range w.m.Pressed() {
+		for k, v := range w.m.RecentWork() {
 			from[k] = time.Duration(v)
 		}
 		d.rec.Falls = append(d.rec.Falls, Fall{Worker: id, Started: w.started, At: d.now, From: from})
@@ -621,7 +621,7 @@
 // look has the machine looked at when its next job ends.
 func (w *vworker) look() {
 	d, m := w.d, w.m
-	next := at(m.Next())
+	next := at(m.NextCompletion())
 	if next > d.day.Length+time.Hour {
 		return
 	}
@@ -635,16 +635,16 @@
 				continue
 			}
 			delete(w.jobs, done.ID)
-			b.arrival.Began, b.arrival.Dropped, b.arrival.Finished = done.Ran(), done.End == fleet.Dropped, d.now
+			b.arrival.Began, b.arrival.Dropped, b.arrival.Finished = done.TookEffect(), done.End == fleet.Dropped, d.now
 			e := logic.OK
 			b.arrival.End = "ok"
 			if done.End == fleet.Failed || w.garbage > 0 && d.rng.Float64() < w.garbage {
-				e, b.arrival.End = logic.Erred, "failed"
+				e, b.arrival.End = logic.ErrorResponse, "failed"
 				d.hits["erred"]++
 			}
 			r := m.Load(fleet.Nanos(d.now))
 			load := &logic.Load{Util: r.Util, Queue: r.Queue, Busy: r.Busy}
-			if m.Ail.Idle {
+			if m.Fault.ReportsIdle {
 				d.hits["idle"]++
 			}
 			d.in(way, func() { b.s.over(b, e, load) })
@@ -655,7 +655,7 @@
 
 // ---- The platform's script ----
 
-func (d *vday) present() logic.News {
+func (d *vday) present() logic.ReleaseUpdate {
 	n := d.release
 	n.Age = logic.Nanos(d.now - d.since)
 	return n
@@ -675,7 +675,7 @@
 }
 
 // moves changes where the release stands.
-func (d *vday) moves(n logic.News) {
+func (d *vday) moves(n logic.ReleaseUpdate) {
 	d.before, d.beforeAt = d.release, d.since
 	d.release, d.since = n, d.now
 	d.push()
@@ -683,7 +683,7 @@
 
 // stage brings the newest build to a stage: as many places as it has get a machine with it, and the earlier ones drain.
 func (d *vday) stage(stage int) {
-	d.moves(logic.News{Rel: logic.RelID(d.offered), Stage: stage, Phase: logic.OnTrial, Cap: d.day.caps()[stage]})
+	d.moves(logic.ReleaseUpdate{Rel: logic.RelID(d.offered), Stage: stage, Phase: logic.OnTrial, Cap: d.day.caps()[stage]})
 	want := int(d.day.Stages[stage]*float64(len(d.places)) + 0.999)
 	for i := 0; i < want; i++ {
 		d.replace(i, d.offered)
@@ -713,7 +713,7 @@
 }
 
 func (d *vday) goesBack() {
-	d.moves(logic.News{Rel: logic.RelID(d.offered), Stage: d.release.Stage, Phase: logic.GoingBack})
+	d.moves(logic.ReleaseUpdate{Rel: logic.RelID(d.offered), Stage: d.release.Stage, Phase: logic.GoingBack})
 	for i, w := range d.places {
 		if w.build == d.offered {
 			d.replace(i, 1)
@@ -723,12 +723,12 @@
 
 // withdraws ends the way back; the next build follows.
 func (d *vday) withdraws() {
-	d.moves(logic.News{Rel: logic.RelID(d.offered), Stage: d.release.Stage, Phase: logic.Withdrawn})
+	d.moves(logic.ReleaseUpdate{Rel: logic.RelID(d.offered), Stage: d.release.Stage, Phase: logic.Withdrawn})
 	d.offered++
 }
 
 func (d *vday) releases() {
-	d.moves(logic.News{Rel: logic.RelID(d.offered), Stage: len(d.day.Stages) - 1, Phase: logic.Released, Cap: 1})
+	d.moves(logic.ReleaseUpdate{Rel: logic.RelID(d.offered), Stage: len(d.day.Stages) - 1, Phase: logic.Released, Cap: 1})
 }
 
 // drainSentry stops a sentry as SIGTERM does, and starts it anew on what it kept.
--- a/lab/workers.go
+++ b/lab/workers.go
@@ -22,7 +22,7 @@
 	now    func() at
 	host   string // the loopback address they listen on
 	mu     sync.Mutex
-	shared *fleet.Shared
+	shared *fleet.SharedState
 	group  sync.WaitGroup
 	next   int // id of a job
 	ids    int // of a worker
@@ -48,7 +48,7 @@
 	address string
 	build   fleet.Build
 	speed   float64
-	ail     fleet.Ailment
+	ail     fleet.MachineFault
 	ln      net.Listener
 	m       *fleet.Machine
 	started at
@@ -77,12 +77,12 @@
 }
 
 func newPark(day *Day, rec *Record, now func() at, host string) *park {
-	return &park{day: day, rec: rec, now: now, host: host, shared: fleet.NewShared(), byID: map[string]*worker{},
+	return &park{day: day, rec: rec, now: now, host: host, shared: fleet.NewSharedState(), byID: map[string]*worker{},
 		recent: map[int]float64{}, counts: map[countOf]*count{}}
 }
 
 // add makes a worker for a place. It does not run yet.
-func (p *park) add(place int, build fleet.Build, speed float64, ail fleet.Ailment) *worker {
+func (p *park) add(place int, build fleet.Build, speed float64, ail fleet.MachineFault) *worker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ids++
@@ -112,7 +112,7 @@
 	kind := w.p.day.Kind
 	kind.Speed = w.speed
 	w.m = fleet.NewMachine(kind, w.build, fleet.Nanos(w.started), w.p.shared, w.rng.Int63())
-	w.m.Ail = w.ail
+	w.m.Fault = w.ail
 	w.p.group.Go(func() { w.accept(ln) })
 	return nil
 }
@@ -149,12 +149,12 @@
 }
 
 // ailing changes what is wrong with a worker.
-func (w *worker) ailing(change func(*fleet.Ailment)) {
+func (w *worker) ailing(change func(*fleet.MachineFault)) {
 	w.p.mu.Lock()
 	defer w.p.mu.Unlock()
 	change(&w.ail)
 	if w.m != nil {
-		w.m.Ail = w.ail
+		w.m.Fault = w.ail
 	}
 }
 
@@ -302,24 +302,24 @@
 	j := &job{arrival: a, conn: c, head: r.Method == http.MethodHead}
 	spec := &p.day.Products[product]
 	sends := w.collect()
-	verdict := fleet.Taken
+	verdict := fleet.Accepted
 	switch {
 	case bad:
 		a.End, a.Began = "bad", false
 		out = answer(500, "", nil, a, w, false, j.head)
 	default:
-		verdict = w.m.Arrive(fleet.Nanos(now), fleet.Job{ID: id, Product: product, Mark: mark, Memory: fleet.Nanos(spec.Memory),
+		verdict = w.m.Submit(fleet.Nanos(now), fleet.Job{ID: id, Product: product, DedupKey: mark, Memory: fleet.Nanos(spec.Memory),
 			Work: fleet.Nanos(work), From: int(headerInt(r, "Lab-Edge"))})
 	}
 	switch verdict {
-	case fleet.TurnedAway:
+	case fleet.Refused:
 		a.Turned, a.End = true, "turned-away"
 		out = answer(503, "Dunegrade-Unseen: 1\r\n", nil, a, w, false, j.head)
-	case fleet.Down:
+	case fleet.MachineDown:
 		if !w.fell {
 			w.fell = true
 			from := map[int]time.Duration{}
-			for e, sum := range w.m.Pressed() {
+			for e, sum := range w.m.RecentWork() {
 				from[e] = time.Duration(sum)
 			}
 			p.rec.mu.Lock()
@@ -329,7 +329,7 @@
 		a.End = "down"
 		w.end()
 	}
-	if out == nil && verdict == fleet.Taken {
+	if out == nil && verdict == fleet.Accepted {
 		w.jobs[id] = j
 		c.cur = id
 		w.arm()
@@ -359,7 +359,7 @@
 
 // arm sets the timer for the next job's end. The lock is held.
 func (w *worker) arm() {
-	next := time.Duration(w.m.Next())
+	next := time.Duration(w.m.NextCompletion())
 	if w.timer != nil {
 		w.timer.Stop()
 	}
@@ -385,14 +385,14 @@
 }
 
 // finish books a job's end, and has its answer sent. The lock is held.
-func (w *worker) finish(d fleet.Done, send func(*workConn, []byte)) {
+func (w *worker) finish(d fleet.CompletedJob, send func(*workConn, []byte)) {
 	j := w.jobs[d.ID]
 	if j == nil {
 		return
 	}
 	delete(w.jobs, d.ID)
 	a := j.arrival
-	a.Finished, a.Began, a.Dropped = w.p.now(), d.Ran(), d.End == fleet.Dropped
+	a.Finished, a.Began, a.Dropped = w.p.now(), d.TookEffect(), d.End == fleet.Dropped
 	status, wrong := 200, false
 	switch d.End {
 	case fleet.Failed:
@@ -432,7 +432,7 @@
 
 var answerBody = []byte("0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcde\n")
 
-func answer(status int, extra string, load *fleet.Report, a *Arrival, w *worker, wrong, head bool) []byte {
+func answer(status int, extra string, load *fleet.LoadReport, a *Arrival, w *worker, wrong, head bool) []byte {
 	out := make([]byte, 0, 512)
 	out = fmt.Appendf(out, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\nLab-Txn: %d\r\nLab-Build: %d\r\nLab-Worker: %s\r\n%s", status,
 		http.StatusText(status), len(answerBody), a.Txn, w.build.Number, w.id, extra)
@@ -459,11 +459,11 @@
 		all += n
 	}
 	for _, w := range p.byID {
-		if w.build.Flaw == fleet.SlowsAll && all > 0 {
+		if w.build.Flaw == fleet.SlowsFleet && all > 0 {
 			most = max(most, 1+(w.build.Strength-1)*p.recent[w.build.Number]/all)
 		}
 	}
-	p.shared.Drag = most
+	p.shared.SlowdownFactor = most
 	for b := range p.recent {
 		p.recent[b] *= 0.9
 	}
--- a/logic/emit.go
+++ b/logic/emit.go
@@ -24,7 +24,7 @@
 			}
 		}
 		if t.has == unanswered && t.want.wake > s.now {
-			s.out.Remind(t.want.wake-s.now, uint64(at)|uint64(t.gen)<<32)
+			s.out.SetTimer(t.want.wake-s.now, uint64(at)|uint64(t.gen)<<32)
 			t.want.wake = 0
 		}
 		if t.has != unanswered {
@@ -34,19 +34,19 @@
 	s.touched = s.touched[:0]
 	if s.wantWatch && s.now >= s.watchAt {
 		s.watchAt = s.now + s.span("rules.ask-within", 10*Second)
-		s.out.Watch()
+		s.out.WatchWorkers()
 	}
 	for _, to := range s.tells {
-		s.out.Tell(to, s.own.pack(s.trial))
+		s.out.SendToPeer(to, s.own.pack(s.trial))
 	}
 	s.tells = s.tells[:0]
-	if s.wantVote != NoVote && s.mayVote {
+	if s.wantVote != VerdictNone && s.mayVote {
 		s.mayVote = false
 		s.out.Vote(s.wantVote, s.trial, s.news.Stage)
 	}
 	if s.now >= s.beatAt {
 		s.beatAt = s.now + beat
-		s.out.Remind(beat, 0)
+		s.out.SetTimer(beat, 0)
 	}
 }
 
--- a/logic/explain.go
+++ b/logic/explain.go
@@ -3,8 +3,8 @@
 // Explain says of each worker what speaks against sending it a txn of a product now, "" where nothing does: for people
 // who ask why a txn was declined, on a replay that stands at that moment. It changes nothing and decides nothing. tried
 // is how many submissions the txn has had.
-func (s *Sentry) Explain(p ProductID, k KeyID, tried int) []Standing {
-	var out []Standing
+func (s *Sentry) Explain(p ProductID, k KeyID, tried int) []WorkerStatus {
+	var out []WorkerStatus
 	if int(p) >= len(s.products) {
 		return nil
 	}
@@ -14,37 +14,37 @@
 		t.subs[i].to = &worker{}
 	}
 	for _, w := range s.order {
-		v := Standing{Worker: w.ID, Rel: w.Rel, Trial: s.onTrial(w.Rel), Open: w.open, Limit: w.limit * s.squeeze, Slow: w.slow}
+		v := WorkerStatus{Worker: w.ID, Rel: w.Rel, Trial: s.onTrial(w.Rel), Open: w.open, Limit: w.limit * s.squeeze, Slowdown: w.slow}
 		switch {
 		case w.State != Up:
-			v.Against = "not up"
+			v.Reason = "not up"
 		case s.ramp(w) < 1 && w.cold < 1:
-			v.Against = "cold, and its budget is used up"
+			v.Reason = "cold, and its budget is used up"
 		case v.Trial && s.exposure[s.lane(p)] < 1:
-			v.Against = "on trial, and no exposure is left"
+			v.Reason = "on trial, and no exposure is left"
 		case !s.maySend(t, w):
-			v.Against = "a rule forbids it"
+			v.Reason = "a rule forbids it"
 		case w.silent:
-			v.Against = "silent"
+			v.Reason = "silent"
 		case w.bad >= restAbove:
-			v.Against = "rests, as it failed too much"
+			v.Reason = "rests, as it failed too much"
 		case float64(w.open) >= v.Limit:
-			v.Against = "full"
+			v.Reason = "full"
 		case !s.room(w, t):
-			v.Against = "this sentry holds all that it may"
+			v.Reason = "this sentry holds all that it may"
 		}
 		out = append(out, v)
 	}
 	return out
 }
 
-// Standing is how a worker stands with a sentry.
-type Standing struct {
-	Worker  WorkerID
-	Rel     RelID
-	Trial   bool    // its build's exposure is bounded
-	Open    int     // submissions of this sentry that it holds
-	Limit   float64 // of them
-	Slow    float64 // times that it takes what is usual
-	Against string  // what speaks against it
+// WorkerStatus is how a worker stands with a sentry.
+type WorkerStatus struct {
+	Worker   WorkerID
+	Rel      RelID
+	Trial    bool    // its build's exposure is bounded
+	Open     int     // submissions of this sentry that it holds
+	Limit    float64 // of them
+	Slowdown float64 // times that it takes what is usual
+	Reason   string  // what speaks against it
 }
--- a/logic/helpers_test.go
+++ b/logic/helpers_test.go
@@ -31,11 +31,14 @@
 func (k *tape) Cancel(t TxnID, number int)           { k.put("cancel %d %d", t, number) }
 func (k *tape) Decline(t TxnID, retryAfter Nanos)    { k.put("decline %d %d", t, retryAfter/Millisecond) }
 func (k *tape) Void(t TxnID)                         { k.put("void %d", t) }
-func (k *tape) Remind(after Nanos, token uint64)     {}
+func (k *tape) SetTimer(after Nanos, token uint64)   {}
 func (k *tape) Vote(v Verdict, rel RelID, stage int) { k.put("vote %d %d %d", v, rel, stage) }
-func (k *tape) Watch()                               { k.put("watch") }
-func (k *tape) Tell(to int, data []byte)             { k.told = append(k.told[:0], data...); k.put("tell %d", to) }
-func (k *tape) Log(text string)                      {}
+func (k *tape) WatchWorkers()                        { k.put("watch") }
+func (k *tape) SendToPeer(to int, data []byte) {
+	k.told = append(k.told[:0], data...)
+	k.put("tell %d", to)
+}
+func (k *tape) Log(text string) {}
 
 func (k *tape) count(prefix string) int {
 	n := 0
@@ -97,11 +100,11 @@
 		}
 		list = append(list, w)
 	}
-	r.List(r.clock, Restored, list)
+	r.UpdateWorkers(r.clock, Restored, list)
 	if trial > 0 {
-		r.Sentry.News(r.clock, News{Rel: 2, Cap: cap, Phase: OnTrial})
+		r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Cap: cap, Phase: OnTrial})
 	} else {
-		r.Sentry.News(r.clock, News{Rel: 1, Cap: 1, Phase: Released})
+		r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 1, Cap: 1, Phase: Released})
 	}
 	return r
 }
@@ -117,14 +120,14 @@
 func (r *rig) wait(span Nanos) {
 	for end := r.clock + span; r.clock < end; {
 		r.clock += min(beat, end-r.clock)
-		r.Timer(r.clock, 0)
+		r.TimerFired(r.clock, 0)
 	}
 }
 
 // end ends a submission.
 func (r *rig) end(t TxnID, number int, e Ending, took Nanos) {
-	r.Outcome(r.clock, Outcome{Txn: t, Number: number, Ending: e, Elapsed: took, Over: e == OK,
-		Given: e == Spoilt || e == Broken || e == Cancelled})
+	r.Outcome(r.clock, Outcome{Txn: t, Number: number, Ending: e, Elapsed: took, Final: e == OK,
+		MaybeAnswered: e == MalformedResponse || e == Disconnected || e == Cancelled})
 }
 
 // to is the worker that the txn's last submission went to, or "".
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -74,10 +74,10 @@
 
 // ---- What is known of the workers ----
 
-// List takes in what discovery tells.
-func (s *Sentry) List(now Nanos, mode ListMode, list []Worker) {
+// UpdateWorkers takes in what discovery tells.
+func (s *Sentry) UpdateWorkers(now Nanos, mode ListMode, list []Worker) {
 	s.now = now
-	if mode == NoList {
+	if mode == ListUnavailable {
 		// Asking again at once would flood a service that is overloaded already.
 		s.watchGap = min(max(2*s.watchGap, Second), 4*Second)
 		s.watchAt = now + s.watchGap/2 + Nanos(s.rng.Int63n(int64(s.watchGap)))
@@ -213,9 +213,9 @@
 	})
 }
 
-// Stands tells whether a submission that the host could not send yet may still go. Danger: by the time that a
+// StillAllowed tells whether a submission that the host could not send yet may still go. Danger: by the time that a
 // connection is up its worker may drain, or the cap have fallen: attempts are counted anew from then.
-func (s *Sentry) Stands(now Nanos, id TxnID, number int) bool {
+func (s *Sentry) StillAllowed(now Nanos, id TxnID, number int) bool {
 	at, held := s.byID[id]
 	if !held || number >= s.slab[at].n {
 		return false
@@ -486,23 +486,23 @@
 	t := &s.slab[at]
 	sub := &t.subs[o.Number]
 	sub.out = false
-	sub.ran = o.Ending != Full && o.Ending != ConnectFailed && o.Ending != Moot
+	sub.ran = o.Ending != Rejected && o.Ending != ConnectFailed && o.Ending != Skipped
 	sub.to.open--
 	s.held--
 	s.ask(t, sub, -1)
 	// Danger: what broke off, came spoilt or was called off may have been answered; then the key counts.
-	if sub.rel == s.trial && (o.Ending == OK || o.Given) {
+	if sub.rel == s.trial && (o.Ending == OK || o.MaybeAnswered) {
 		s.meet(t)
 	}
 	s.learn(t, sub, o)
 	s.weigh(sub.to)
-	if o.Over {
+	if o.Final {
 		t.has = settled
 	}
 	if t.has == unanswered {
 		// Danger: workers that turn away all that comes would be asked by each txn in turn, and drown.
 		if now < t.Expiry && s.agains >= 1 && o.Ending != Cancelled &&
-			(o.Ending != Erred || !s.follows(t, o.Ending, 0, 0)) {
+			(o.Ending != ErrorResponse || !s.follows(t, o.Ending, 0, 0)) {
 			s.agains--
 			s.place(at)
 		} else {
@@ -513,8 +513,8 @@
 	s.emit()
 }
 
-// Begun takes that an answer has begun to arrive. Danger: a long one takes its time, its key counts by then.
-func (s *Sentry) Begun(now Nanos, id TxnID, number int) {
+// ResponseStarted takes that an answer has begun to arrive. Danger: a long one takes its time, its key counts by then.
+func (s *Sentry) ResponseStarted(now Nanos, id TxnID, number int) {
 	s.now = now
 	if at, held := s.byID[id]; held && number < s.slab[at].n && s.slab[at].subs[number].rel == s.trial {
 		s.meet(&s.slab[at])
@@ -546,7 +546,7 @@
 func (s *Sentry) learn(t *txn, sub *submission, o Outcome) {
 	w, p := sub.to, &s.products[t.Product]
 	times := float64(o.Elapsed) / max(s.expected(t), 1)
-	if o.Ending == OK || o.Ending == Full || o.Ending == Erred || o.Ending == Spoilt {
+	if o.Ending == OK || o.Ending == Rejected || o.Ending == ErrorResponse || o.Ending == MalformedResponse {
 		w.heard, w.silent = s.now, false
 	}
 	switch o.Ending {
@@ -565,18 +565,18 @@
 		if p.learnt++; p.learnt < 100 || !s.watching {
 			p.typical += max(0.01, 1/float64(p.learnt)) * (unit - p.typical)
 		}
-	case Full:
+	case Rejected:
 		s.widen(w, 0.8)
-	case Erred, Spoilt:
+	case ErrorResponse, MalformedResponse:
 		w.bad += 0.15 * (1 - w.bad) * bit(!s.follows(t, o.Ending, 0, 0))
-	case Broken, ConnectFailed:
+	case Disconnected, ConnectFailed:
 		w.bad += 0.4 * (1 - w.bad)
 	case TimedOut, Cancelled:
 		if o.Elapsed > p.sla {
 			s.widen(w, 1-limitStep*(1-slowShare))
 		}
 		w.slow = max(w.slow, w.slow+0.15*(min(times, 20)-w.slow))
-	case Moot:
+	case Skipped:
 		return
 	}
 	// Times count against those of the earlier builds at the same moment, so that load does not.
@@ -598,24 +598,24 @@
 		}
 	}
 	// Danger: errors that follow a customer or a key speak against no worker and no build.
-	if s.follows(t, o.Ending, 0.15, 0.1*bit(!s.onTrial(sub.rel))) && o.Ending == Erred {
+	if s.follows(t, o.Ending, 0.15, 0.1*bit(!s.onTrial(sub.rel))) && o.Ending == ErrorResponse {
 		return
 	}
 	if !s.onTrial(sub.rel) && sub.rel < s.trial {
-		s.usualErr += 0.005 * (bit(o.Ending == Erred) - s.usualErr)
+		s.usualErr += 0.005 * (bit(o.Ending == ErrorResponse) - s.usualErr)
 	}
-	if sub.rel == s.trial && (o.Ending == OK || o.Ending == Erred) {
+	if sub.rel == s.trial && (o.Ending == OK || o.Ending == ErrorResponse) {
 		s.own.tried++
-		w.fails += bit(o.Ending == Erred && s.now-w.failedAt >= ownBurst)
-		w.failedAt = max(w.failedAt, s.now*Nanos(bit(o.Ending == Erred)))
+		w.fails += bit(o.Ending == ErrorResponse && s.now-w.failedAt >= ownBurst)
+		w.failedAt = max(w.failedAt, s.now*Nanos(bit(o.Ending == ErrorResponse)))
 	}
 	// Danger: answers that come spoilt from all alike would hide an erring build, or pass for one.
-	if o.Ending == Spoilt && len(s.bases) == 0 {
+	if o.Ending == MalformedResponse && len(s.bases) == 0 {
 		return
 	}
 	if sub.rel == s.trial && len(s.bases) == 0 && sub.tells {
 		s.own.pairs++
-		if o.Ending == Erred {
+		if o.Ending == ErrorResponse {
 			s.lose(w, &s.own.against, 1-s.usualErr-errorFloor)
 		} else if o.Ending == OK {
 			s.own.favour += s.usualErr + errorFloor
@@ -629,7 +629,7 @@
 	// Danger: a cold worker is late for being cold; only errors speak against it. A client of little patience
 	// leaves before anything can be called late.
 	if o.Ending == ConnectFailed || (o.Ending == Cancelled || o.Ending == TimedOut) && o.Elapsed <= 2*p.sla ||
-		!good && o.Ending != Erred && s.ramp(w) < 1 {
+		!good && o.Ending != ErrorResponse && s.ramp(w) < 1 {
 		return
 	}
 	// Danger: what the trial showed during a trouble would meet what the baseline shows once it is over.
@@ -659,8 +659,8 @@
 	}
 }
 
-// Timer takes a timer: the beat, or a txn that has waited for long.
-func (s *Sentry) Timer(now Nanos, token uint64) {
+// TimerFired takes a timer: the beat, or a txn that has waited for long.
+func (s *Sentry) TimerFired(now Nanos, token uint64) {
 	s.now = now
 	s.refill()
 	if token == 0 {
@@ -719,11 +719,11 @@
 
 // ---- The build on trial ----
 
-// News takes what the platform tells of the newest build.
-func (s *Sentry) News(now Nanos, n News) {
+// ReleaseUpdate takes what the platform tells of the newest build.
+func (s *Sentry) ReleaseUpdate(now Nanos, n ReleaseUpdate) {
 	s.now = now
 	// Danger: an answer to a vote may trail the news. It must not put a build that goes back on trial again.
-	if n.Ending != OK || n.Answer && s.news.back() && (n.Rel < s.news.Rel || n.Rel == s.news.Rel && !n.back()) {
+	if n.Ending != OK || n.VoteReply && s.news.back() && (n.Rel < s.news.Rel || n.Rel == s.news.Rel && !n.back()) {
 		return
 	}
 	old := s.capNow()
@@ -768,7 +768,7 @@
 
 // judge sets down the vote that is wanted (steps 5 and 6).
 func (s *Sentry) judge() {
-	s.wantVote = NoVote
+	s.wantVote = VerdictNone
 	if s.trial != s.news.Rel || s.news.back() {
 		return
 	}
@@ -813,18 +813,18 @@
 	switch {
 	case failing, slow > slowBack+slowMany*s.many, fluke < backLevel/few*math.Exp(-s.many),
 		s.now-s.draggedAt >= drags && s.rises > 1, s.now-s.draggedAt >= 3*drags:
-		s.wantVote = Back
+		s.wantVote = VerdictBack
 	case s.news.Phase == Released:
 	case s.word("release.votes") == "clocked":
 		if p < holdLevel {
-			s.wantVote = Hold
+			s.wantVote = VerdictHold
 		}
 	case gathers && age >= s.span("release.bake", 0) && enough && slow < slowStop &&
 		spread > leadLevel && (p > leadLevel || all.leanAgainst < 2) &&
 		(s.drag < dragged*3/4 || !s.lacking && s.rises == 0):
-		s.wantVote = On
+		s.wantVote = VerdictOn
 	}
-	if mode := int(s.trial)*8 + int(s.wantVote); s.wantVote != NoVote && mode != s.mode {
+	if mode := int(s.trial)*8 + int(s.wantVote); s.wantVote != VerdictNone && mode != s.mode {
 		s.mode = mode
 		s.out.Log(fmt.Sprintf("vote %d on build %d: %.0f pairs, %.1f against, %.1f for, p %.4f, spread %.4f; "+
 			"slower by %.1f, all by %.2f",
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -16,12 +16,12 @@
 		again   bool
 		answer  string
 	}{
-		{"inquiry-like goes again after an error", inquiry, Erred, true, ""},
-		{"referenced goes again after a break", hold, Broken, true, ""},
-		{"once-only that may have run is voided", pay, Erred, false, "void"},
-		{"once-only is voided after a break", pay, Broken, false, "void"},
+		{"inquiry-like goes again after an error", inquiry, ErrorResponse, true, ""},
+		{"referenced goes again after a break", hold, Disconnected, true, ""},
+		{"once-only that may have run is voided", pay, ErrorResponse, false, "void"},
+		{"once-only is voided after a break", pay, Disconnected, false, "void"},
 		{"once-only is voided after a time-out", pay, TimedOut, false, "void"},
-		{"once-only goes again where none saw it", pay, Full, true, ""},
+		{"once-only goes again where none saw it", pay, Rejected, true, ""},
 		{"once-only goes again after a failed connect", pay, ConnectFailed, true, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -49,13 +49,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(0, 0, 0, "products.1.group", c.group, "allow.copies", false)
-			r.List(r.clock, Whole, []Worker{{ID: "a", Rel: 1}, {ID: "b", Rel: 1, Zone: 1}})
+			r.UpdateWorkers(r.clock, Whole, []Worker{{ID: "a", Rel: 1}, {ID: "b", Rel: 1, Zone: 1}})
 			id := r.take(hold, 0)
 			r.clock += c.wait
 			first := r.to(id)
-			r.List(r.clock, Changes, []Worker{{ID: WorkerID(first), Zone: r.workers[WorkerID(first)].Zone, Rel: 1,
+			r.UpdateWorkers(r.clock, Changes, []Worker{{ID: WorkerID(first), Zone: r.workers[WorkerID(first)].Zone, Rel: 1,
 				State: Draining}})
-			r.end(id, 0, Broken, c.wait)
+			r.end(id, 0, Disconnected, c.wait)
 			want(t, "sent again", r.count("submit") == 2, c.again)
 		})
 	}
@@ -67,9 +67,9 @@
 		name string
 		act  func(r *rig) TxnID
 	}{
-		{"no workers", func(r *rig) TxnID { r.List(r.clock, Whole, nil); return r.take(pay, 0) }},
+		{"no workers", func(r *rig) TxnID { r.UpdateWorkers(r.clock, Whole, nil); return r.take(pay, 0) }},
 		{"all drain", func(r *rig) TxnID {
-			r.List(r.clock, Whole, []Worker{{ID: "old00", Rel: 1, State: Draining}})
+			r.UpdateWorkers(r.clock, Whole, []Worker{{ID: "old00", Rel: 1, State: Draining}})
 			return r.take(inquiry, 0)
 		}},
 		{"time-out at the end", func(r *rig) TxnID {
@@ -81,7 +81,7 @@
 		{"all turn it away", func(r *rig) TxnID {
 			id := r.take(pay, 0)
 			for i := 0; i < 4; i++ {
-				r.end(id, i, Full, Millisecond)
+				r.end(id, i, Rejected, Millisecond)
 			}
 			return id
 		}},
@@ -93,7 +93,7 @@
 			before := r.count("submit")
 			r.wait(3 * Second)
 			r.end(id, 0, OK, Second)
-			r.Left(r.clock, id)
+			r.ClientLeft(r.clock, id)
 			want(t, "later submissions", r.count("submit")-before, 0)
 		})
 	}
@@ -108,7 +108,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := &rig{tape: &tape{sent: map[WorkerID]int{}}, clock: Second}
 			r.Sentry = New(r.clock, 1, set, r.tape)
-			r.List(r.clock, Restored, []Worker{{ID: "a", Rel: 1}})
+			r.UpdateWorkers(r.clock, Restored, []Worker{{ID: "a", Rel: 1}})
 			if len(r.products) > 0 {
 				r.take(inquiry, 0)
 			}
@@ -139,7 +139,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(2, 8, c.cap, c.changes...)
 			if !c.news {
-				r.Sentry.news = News{Rel: 1, Phase: Released, Cap: 1}
+				r.Sentry.news = ReleaseUpdate{Rel: 1, Phase: Released, Cap: 1}
 			}
 			r.run(400, c.product, noKey, fine)
 			got := 0
@@ -159,13 +159,13 @@
 	r := newRig(8, 0, 0)
 	r.run(400, inquiry, noKey, fine)
 	clear(r.sent)
-	r.List(r.clock, Changes, []Worker{{ID: "old00", Rel: 1, Start: r.clock}})
+	r.UpdateWorkers(r.clock, Changes, []Worker{{ID: "old00", Rel: 1, Start: r.clock}})
 	r.run(50, inquiry, noKey, fine) // one second: 50 txns, 8 workers, even share 6, capacity at least 30%
 	if n := r.sent["old00"]; n > 7 {
 		t.Errorf("%d sent to a worker that just started", n)
 	}
 	for i := 1; i < 8; i++ { // the rest drains: what is left may not be flooded
-		r.List(r.clock, Changes, []Worker{{ID: WorkerID("old0" + string(rune('0'+i))), Rel: 1, State: Draining}})
+		r.UpdateWorkers(r.clock, Changes, []Worker{{ID: WorkerID("old0" + string(rune('0'+i))), Rel: 1, State: Draining}})
 	}
 	clear(r.sent)
 	r.run(50, inquiry, noKey, fine)
@@ -199,7 +199,7 @@
 			return OK, 50 * Millisecond
 		})
 		want(t, "keys bound", len(met) > 5, true)
-		r.Sentry.News(r.clock, News{Rel: 2, Phase: GoingBack})
+		r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Phase: GoingBack})
 		want(t, "keys bound after going back", len(r.metTrial), 0)
 	})
 	t.Run("bound key without room is declined with a time", func(t *testing.T) {
@@ -222,19 +222,19 @@
 		vote       string
 	}{
 		{"good build goes on", "single", OnTrial, fine, "vote 1 2 0"},
-		{"failing build goes back", "single", OnTrial, only("trial", 2, Erred, 10*Millisecond), "vote 3 2 0"},
+		{"failing build goes back", "single", OnTrial, only("trial", 2, ErrorResponse, 10*Millisecond), "vote 3 2 0"},
 		{"late build goes back", "majority", OnTrial, only("trial", 1, OK, 2500*Millisecond), "vote 3 2 0"},
 		{"slow build goes back", "single", OnTrial, only("trial", 1, OK, 400*Millisecond), "vote 3 2 0"},
-		{"released build goes back", "single", Released, only("trial", 2, Erred, 10*Millisecond), "vote 3 2 0"},
+		{"released build goes back", "single", Released, only("trial", 2, ErrorResponse, 10*Millisecond), "vote 3 2 0"},
 		{"clock needs no on", "clocked", OnTrial, fine, ""},
 		{"clock holds on a lead", "clocked", OnTrial, func(w string, i int) (Ending, Nanos) {
 			if strings.HasPrefix(w, "trial") && i > 100 && i < 120 && i%2 == 0 {
-				return Erred, 10 * Millisecond
+				return ErrorResponse, 10 * Millisecond
 			}
 			return OK, 50 * Millisecond
 		}, "vote 2 2 0"},
-		{"one failing worker is not the build", "single", OnTrial, only("trial00", 1, Erred, 10*Millisecond), "vote 1 2 0"},
-		{"errors on both sides are not the build", "single", OnTrial, only("", 4, Erred, 10*Millisecond), ""},
+		{"one failing worker is not the build", "single", OnTrial, only("trial00", 1, ErrorResponse, 10*Millisecond), "vote 1 2 0"},
+		{"errors on both sides are not the build", "single", OnTrial, only("", 4, ErrorResponse, 10*Millisecond), ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			old := 6
@@ -242,7 +242,7 @@
 				old = 0
 			}
 			r := newRig(old, 4, 1, "release.votes", c.mode)
-			r.Sentry.News(r.clock, News{Rel: 2, Cap: 1, Phase: c.phase})
+			r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Cap: 1, Phase: c.phase})
 			r.run(400, inquiry, noKey, c.ending)
 			for _, v := range []string{"vote 1", "vote 2", "vote 3"} {
 				if strings.HasPrefix(c.vote, v) {
@@ -265,9 +265,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(6, 0, 0)
 			r.run(400, inquiry, noKey, fine)
-			r.List(r.clock, Changes, []Worker{{ID: "trial00", Rel: 2}, {ID: "trial01", Rel: 2}})
+			r.UpdateWorkers(r.clock, Changes, []Worker{{ID: "trial00", Rel: 2}, {ID: "trial01", Rel: 2}})
 			for stage := 0; stage < 3; stage++ {
-				r.Sentry.News(r.clock, News{Rel: 2, Cap: 1, Stage: stage})
+				r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Cap: 1, Stage: stage})
 				r.run(250, inquiry, noKey, func(string, int) (Ending, Nanos) {
 					return OK, 50*Millisecond + Nanos(stage)*c.slow
 				})
@@ -292,13 +292,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(6, 0, 0, "sentries", 60.0, "products.0.sla", float64(c.sla))
 			r.run(400, inquiry, noKey, func(string, int) (Ending, Nanos) { return OK, 100 * Millisecond })
-			r.List(r.clock, Changes, []Worker{{ID: "trial00", Rel: 2}, {ID: "trial01", Rel: 2}})
+			r.UpdateWorkers(r.clock, Changes, []Worker{{ID: "trial00", Rel: 2}, {ID: "trial01", Rel: 2}})
 			back := false
 			for stage, slow := range []Nanos{100 * Millisecond, 130 * Millisecond, c.slow} {
-				r.Sentry.News(r.clock, News{Rel: 2, Cap: 1, Stage: stage})
+				r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Cap: 1, Stage: stage})
 				for i := 0; i < 30; i++ {
 					r.run(20, inquiry, noKey, func(string, int) (Ending, Nanos) { return OK, slow })
-					back = back || r.wantVote == Back
+					back = back || r.wantVote == VerdictBack
 				}
 			}
 			want(t, "back", back, c.back)
@@ -316,9 +316,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(4, 0, 0)
 			r.run(200, inquiry, noKey, fine)
-			r.List(r.clock, Changes, []Worker{{ID: "trial00", Rel: 2, Start: r.clock - c.age},
+			r.UpdateWorkers(r.clock, Changes, []Worker{{ID: "trial00", Rel: 2, Start: r.clock - c.age},
 				{ID: "trial01", Rel: 2, Start: r.clock - c.age}})
-			r.Sentry.News(r.clock, News{Rel: 2, Cap: 1})
+			r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Cap: 1})
 			r.run(110, inquiry, noKey, only("trial", 1, OK, 2500*Millisecond))
 			want(t, "back", r.count("vote 3") > 0, c.back)
 		})
@@ -328,7 +328,7 @@
 		for i := 0; i < 400; i++ {
 			r.next++
 			r.Take(r.clock, Txn{ID: r.next, Customer: CustomerID(1 + i%3), Expiry: r.clock + 2*Second})
-			e := []Ending{Erred, OK, OK}[i%3]
+			e := []Ending{ErrorResponse, OK, OK}[i%3]
 			r.end(r.next, 0, e, 20*Millisecond)
 			r.end(r.next, 1, e, 20*Millisecond)
 			r.wait(20 * Millisecond)
@@ -339,18 +339,18 @@
 	t.Run("missing workers", func(t *testing.T) {
 		r := newRig(8, 2, 1)
 		want(t, "lacking at first", r.lacking, false)
-		r.List(r.clock, Changes, []Worker{{ID: "old00", Rel: 1, State: Gone}, {ID: "old01", Rel: 1, State: Gone}})
+		r.UpdateWorkers(r.clock, Changes, []Worker{{ID: "old00", Rel: 1, State: Gone}, {ID: "old01", Rel: 1, State: Gone}})
 		want(t, "lacking", r.lacking, true)
 	})
 }
 
 func TestMessages(t *testing.T) {
 	r, other := newRig(6, 4, 1, "sentries", 2.0, "allow.messages", true), newRig(6, 4, 1, "sentries", 2.0)
-	r.run(100, inquiry, noKey, only("trial", 1, Erred, 10*Millisecond))
+	r.run(100, inquiry, noKey, only("trial", 1, ErrorResponse, 10*Millisecond))
 	want(t, "told", len(r.told), 22)
-	other.Told(other.clock, 1, r.told)
-	other.Told(other.clock, 0, []byte("no evidence"))
-	other.Told(other.clock, 9, r.told)
+	other.PeerMessage(other.clock, 1, r.told)
+	other.PeerMessage(other.clock, 0, []byte("no evidence"))
+	other.PeerMessage(other.clock, 9, r.told)
 	other.wait(2 * Second)
 	want(t, "back by what another saw", other.count("vote 3 2 0") > 0, true)
 	want(t, "a sentry that may send none", len(other.told), 0)
@@ -359,7 +359,7 @@
 		for i := 3; i < 43; i++ {
 			loss := evidence{pairs: 3, against: 1}
 			loss.groups[i%4] = 1
-			r.Told(r.clock, i, loss.pack(2))
+			r.PeerMessage(r.clock, i, loss.pack(2))
 		}
 		r.wait(2 * Second)
 		want(t, "back", r.count("vote 3 2 0") > 0, true)
@@ -399,7 +399,7 @@
 		}
 	}
 	for _, r := range fleet {
-		r.List(r.clock, Whole, []Worker{{ID: "old00", Rel: 1, Start: r.clock}})
+		r.UpdateWorkers(r.clock, Whole, []Worker{{ID: "old00", Rel: 1, Start: r.clock}})
 	}
 	if second(); sent["old00"] < 5 || sent["old00"] > 47 { // twice its least capacity, of 50, is 30 to 47 by now
 		t.Errorf("%d to a worker that just started", sent["old00"])
@@ -436,7 +436,7 @@
 func TestHealth(t *testing.T) {
 	t.Run("failing fast draws no load", func(t *testing.T) {
 		r := newRig(5, 0, 0)
-		r.run(500, inquiry, noKey, only("old00", 1, Erred, Millisecond))
+		r.run(500, inquiry, noKey, only("old00", 1, ErrorResponse, Millisecond))
 		if n := r.sent["old00"]; n > 40 {
 			t.Errorf("%d of 500 to a worker that fails", n)
 		}
@@ -468,18 +468,18 @@
 func TestList(t *testing.T) {
 	t.Run("a whole list lacks a worker", func(t *testing.T) {
 		r := newRig(3, 0, 0)
-		r.List(r.clock, Whole, []Worker{{ID: "old01", Rel: 1}})
+		r.UpdateWorkers(r.clock, Whole, []Worker{{ID: "old01", Rel: 1}})
 		r.run(20, inquiry, noKey, fine)
 		want(t, "only the one listed", r.sent["old01"], 20)
 	})
 	t.Run("asked for and renewed after a failure", func(t *testing.T) {
 		r := newRig(3, 0, 0, "discovery", "ask")
 		want(t, "watch", r.count("watch"), 1)
-		r.List(r.clock, NoList, nil)
+		r.UpdateWorkers(r.clock, ListUnavailable, nil)
 		want(t, "not at once", r.count("watch"), 1)
 		r.wait(5 * Second)
 		want(t, "renewed once", r.count("watch"), 2)
-		r.List(r.clock, Changes, nil)
+		r.UpdateWorkers(r.clock, Changes, nil)
 		r.wait(9 * Second)
 		want(t, "not while it speaks", r.count("watch"), 2)
 		r.wait(3 * Second)
@@ -494,7 +494,7 @@
 	})
 	t.Run("a new machine under an old id is cold", func(t *testing.T) {
 		r := newRig(3, 0, 0)
-		r.List(r.clock, Changes, []Worker{{ID: "old01", Rel: 1, Start: r.clock}})
+		r.UpdateWorkers(r.clock, Changes, []Worker{{ID: "old01", Rel: 1, Start: r.clock}})
 		want(t, "cold", r.ramp(r.workers["old01"]) < 1, true)
 	})
 }
@@ -517,7 +517,7 @@
 	for _, r := range []*rig{one, two} {
 		r.run(500, inquiry, noKey, func(w string, i int) (Ending, Nanos) {
 			if i%9 == 0 {
-				return Erred, Millisecond
+				return ErrorResponse, Millisecond
 			}
 			return OK, Nanos(i%70) * Millisecond
 		})
@@ -528,28 +528,28 @@
 // ---- The first seconds after a trouble, and what is learnt of a worker ----
 
 func TestNewsThatWasOvertaken(t *testing.T) {
-	back, trial := News{Rel: 2, Stage: 1, Phase: GoingBack}, News{Rel: 2, Stage: 1, Cap: 0.5}
+	back, trial := ReleaseUpdate{Rel: 2, Stage: 1, Phase: GoingBack}, ReleaseUpdate{Rel: 2, Stage: 1, Cap: 0.5}
 	for _, c := range []struct {
 		name  string
-		held  News
-		next  News
+		held  ReleaseUpdate
+		next  ReleaseUpdate
 		taken bool
 	}{
-		{"an answer of before it went back", back, News{Rel: 2, Stage: 1, Cap: 0.5, Answer: true}, false},
-		{"an answer of before it was withdrawn", News{Rel: 2, Phase: Withdrawn}, News{Rel: 2, Phase: Released, Cap: 1, Answer: true}, false},
-		{"an answer about the build before", back, News{Rel: 1, Phase: Released, Cap: 1, Answer: true}, false},
-		{"an answer that it is withdrawn", back, News{Rel: 2, Phase: Withdrawn, Answer: true}, true},
-		{"an answer about the next build", back, News{Rel: 3, Cap: 0.1, Answer: true}, true},
-		{"a push: the platform offers it anew", back, News{Rel: 2, Cap: 0.1}, true},
-		{"an answer with the next stage", trial, News{Rel: 2, Stage: 2, Cap: 1, Answer: true}, true},
-		{"an answer that it goes back", trial, News{Rel: 2, Stage: 1, Phase: GoingBack, Answer: true}, true},
-		{"an answer that was lost", trial, News{Ending: TimedOut, Answer: true}, false},
+		{"an answer of before it went back", back, ReleaseUpdate{Rel: 2, Stage: 1, Cap: 0.5, VoteReply: true}, false},
+		{"an answer of before it was withdrawn", ReleaseUpdate{Rel: 2, Phase: Withdrawn}, ReleaseUpdate{Rel: 2, Phase: Released, Cap: 1, VoteReply: true}, false},
+		{"an answer about the build before", back, ReleaseUpdate{Rel: 1, Phase: Released, Cap: 1, VoteReply: true}, false},
+		{"an answer that it is withdrawn", back, ReleaseUpdate{Rel: 2, Phase: Withdrawn, VoteReply: true}, true},
+		{"an answer about the next build", back, ReleaseUpdate{Rel: 3, Cap: 0.1, VoteReply: true}, true},
+		{"a push: the platform offers it anew", back, ReleaseUpdate{Rel: 2, Cap: 0.1}, true},
+		{"an answer with the next stage", trial, ReleaseUpdate{Rel: 2, Stage: 2, Cap: 1, VoteReply: true}, true},
+		{"an answer that it goes back", trial, ReleaseUpdate{Rel: 2, Stage: 1, Phase: GoingBack, VoteReply: true}, true},
+		{"an answer that was lost", trial, ReleaseUpdate{Ending: TimedOut, VoteReply: true}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(4, 2, 0.5, "release.one-way", true)
-			r.Sentry.News(r.clock, c.held)
+			r.Sentry.ReleaseUpdate(r.clock, c.held)
 			held := r.news
-			r.Sentry.News(r.clock, c.next)
+			r.Sentry.ReleaseUpdate(r.clock, c.next)
 			want(t, "taken", r.news != held, c.taken)
 			if !c.taken && held.back() {
 				clear(r.sent)
@@ -576,7 +576,7 @@
 			var took, sent []Nanos
 			for i := 0; i < 400; i++ {
 				if i == 300 { // a stage further, and back
-					r.Sentry.News(r.clock, News{Rel: 2, Stage: 1, Cap: c.cap})
+					r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Stage: 1, Cap: c.cap})
 				}
 				id := r.take(inquiry, 0)
 				took = append(took, r.clock)
@@ -609,10 +609,10 @@
 func TestReferencedWhoseWorkerMoves(t *testing.T) {
 	for _, group := range []string{"zone", "cell"} {
 		r := newRig(0, 0, 0, "products.1.group", group, "allow.copies", false)
-		r.List(r.clock, Whole, []Worker{{ID: "a", Rel: 1}, {ID: "b", Rel: 1, Zone: 1, Cell: 1, State: Draining}})
+		r.UpdateWorkers(r.clock, Whole, []Worker{{ID: "a", Rel: 1}, {ID: "b", Rel: 1, Zone: 1, Cell: 1, State: Draining}})
 		id := r.take(hold, 0)
-		r.List(r.clock, Whole, []Worker{{ID: "a", Rel: 1, Zone: 1, Cell: 1, State: Draining}, {ID: "b", Rel: 1, Zone: 1, Cell: 1}})
-		r.end(id, 0, Broken, Millisecond)
+		r.UpdateWorkers(r.clock, Whole, []Worker{{ID: "a", Rel: 1, Zone: 1, Cell: 1, State: Draining}, {ID: "b", Rel: 1, Zone: 1, Cell: 1}})
+		r.end(id, 0, Disconnected, Millisecond)
 		want(t, "sent again in another "+group, r.count("submit"), 1)
 	}
 }
@@ -625,7 +625,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(3, 0, 0)
-			r.run(60, inquiry, noKey, only("old00", 1, Erred, Millisecond))
+			r.run(60, inquiry, noKey, only("old00", 1, ErrorResponse, Millisecond))
 			id := r.take(pay, 0)
 			for r.to(id) != "old00" { // one is out at the process that ends
 				r.end(id, 0, OK, Millisecond)
@@ -635,10 +635,10 @@
 			old := r.workers["old00"]
 			line := old.Worker
 			change(&line)
-			r.List(r.clock, Changes, []Worker{line})
+			r.UpdateWorkers(r.clock, Changes, []Worker{line})
 			w := r.workers["old00"]
 			want(t, "another", w != old, true)
-			r.Outcome(r.clock, Outcome{Txn: id, Ending: Erred, Elapsed: Millisecond, Load: &Load{Queue: 50}})
+			r.Outcome(r.clock, Outcome{Txn: id, Ending: ErrorResponse, Elapsed: Millisecond, Load: &Load{Queue: 50}})
 			pairs := r.own.pairs
 			r.Contested(r.clock, inquiry, "old00", 90*Second)
 			want(t, "held", w.open, 0)
@@ -714,9 +714,9 @@
 	r := newRig(2, 0, 0)
 	for i := 0; i < 200; i++ {
 		id := WorkerID(fmt.Sprintf("start%d", i))
-		r.List(r.clock, Changes, []Worker{{ID: id, Rel: 1, Start: r.clock - 10*Second}})
+		r.UpdateWorkers(r.clock, Changes, []Worker{{ID: id, Rel: 1, Start: r.clock - 10*Second}})
 		r.run(20, inquiry, noKey, fine)
-		r.List(r.clock, Changes, []Worker{{ID: id, Rel: 1, State: Gone}})
+		r.UpdateWorkers(r.clock, Changes, []Worker{{ID: id, Rel: 1, State: Gone}})
 	}
 	if len(r.order) > 160 || len(r.order) != len(r.workers) {
 		t.Errorf("%d workers kept in order, %d by id, of 2 that run", len(r.order), len(r.workers))
@@ -726,7 +726,7 @@
 	t.Run("one that holds a txn stays", func(t *testing.T) {
 		r := newRig(1, 0, 0)
 		id := r.take(pay, 0)
-		r.List(r.clock, Whole, nil)
+		r.UpdateWorkers(r.clock, Whole, nil)
 		r.wait(90 * Second)
 		want(t, "kept", len(r.order), 1)
 		r.end(id, 0, OK, 90*Second)
@@ -740,14 +740,14 @@
 func TestSlipInABuildsNumberIsMended(t *testing.T) {
 	r := newRig(6, 4, 1)
 	r.run(50, inquiry, noKey, fine)
-	r.List(r.clock, Changes, []Worker{{ID: "old00", Rel: 999}})
+	r.UpdateWorkers(r.clock, Changes, []Worker{{ID: "old00", Rel: 999}})
 	want(t, "taken for the newest", r.trial, RelID(999))
-	r.List(r.clock, Changes, []Worker{{ID: "old00", Rel: 1}})
+	r.UpdateWorkers(r.clock, Changes, []Worker{{ID: "old00", Rel: 1}})
 	want(t, "the newest again", r.trial, RelID(2))
 	r.run(400, inquiry, noKey, fine)
 	want(t, "voted on", r.count("vote 1 2 0") > 0, true)
-	r.Sentry.News(r.clock, News{Rel: 999, Cap: 0.1})
-	r.Sentry.News(r.clock, News{Rel: 2, Cap: 1, Stage: 1})
+	r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 999, Cap: 0.1})
+	r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Cap: 1, Stage: 1})
 	want(t, "after news with a slip", r.trial, RelID(2))
 }
 
@@ -755,17 +755,17 @@
 func TestKeysOutliveASlip(t *testing.T) {
 	for name, slip := range map[string]func(r *rig){
 		"in a line": func(r *rig) {
-			r.List(r.clock, Changes, []Worker{{ID: "old00", Rel: 999}})
+			r.UpdateWorkers(r.clock, Changes, []Worker{{ID: "old00", Rel: 999}})
 			r.wait(Second)
-			r.List(r.clock, Changes, []Worker{{ID: "old00", Rel: 1}})
+			r.UpdateWorkers(r.clock, Changes, []Worker{{ID: "old00", Rel: 1}})
 		},
 		"in the news": func(r *rig) {
-			r.Sentry.News(r.clock, News{Rel: 999, Cap: 0.1})
+			r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 999, Cap: 0.1})
 			r.wait(Second)
-			r.Sentry.News(r.clock, News{Rel: 2, Cap: 0.5})
+			r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Cap: 0.5})
 		},
 		"the trial's workers go before it is named": func(r *rig) {
-			r.List(r.clock, Changes, []Worker{{ID: "trial00", Rel: 2, State: Gone}, {ID: "trial01", Rel: 2, State: Gone}})
+			r.UpdateWorkers(r.clock, Changes, []Worker{{ID: "trial00", Rel: 2, State: Gone}, {ID: "trial01", Rel: 2, State: Gone}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -797,9 +797,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(6, 4, 1)
-			r.run(60, inquiry, noKey, only("trial00", 1, Erred, 10*Millisecond))
+			r.run(60, inquiry, noKey, only("trial00", 1, ErrorResponse, 10*Millisecond))
 			want(t, "back before", r.count("vote 3"), 0)
-			r.List(r.clock, Changes, []Worker{goes})
+			r.UpdateWorkers(r.clock, Changes, []Worker{goes})
 			r.run(200, inquiry, noKey, fine)
 			want(t, "back", r.count("vote 3"), 0)
 		})
@@ -816,9 +816,9 @@
 			if line.Rel == 2 {
 				line.Rel = 3
 			}
-			r.List(r.clock, Changes, []Worker{line})
+			r.UpdateWorkers(r.clock, Changes, []Worker{line})
 		}
-		r.Sentry.News(r.clock, News{Rel: 2, Phase: phase, Cap: bit(phase == Released)})
+		r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Phase: phase, Cap: bit(phase == Released)})
 		met := map[KeyID]bool{}
 		ending := func(w string, i int) (Ending, Nanos) {
 			key := KeyID(i%50 + 1)
@@ -830,7 +830,7 @@
 		}
 		keys := func(i int) KeyID { return KeyID(i%50 + 1) }
 		r.run(200, inquiry, keys, ending)
-		r.Sentry.News(r.clock, News{Rel: 3, Cap: 0.5})
+		r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 3, Cap: 0.5})
 		r.run(400, inquiry, keys, ending)
 		want(t, "keys met", len(met) > 5, true)
 	}
@@ -841,7 +841,7 @@
 	for _, c := range []struct {
 		ending Ending
 		bound  bool
-	}{{OK, true}, {Spoilt, true}, {Broken, true}, {Cancelled, true}, {Erred, false}, {ConnectFailed, false}} {
+	}{{OK, true}, {MalformedResponse, true}, {Disconnected, true}, {Cancelled, true}, {ErrorResponse, false}, {ConnectFailed, false}} {
 		r := newRig(6, 2, 0.5, "release.one-way", true, "allow.submissions", 1.0)
 		met, below := map[KeyID]bool{}, 0
 		keys := func(i int) KeyID { return KeyID(i%40 + 1) }
@@ -859,7 +859,7 @@
 
 // Danger: where submissions fail at all workers alike, each would rest in turn, and most txns be declined.
 func TestFailuresAtAllAlikeRestNobody(t *testing.T) {
-	for _, e := range []Ending{Broken, Spoilt} {
+	for _, e := range []Ending{Disconnected, MalformedResponse} {
 		r := newRig(8, 0, 0)
 		r.run(800, inquiry, noKey, func(_ string, i int) (Ending, Nanos) {
 			if r.rng.Float64() < 0.14 {
@@ -888,15 +888,15 @@
 // Danger: unreadable answers from all alike would pass for the usual share of errors, and hide a build that errs.
 func TestSpoiltAnswersHideNoErrors(t *testing.T) {
 	r := newRig(6, 0, 0)
-	r.run(600, inquiry, noKey, only("", 10, Spoilt, 50*Millisecond))
+	r.run(600, inquiry, noKey, only("", 10, MalformedResponse, 50*Millisecond))
 	for i := 0; i < 6; i++ {
-		r.List(r.clock, Changes, []Worker{{ID: WorkerID(fmt.Sprintf("old%02d", i)), Rel: 1, State: Gone},
+		r.UpdateWorkers(r.clock, Changes, []Worker{{ID: WorkerID(fmt.Sprintf("old%02d", i)), Rel: 1, State: Gone},
 			{ID: WorkerID(fmt.Sprintf("trial%02d", i)), Rel: 2}})
 	}
-	r.Sentry.News(r.clock, News{Rel: 2, Cap: 1, Phase: Released})
-	r.run(600, inquiry, noKey, only("", 10, Spoilt, 50*Millisecond))
+	r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Cap: 1, Phase: Released})
+	r.run(600, inquiry, noKey, only("", 10, MalformedResponse, 50*Millisecond))
 	want(t, "spoilt answers alone call it back", r.count("vote 3") > 0, false)
-	r.run(600, inquiry, noKey, only("", 10, Erred, 50*Millisecond))
+	r.run(600, inquiry, noKey, only("", 10, ErrorResponse, 50*Millisecond))
 	want(t, "errors call it back", r.count("vote 3") > 0, true)
 }
 
@@ -904,10 +904,10 @@
 func TestTypicalTimesStandStillAfterARelease(t *testing.T) {
 	r := newRig(6, 0, 0)
 	r.run(400, inquiry, noKey, fine)
-	r.List(r.clock, Changes, []Worker{{ID: "trial00", Rel: 2}, {ID: "trial01", Rel: 2}})
-	r.Sentry.News(r.clock, News{Rel: 2, Cap: 1})
+	r.UpdateWorkers(r.clock, Changes, []Worker{{ID: "trial00", Rel: 2}, {ID: "trial01", Rel: 2}})
+	r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Cap: 1})
 	r.run(50, inquiry, noKey, fine)
-	r.Sentry.News(r.clock, News{Rel: 2, Cap: 1, Stage: 2, Phase: Released})
+	r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Cap: 1, Stage: 2, Phase: Released})
 	before := r.products[inquiry].typical
 	slow := func(string, int) (Ending, Nanos) { return OK, 150 * Millisecond }
 	r.run(200, inquiry, noKey, slow)
@@ -921,14 +921,14 @@
 	after := func(bake Nanos) int {
 		r := newRig(6, 0, 0, "release.bake", float64(bake))
 		r.run(400, inquiry, noKey, fine)
-		r.List(r.clock, Changes, []Worker{{ID: "trial00", Rel: 2}, {ID: "trial01", Rel: 2}})
+		r.UpdateWorkers(r.clock, Changes, []Worker{{ID: "trial00", Rel: 2}, {ID: "trial01", Rel: 2}})
 		for n := 0; n < 600; n++ {
 			stage := min(2, n/100)
 			if n%100 == 0 {
-				r.Sentry.News(r.clock, News{Rel: 2, Cap: 1, Stage: stage})
+				r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Cap: 1, Stage: stage})
 			}
 			r.run(1, inquiry, noKey, func(string, int) (Ending, Nanos) { return OK, 50*Millisecond + Nanos(stage)*100*Millisecond })
-			if r.wantVote == Back {
+			if r.wantVote == VerdictBack {
 				return n
 			}
 		}
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -28,10 +28,10 @@
 func (c *crowd) Cancel(TxnID, int)        {}
 func (c *crowd) Decline(TxnID, Nanos)     { c.declined++ }
 func (c *crowd) Void(TxnID)               { c.declined++ }
-func (c *crowd) Remind(Nanos, uint64)     {}
+func (c *crowd) SetTimer(Nanos, uint64)   {}
 func (c *crowd) Vote(Verdict, RelID, int) {}
-func (c *crowd) Watch()                   {}
-func (c *crowd) Tell(int, []byte)         {}
+func (c *crowd) WatchWorkers()            {}
+func (c *crowd) SendToPeer(int, []byte)   {}
 func (c *crowd) Log(string)               {}
 
 // newCrowd makes one of n workers; trial is how many of them run a build on trial.
@@ -51,11 +51,11 @@
 			list[i].Rel = 2
 		}
 	}
-	c.s.List(c.now, Whole, list)
+	c.s.UpdateWorkers(c.now, Whole, list)
 	if trial > 0 {
-		c.s.News(c.now, News{Rel: 2, Cap: 1, Phase: OnTrial})
+		c.s.ReleaseUpdate(c.now, ReleaseUpdate{Rel: 2, Cap: 1, Phase: OnTrial})
 	} else {
-		c.s.News(c.now, News{Rel: 1, Cap: 1, Phase: Released})
+		c.s.ReleaseUpdate(c.now, ReleaseUpdate{Rel: 1, Cap: 1, Phase: Released})
 	}
 	return c
 }
@@ -68,7 +68,7 @@
 	for len(c.subs)-c.head > hand {
 		x := c.subs[c.head]
 		c.head++
-		c.s.Outcome(c.now, Outcome{Txn: x.id, Elapsed: 10 * Millisecond, Over: true})
+		c.s.Outcome(c.now, Outcome{Txn: x.id, Elapsed: 10 * Millisecond, Final: true})
 	}
 	if c.head > 1<<16 {
 		c.subs = c.subs[:copy(c.subs, c.subs[c.head:])]
@@ -76,7 +76,7 @@
 	}
 	if c.now >= c.beatAt {
 		c.beatAt = c.now + beat
-		c.s.Timer(c.now, 0)
+		c.s.TimerFired(c.now, 0)
 	}
 }
 
@@ -112,7 +112,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := 0; i < b.N; i++ {
-				x.s.Timer(x.now, 0)
+				x.s.TimerFired(x.now, 0)
 			}
 		})
 	}
--- a/logic/state.go
+++ b/logic/state.go
@@ -161,7 +161,7 @@
 	squeeze, allowed    float64 // on all limits; what may be held in all
 	held                int
 
-	news      News
+	news      ReleaseUpdate
 	newsAt    Nanos
 	loweredAt Nanos // when the cap last fell
 	watched   RelID // the newest build seen on trial
@@ -393,7 +393,7 @@
 }
 
 // back tells whether the newest build is taken off.
-func (n *News) back() bool { return n.Phase == GoingBack || n.Phase == Withdrawn }
+func (n *ReleaseUpdate) back() bool { return n.Phase == GoingBack || n.Phase == Withdrawn }
 
 func (s *Sentry) allGone() {
 	for _, w := range s.order {
@@ -442,8 +442,8 @@
 	}
 }
 
-// Told takes what another sentry has seen of a build.
-func (s *Sentry) Told(now Nanos, from int, data []byte) {
+// PeerMessage takes what another sentry has seen of a build.
+func (s *Sentry) PeerMessage(now Nanos, from int, data []byte) {
 	s.now = now
 	if from >= 0 && from < len(s.peers) {
 		s.peers[from].unpack(data)
@@ -474,17 +474,17 @@
 	}
 }
 
-// Streaming takes the start of a streamed answer, which is the client's now; Left, that a client has left.
-func (s *Sentry) Streaming(now Nanos, id TxnID, number int) { s.end(now, id, number+1) }
-func (s *Sentry) Left(now Nanos, id TxnID)                  { s.end(now, id, 0) }
+// StreamStarted takes the start of a streamed answer, which is the client's now; Left, that a client has left.
+func (s *Sentry) StreamStarted(now Nanos, id TxnID, number int) { s.end(now, id, number+1) }
+func (s *Sentry) ClientLeft(now Nanos, id TxnID)                { s.end(now, id, 0) }
 
 // blamed gives the smoothed shares of errors of t's customer, its key and the customer with the least, after
 // counting one more ending at those weights.
 func (s *Sentry) blamed(t *txn, e Ending, customer, key float64) (byCustomer, byKey, least float64) {
 	c, k := &s.blame[int(t.Customer)%16], &s.blame[16+t.Key%240]
-	if e == OK || e == Erred {
-		*c += customer * (bit(e == Erred) - *c)
-		*k += key * (bit(e == Erred) - *k)
+	if e == OK || e == ErrorResponse {
+		*c += customer * (bit(e == ErrorResponse) - *c)
+		*k += key * (bit(e == ErrorResponse) - *k)
 	}
 	if others := s.blame[1:min(16, 1+int(s.num("customers.count", 0)))]; len(others) > 1 {
 		return *c, *k, slices.Min(others)
--- a/logic/types.go
+++ b/logic/types.go
@@ -50,10 +50,10 @@
 
 // Modes of a list event.
 const (
-	Changes  ListMode = iota // altered lines only
-	Whole                    // the complete list
-	Restored                 // the complete list as held before a restart
-	NoList                   // a call for the list failed
+	Changes         ListMode = iota // altered lines only
+	Whole                           // the complete list
+	Restored                        // the complete list as held before a restart
+	ListUnavailable                 // a call for the list failed
 )
 
 // Txn is a txn that a client hands to the sentry.
@@ -75,12 +75,12 @@
 	OK Ending = iota
 	Cancelled
 	TimedOut
-	Full          // turned away unseen
-	Moot          // not sent, or a vote that no longer applies
-	Broken        // the connection broke
-	Erred         // answered with an error
-	ConnectFailed // no connection could be made
-	Spoilt        // answered with what cannot be read: it has run
+	Rejected          // turned away unseen
+	Skipped           // not sent, or a vote that no longer applies
+	Disconnected      // the connection broke
+	ErrorResponse     // answered with an error
+	ConnectFailed     // no connection could be made
+	MalformedResponse // answered with what cannot be read: it has run
 )
 
 // Load is a worker's load report; a value that it lacks is negative.
@@ -92,13 +92,13 @@
 
 // Outcome is the end of one submission.
 type Outcome struct {
-	Txn     TxnID
-	Number  int // of the submission, from 0
-	Ending  Ending
-	Elapsed Nanos
-	Over    bool // the txn has its final answer
-	Given   bool // where it did not end well: an answer may have been given that did not arrive
-	Load    *Load
+	Txn           TxnID
+	Number        int // of the submission, from 0
+	Ending        Ending
+	Elapsed       Nanos
+	Final         bool // the txn has its final answer
+	MaybeAnswered bool // where it did not end well: an answer may have been given that did not arrive
+	Load          *Load
 }
 
 // Phase is where a build stands.
@@ -112,15 +112,15 @@
 	Withdrawn
 )
 
-// News is what the platform tells of the newest build.
-type News struct {
-	Stage  int
-	Answer bool // in answer to a vote
-	Rel    RelID
-	Cap    float64
-	Phase  Phase
-	Age    Nanos // of this state
-	Ending Ending
+// ReleaseUpdate is what the platform tells of the newest build.
+type ReleaseUpdate struct {
+	Stage     int
+	VoteReply bool // in answer to a vote
+	Rel       RelID
+	Cap       float64
+	Phase     Phase
+	Age       Nanos // of this state
+	Ending    Ending
 }
 
 // Tally is what the platform counted for one build and product.
@@ -136,10 +136,10 @@
 
 // Verdicts.
 const (
-	NoVote Verdict = iota
-	On
-	Hold
-	Back
+	VerdictNone Verdict = iota
+	VerdictOn
+	VerdictHold
+	VerdictBack
 )
 
 // Sink takes the actions of one sentry, in order, at the time of the event being handled.
@@ -148,9 +148,9 @@
 	Cancel(t TxnID, number int)
 	Decline(t TxnID, retryAfter Nanos) // 0: no guidance
 	Void(t TxnID)
-	Remind(after Nanos, token uint64)
+	SetTimer(after Nanos, token uint64)
 	Vote(v Verdict, rel RelID, stage int)
-	Watch()                   // changes of the list from now on
-	Tell(to int, data []byte) // to the sentry of that number, at most 256 bytes
+	WatchWorkers()                  // changes of the list from now on
+	SendToPeer(to int, data []byte) // to the sentry of that number, at most 256 bytes
 	Log(text string)
 }
--- a/pgwire/back.go
+++ b/pgwire/back.go
@@ -8,8 +8,8 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// Hello is the start-up message to a worker.
-func Hello(user, database string) []byte {
+// EncodeStartup is the start-up message to a worker.
+func EncodeStartup(user, database string) []byte {
 	m := pgproto3.StartupMessage{ProtocolVersion: version3, Parameters: map[string]string{"user": user, "database": database}}
 	out, err := m.Encode(nil)
 	if err != nil {
@@ -31,10 +31,10 @@
 
 // What can be told.
 const (
-	Nothing Told = iota // yet
-	Open                // the start-up is through: it may be asked
-	Value               // a whole answer with one value: Pass holds it
-	Refusal             // an error; Code holds its SQLSTATE
+	Nothing       Told = iota // yet
+	SessionReady              // the start-up is through: it may be asked
+	ValueReceived             // a whole answer with one value: Pass holds it
+	ErrorReceived             // an error; Code holds its SQLSTATE
 )
 
 type backStage uint8
@@ -51,10 +51,10 @@
 	afterError // the error's ReadyForQuery
 )
 
-// Back follows what one worker sends. Reset makes it fit for a new connection.
-type Back struct {
+// BackendParser follows what one worker sends. Reset makes it fit for a new connection.
+type BackendParser struct {
 	stage  backStage
-	Pass   []byte // the answer as the client gets it, but for ReadyForQuery
+	Answer []byte // the answer as the client gets it, but for ReadyForQuery
 	Code   string // of the last error
 	Load   []byte // what the parameter of that name said in this answer; nil: nothing
 	gauge  string
@@ -71,35 +71,37 @@
 
 // Reset begins a new connection; gauge names the parameter that holds load reports, empty: none does; no value may be
 // longer than most bytes.
-func (b *Back) Reset(gauge string, most int) {
-	b.stage, b.Pass, b.Code, b.Load, b.gauge, b.fatal = greeting, b.Pass[:0], "", nil, gauge, false
+func (b *BackendParser) Reset(gauge string, most int) {
+	b.stage, b.Answer, b.Code, b.Load, b.gauge, b.fatal = greeting, b.Answer[:0], "", nil, gauge, false
 	b.most, b.left = most, 0
-	if cap(b.Pass) > 8<<10 { // one long value must not pin its memory for good
-		b.Pass = nil
+	if cap(b.Answer) > 8<<10 { // one long value must not pin its memory for good
+		b.Answer = nil
 	}
 }
 
-// Ask notes that a query is being written. It tells whether one may be.
-func (b *Back) Ask() bool {
+// BeginQuery notes that a query is being written. It tells whether one may be.
+func (b *BackendParser) BeginQuery() bool {
 	if b.stage != quiet {
 		return false
 	}
-	b.stage, b.Pass, b.Load, b.Code = wantDescription, b.Pass[:0], nil, ""
+	b.stage, b.Answer, b.Load, b.Code = wantDescription, b.Answer[:0], nil, ""
 	return true
 }
 
-// Began tells whether a part of an answer has come, but for what may still be unread.
-func (b *Back) Began() bool { return b.stage > wantDescription && b.stage != afterError }
+// AnswerStarted tells whether a part of an answer has come, but for what may still be unread.
+func (b *BackendParser) AnswerStarted() bool {
+	return b.stage > wantDescription && b.stage != afterError
+}
 
 // Idle tells whether nothing is owed on the connection.
-func (b *Back) Idle() bool { return b.stage == quiet }
+func (b *BackendParser) Idle() bool { return b.stage == quiet }
 
-// Refused tells whether an error has come whose end has not, so that the connection's end is its end as well.
-func (b *Back) Refused() bool { return b.stage == afterError }
+// ErrorPending tells whether an error has come whose end has not, so that the connection's end is its end as well.
+func (b *BackendParser) ErrorPending() bool { return b.stage == afterError }
 
 // Next takes the message that in begins with: how many bytes it has, and what it told. The error is ErrMore or a *Fault;
 // after a fault the connection cannot be used any further, and what was asked may have run.
-func (b *Back) Next(in []byte) (size int, told Told, err error) {
+func (b *BackendParser) Next(in []byte) (size int, told Told, err error) {
 	switch {
 	case b.stage == wantRest:
 		return b.rest(in)
@@ -125,7 +127,7 @@
 		b.Code, b.fatal = b.fault.Code, b.fault.Severity == "FATAL" || b.fault.Severity == "PANIC"
 		if b.stage <= settling || b.fatal { // no ReadyForQuery follows
 			b.stage = afterError
-			return size, Refusal, nil
+			return size, ErrorReceived, nil
 		}
 		b.stage = afterError
 		return size, Nothing, nil
@@ -144,28 +146,28 @@
 		b.stage = quiet
 		switch was {
 		case settling:
-			return size, Open, nil
+			return size, SessionReady, nil
 		case wantReady:
-			return size, Value, nil
+			return size, ValueReceived, nil
 		}
-		return size, Refusal, nil
+		return size, ErrorReceived, nil
 	case wantDescription: // 'T'
 		if !soleField(body) || b.row.Decode(body) != nil || len(b.row.Fields) != 1 {
 			return 0, Nothing, violation("a description is not of one column")
 		}
-		b.Pass, b.stage = append(b.Pass, in[:size]...), wantRow
+		b.Answer, b.stage = append(b.Answer, in[:size]...), wantRow
 	case wantRow: // 'D'
 		if b.data.Decode(body) != nil || len(b.data.Values) != 1 || b.data.Values[0] == nil ||
 			len(b.data.Values[0]) != len(body)-6 {
 			return 0, Nothing, violation("a row is not of one value")
 		}
 		b.data.Values[0] = nil
-		b.Pass, b.stage = append(b.Pass, in[:size]...), wantComplete
+		b.Answer, b.stage = append(b.Answer, in[:size]...), wantComplete
 	case wantComplete: // 'C'
 		if bytes.IndexByte(body, 0) != len(body)-1 || b.end.Decode(body) != nil || !oneRow(b.end.CommandTag) {
 			return 0, Nothing, violation("an answer's end is not that of one row")
 		}
-		b.Pass, b.stage = append(b.Pass, in[:size]...), wantReady
+		b.Answer, b.stage = append(b.Answer, in[:size]...), wantReady
 	}
 	return size, Nothing, nil
 }
@@ -175,7 +177,7 @@
 
 // long begins a row that is taken in parts: all that can be wrong with it stands in its head.
 // Danger: kept whole till its end has come, a long answer would lie in memory twice.
-func (b *Back) long(in []byte) (size int, told Told, err error) {
+func (b *BackendParser) long(in []byte) (size int, told Told, err error) {
 	n, value := binary.BigEndian.Uint32(in[1:]), binary.BigEndian.Uint32(in[7:])
 	if int64(value) > int64(b.most) || n != value+rowHead-1 || binary.BigEndian.Uint16(in[5:]) != 1 {
 		return 0, Nothing, violation("a row is not of one value that may be so long: %d bytes", value)
@@ -184,12 +186,12 @@
 	return b.rest(in)
 }
 
-func (b *Back) rest(in []byte) (size int, told Told, err error) {
+func (b *BackendParser) rest(in []byte) (size int, told Told, err error) {
 	if len(in) == 0 {
-		return 0, Nothing, ErrMore
+		return 0, Nothing, ErrIncomplete
 	}
 	size = min(b.left, len(in))
-	b.Pass = append(b.Pass, in[:size]...)
+	b.Answer = append(b.Answer, in[:size]...)
 	if b.left -= size; b.left == 0 {
 		b.stage = wantComplete
 	}
@@ -212,7 +214,7 @@
 }
 
 // bounds gives what may come at this stage.
-func (b *Back) bounds(kind byte) int {
+func (b *BackendParser) bounds(kind byte) int {
 	if b.stage == quiet { // Danger: what nobody asked for would pass for the next answer
 		return 0
 	}
@@ -248,7 +250,7 @@
 }
 
 // parameter keeps what the load parameter says. One that cannot be read is no report, and the answer stands.
-func (b *Back) parameter(body []byte) {
+func (b *BackendParser) parameter(body []byte) {
 	name, value, ok := bytes.Cut(body, []byte{0})
 	if !ok || b.gauge == "" || string(name) != b.gauge {
 		return
--- a/pgwire/frame.go
+++ b/pgwire/frame.go
@@ -9,29 +9,29 @@
 	"fmt"
 )
 
-// ErrMore says that the bytes so far are sound and end in the middle of a message.
-var ErrMore = errors.New("pgwire: more bytes are needed")
+// ErrIncomplete says that the bytes so far are sound and end in the middle of a message.
+var ErrIncomplete = errors.New("pgwire: more bytes are needed")
 
-// LongestValue is the most bytes that a client's value may have.
-const LongestValue = 64 << 10
+// MaxValueBytes is the most bytes that a client's value may have.
+const MaxValueBytes = 64 << 10
 
 const (
-	longestStart   = 10_000                // as PostgreSQL itself has it
-	longestQuery   = 2*LongestValue + 4096 // a value in hex, and what stands around it
-	longestControl = 8 << 10               // errors, notices, descriptions, parameters
-	longRow        = 16 << 10              // a row from that size on is taken in parts
+	longestStart   = 10_000                 // as PostgreSQL itself has it
+	longestQuery   = 2*MaxValueBytes + 4096 // a value in hex, and what stands around it
+	longestControl = 8 << 10                // errors, notices, descriptions, parameters
+	longRow        = 16 << 10               // a row from that size on is taken in parts
 )
 
-// Fault is a message that breaks the protocol. Nothing after it can be trusted to be a message.
-type Fault struct {
-	Code string // SQLSTATE
-	What string
+// ProtocolError is a message that breaks the protocol. Nothing after it can be trusted to be a message.
+type ProtocolError struct {
+	Code    string // SQLSTATE
+	Message string
 }
 
-func (f *Fault) Error() string { return "pgwire: " + f.What }
+func (f *ProtocolError) Error() string { return "pgwire: " + f.Message }
 
-func violation(format string, args ...any) *Fault {
-	return &Fault{Code: "08P01", What: fmt.Sprintf(format, args...)}
+func violation(format string, args ...any) *ProtocolError {
+	return &ProtocolError{Code: "08P01", Message: fmt.Sprintf(format, args...)}
 }
 
 // most gives the bound of a message's body by its kind; 0 for a kind that has no place there.
@@ -41,7 +41,7 @@
 // Danger: a length is a claim. It is held against its bound as soon as it is read, so that nothing waits for 3 GB.
 func frame(in []byte, most bounds) (kind byte, body []byte, size int, err error) {
 	if len(in) == 0 {
-		return 0, nil, 0, ErrMore
+		return 0, nil, 0, ErrIncomplete
 	}
 	kind = in[0]
 	bound := most(kind)
@@ -49,14 +49,14 @@
 		return kind, nil, 0, violation("a message of kind %q has no place here", kind)
 	}
 	if len(in) < 5 {
-		return kind, nil, 0, ErrMore
+		return kind, nil, 0, ErrIncomplete
 	}
 	n := binary.BigEndian.Uint32(in[1:])
 	if n < 4 || n > uint32(bound)+4 {
-		return kind, nil, 0, &Fault{Code: "54000", What: fmt.Sprintf("a message of kind %q says that it has %d bytes", kind, n)}
+		return kind, nil, 0, &ProtocolError{Code: "54000", Message: fmt.Sprintf("a message of kind %q says that it has %d bytes", kind, n)}
 	}
 	if size = int(n) + 1; len(in) < size {
-		return kind, nil, 0, ErrMore
+		return kind, nil, 0, ErrIncomplete
 	}
 	return kind, in[5:size], size, nil
 }
--- a/pgwire/front.go
+++ b/pgwire/front.go
@@ -12,25 +12,25 @@
 
 // Wants.
 const (
-	Encryption Want = iota // answer with NoEncryption
-	Start                  // answer with Welcome
-	Empty                  // a query without a statement: answer with EmptyAnswer
-	Statement              // a query; its text is given
-	Leave                  // it ends the connection, or asks for a cancel, which is not heeded
+	EncryptionRequest Want = iota // answer with NoEncryption
+	Startup                       // answer with Welcome
+	EmptyQuery                    // a query without a statement: answer with EmptyAnswer
+	Query                         // a query; its text is given
+	Terminate                     // it ends the connection, or asks for a cancel, which is not heeded
 )
 
-// Front follows what one client sends. The zero value waits for the start-up message.
-type Front struct {
+// FrontendParser follows what one client sends. The zero value waits for the start-up message.
+type FrontendParser struct {
 	started bool
 	asked   int // for encryption
 }
 
 // Started tells whether the client has sent its start-up message.
-func (f *Front) Started() bool { return f.started }
+func (f *FrontendParser) Started() bool { return f.started }
 
 // Next takes the message that in begins with: how many bytes it has, what it wants, and the text of a statement, which
 // is a part of in. The error is ErrMore, or a *Fault after which the connection is to be ended.
-func (f *Front) Next(in []byte) (size int, want Want, text []byte, err error) {
+func (f *FrontendParser) Next(in []byte) (size int, want Want, text []byte, err error) {
 	if !f.started {
 		return f.start(in)
 	}
@@ -39,7 +39,7 @@
 		return 0, 0, nil, err
 	}
 	if kind == 'X' {
-		return size, Leave, nil, nil
+		return size, Terminate, nil, nil
 	}
 	// Danger: a text that ends before its message does hides something behind it.
 	if len(body) == 0 || bytes.IndexByte(body, 0) != len(body)-1 {
@@ -47,9 +47,9 @@
 	}
 	text = body[:len(body)-1]
 	if len(bytes.Trim(text, " \t\r\n;")) == 0 {
-		return size, Empty, nil, nil
+		return size, EmptyQuery, nil, nil
 	}
-	return size, Statement, text, nil
+	return size, Query, text, nil
 }
 
 func frontBounds(kind byte) int {
@@ -69,35 +69,35 @@
 	codeGSS    = 80877104
 )
 
-func (f *Front) start(in []byte) (size int, want Want, text []byte, err error) {
+func (f *FrontendParser) start(in []byte) (size int, want Want, text []byte, err error) {
 	if len(in) > 0 && in[0] != 0 { // a length of 16 MB and more: another protocol
 		return 0, 0, nil, violation("this is no start-up message")
 	}
 	if len(in) < 4 {
-		return 0, 0, nil, ErrMore
+		return 0, 0, nil, ErrIncomplete
 	}
 	n := binary.BigEndian.Uint32(in)
 	if n < 8 || n > longestStart {
 		return 0, 0, nil, violation("a start-up message says that it has %d bytes", n)
 	}
 	if len(in) < 8 {
-		return 0, 0, nil, ErrMore
+		return 0, 0, nil, ErrIncomplete
 	}
 	code := binary.BigEndian.Uint32(in[4:])
 	if code>>16 != 3 && code != codeCancel && code != codeSSL && code != codeGSS {
 		return 0, 0, nil, violation("protocol %d.%d is not spoken here", code>>16, code&0xffff)
 	}
 	if size = int(n); len(in) < size {
-		return 0, 0, nil, ErrMore
+		return 0, 0, nil, ErrIncomplete
 	}
 	switch code {
 	case codeCancel:
-		return size, Leave, nil, nil
+		return size, Terminate, nil, nil
 	case codeSSL, codeGSS:
 		if f.asked++; n != 8 || f.asked > 2 {
 			return 0, 0, nil, violation("a request for encryption has no place here")
 		}
-		return size, Encryption, nil, nil
+		return size, EncryptionRequest, nil, nil
 	}
 	if code == version3 {
 		var m pgproto3.StartupMessage
@@ -106,21 +106,21 @@
 		}
 	}
 	f.started = true
-	return size, Start, nil, nil
+	return size, Startup, nil, nil
 }
 
 // What clients are sent, whole.
 var (
-	NoEncryption = []byte{'N'}
-	Welcome      = encode(&pgproto3.AuthenticationOk{},
+	NoEncryption    = []byte{'N'}
+	StartupResponse = encode(&pgproto3.AuthenticationOk{},
 		&pgproto3.ParameterStatus{Name: "server_version", Value: "16.0"},
 		&pgproto3.ParameterStatus{Name: "server_encoding", Value: "UTF8"},
 		&pgproto3.ParameterStatus{Name: "client_encoding", Value: "UTF8"},
 		&pgproto3.ParameterStatus{Name: "standard_conforming_strings", Value: "on"},
 		&pgproto3.BackendKeyData{ProcessID: 1, SecretKey: []byte{0, 0, 0, 1}},
 		&pgproto3.ReadyForQuery{TxStatus: 'I'})
-	EmptyAnswer = encode(&pgproto3.EmptyQueryResponse{}, &pgproto3.ReadyForQuery{TxStatus: 'I'})
-	Ready       = encode(&pgproto3.ReadyForQuery{TxStatus: 'I'})
+	EmptyQueryAnswer = encode(&pgproto3.EmptyQueryResponse{}, &pgproto3.ReadyForQuery{TxStatus: 'I'})
+	ReadyForQuery    = encode(&pgproto3.ReadyForQuery{TxStatus: 'I'})
 )
 
 func encode(messages ...pgproto3.BackendMessage) (out []byte) {
@@ -146,7 +146,7 @@
 		return out
 	}
 	if !fatal {
-		more = append(more, Ready...)
+		more = append(more, ReadyForQuery...)
 	}
 	return more
 }
--- a/pgwire/pgwire_test.go
+++ b/pgwire/pgwire_test.go
@@ -36,18 +36,18 @@
 
 // play feeds a Front in pieces and tells what it gave, one word each.
 func play(in []byte, cut func(left int) int) (got []string) {
-	var f Front
+	var f FrontendParser
 	var held []byte
 	for len(in) > 0 {
 		n := cut(len(in))
 		held, in = append(held, in[:n]...), in[n:]
 		for len(held) > 0 {
 			size, want, text, err := f.Next(held)
-			if err == ErrMore {
+			if err == ErrIncomplete {
 				break
 			}
 			if err != nil {
-				var fault *Fault
+				var fault *ProtocolError
 				if !errors.As(err, &fault) {
 					return append(got, "no fault: "+err.Error())
 				}
@@ -122,11 +122,11 @@
 }
 
 var greet = join(encoded(&pgproto3.AuthenticationOk{}), param("server_version", "16"),
-	encoded(&pgproto3.BackendKeyData{ProcessID: 1, SecretKey: []byte{0, 0, 0, 1}}), Ready)
+	encoded(&pgproto3.BackendKeyData{ProcessID: 1, SecretKey: []byte{0, 0, 0, 1}}), ReadyForQuery)
 
 // hear feeds a Back that was asked once it was open, and tells what it told.
-func hear(in []byte, cut func(int) int) (got []string, b *Back) {
-	b = &Back{}
+func hear(in []byte, cut func(int) int) (got []string, b *BackendParser) {
+	b = &BackendParser{}
 	b.Reset("gauges", 300<<10)
 	var held []byte
 	for len(in) > 0 {
@@ -134,7 +134,7 @@
 		held, in = append(held, in[:n]...), in[n:]
 		for len(held) > 0 {
 			size, told, err := b.Next(held)
-			if err == ErrMore {
+			if err == ErrIncomplete {
 				break
 			}
 			if err != nil {
@@ -142,14 +142,14 @@
 			}
 			held = held[size:]
 			switch told {
-			case Open:
+			case SessionReady:
 				got = append(got, "open")
-				if !b.Ask() {
+				if !b.BeginQuery() {
 					got = append(got, "cannot be asked")
 				}
-			case Value:
+			case ValueReceived:
 				got = append(got, "value")
-			case Refusal:
+			case ErrorReceived:
 				got = append(got, "refusal "+b.Code)
 			}
 		}
@@ -159,7 +159,7 @@
 
 func TestBack(t *testing.T) {
 	long := bytes.Repeat([]byte("v"), 200<<10)
-	good := join(description(1), row([]byte("abc")), done("SELECT 1"), Ready)
+	good := join(description(1), row([]byte("abc")), done("SELECT 1"), ReadyForQuery)
 	for _, c := range []struct {
 		name string
 		in   []byte
@@ -167,23 +167,23 @@
 		load string
 	}{
 		{"a value", good, "open, value", ""},
-		{"an insert's value", join(description(1), row([]byte("")), done("INSERT 0 1"), Ready), "open, value", ""},
+		{"an insert's value", join(description(1), row([]byte("")), done("INSERT 0 1"), ReadyForQuery), "open, value", ""},
 		{"with a load report", join(param("gauges", "util=0.5"), good), "open, value", "util=0.5"},
-		{"report behind the row", join(description(1), row([]byte("a")), param("gauges", "x"), done("SELECT 1"), Ready), "open, value", "x"},
+		{"report behind the row", join(description(1), row([]byte("a")), param("gauges", "x"), done("SELECT 1"), ReadyForQuery), "open, value", "x"},
 		{"another parameter and a notice", join(param("zone", "b"), encoded(&pgproto3.NoticeResponse{Severity: "NOTICE", Message: "m"}), good), "open, value", ""},
 		{"a report with a zero inside", join([]byte{'S', 0, 0, 0, 16}, []byte("gauges\x00a\x00bc\x00"), good), "open, value", ""},
-		{"a long value", join(description(1), row(long), done("SELECT 1"), Ready), "open, value", ""},
+		{"a long value", join(description(1), row(long), done("SELECT 1"), ReadyForQuery), "open, value", ""},
 		{"too long a value", join(description(1), row(bytes.Repeat([]byte("v"), 301<<10))), "open, fault", ""},
 		{"3 GB", join(description(1), []byte{'D'}, words(3_000_000_000)), "open, fault", ""},
-		{"an error", join(fault("ERROR", "XX000"), Ready), "open, refusal XX000", ""},
+		{"an error", join(fault("ERROR", "XX000"), ReadyForQuery), "open, refusal XX000", ""},
 		{"a fatal error", fault("FATAL", "53300"), "open, refusal 53300", ""},
-		{"an error after the row", join(description(1), row([]byte("a")), fault("ERROR", "XX000"), Ready), "open, refusal XX000", ""},
+		{"an error after the row", join(description(1), row([]byte("a")), fault("ERROR", "XX000"), ReadyForQuery), "open, refusal XX000", ""},
 		{"an answer to nothing", join(good, good), "open, value, fault", ""},
 		{"noise behind", join(good, []byte("HTTP/1.1 200 OK")), "open, value, fault", ""},
-		{"no description", join(row([]byte("a")), done("SELECT 1"), Ready), "open, fault", ""},
+		{"no description", join(row([]byte("a")), done("SELECT 1"), ReadyForQuery), "open, fault", ""},
 		{"two columns", join(description(2), row([]byte("a"), []byte("b"))), "open, fault", ""},
-		{"two rows", join(description(1), row([]byte("a")), row([]byte("b")), done("SELECT 2"), Ready), "open, fault", ""},
-		{"no row", join(description(1), done("SELECT 0"), Ready), "open, fault", ""},
+		{"two rows", join(description(1), row([]byte("a")), row([]byte("b")), done("SELECT 2"), ReadyForQuery), "open, fault", ""},
+		{"no row", join(description(1), done("SELECT 0"), ReadyForQuery), "open, fault", ""},
 		{"a row of nothing", join(description(1), row(nil)), "open, fault", ""},
 		{"a tag of two", join(description(1), row([]byte("a")), done("SELECT 2")), "open, fault", ""},
 		{"a value shorter than its row", join(description(1), []byte{'D', 0, 0, 0, 13, 0, 1, 0, 0, 0, 2, 'a', 'b', 'c'}), "open, fault", ""},
@@ -204,7 +204,7 @@
 				if string(b.Load) != c.load {
 					t.Errorf("%s: load %q, want %q", name, b.Load, c.load)
 				}
-				if c.want == "open, value" && !bytes.HasSuffix(join(c.in, nil), join(b.Pass[len(b.Pass)-8:], Ready)) {
+				if c.want == "open, value" && !bytes.HasSuffix(join(c.in, nil), join(b.Answer[len(b.Answer)-8:], ReadyForQuery)) {
 					t.Errorf("%s: what is passed on does not end as the answer does", name)
 				}
 			}
@@ -228,7 +228,7 @@
 }
 
 func TestBackTellsWhetherAnAnswerBegan(t *testing.T) {
-	b := &Back{}
+	b := &BackendParser{}
 	b.Reset("", 1<<10)
 	feed := func(in []byte) {
 		for len(in) > 0 {
@@ -240,12 +240,12 @@
 		}
 	}
 	feed(greet)
-	b.Ask()
-	if b.Began() {
+	b.BeginQuery()
+	if b.AnswerStarted() {
 		t.Error("begun before a byte came")
 	}
 	feed(description(1))
-	if !b.Began() {
+	if !b.AnswerStarted() {
 		t.Error("not begun with its description")
 	}
 }
@@ -262,8 +262,8 @@
 }
 
 func FuzzBack(f *testing.F) {
-	f.Add(join(greet, description(1), row([]byte("abc")), done("SELECT 1"), Ready))
-	f.Add(join(greet, fault("ERROR", "XX000"), Ready))
+	f.Add(join(greet, description(1), row([]byte("abc")), done("SELECT 1"), ReadyForQuery))
+	f.Add(join(greet, fault("ERROR", "XX000"), ReadyForQuery))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		whole, _ := hear(in, func(n int) int { return n })
 		bytes, _ := hear(in, func(int) int { return 1 })
@@ -274,16 +274,16 @@
 }
 
 func BenchmarkAnswer(b *testing.B) {
-	var back Back
+	var back BackendParser
 	back.Reset("gauges", 1<<20)
 	for in := greet; len(in) > 0; {
 		size, _, _ := back.Next(in)
 		in = in[size:]
 	}
-	answer := join(description(1), row([]byte("0123456789abcdef")), param("gauges", "util=0.5"), done("SELECT 1"), Ready)
+	answer := join(description(1), row([]byte("0123456789abcdef")), param("gauges", "util=0.5"), done("SELECT 1"), ReadyForQuery)
 	b.ReportAllocs()
 	for b.Loop() {
-		back.Ask()
+		back.BeginQuery()
 		for in := answer; len(in) > 0; {
 			size, _, err := back.Next(in)
 			if err != nil {
--- a/trace/compare.go
+++ b/trace/compare.go
@@ -137,7 +137,7 @@
 	}
 	axes := chart.Axes{X: "seconds since " + from.Format("2006-01-02 15:04:05Z")}
 	trial, others := func(b *Bucket) int { return b.Trial }, func(b *Bucket) int { return b.Others }
-	tests := chart.Series{Name: "p at a verdict", Dots: true}
+	tests := chart.Series{Name: "p at a verdict", Points: true}
 	for _, t := range s.Tests {
 		tests.X, tests.Y = append(tests.X, t.At.Sub(from).Seconds()), append(tests.Y, t.P)
 	}
@@ -166,7 +166,7 @@
 		if !some {
 			continue
 		}
-		svg, err := chart.Lines(c.title, axes, c.list)
+		svg, err := chart.LineChart(c.title, axes, c.list)
 		if err != nil {
 			return "", err
 		}
--- a/trace/cost_test.go
+++ b/trace/cost_test.go
@@ -38,7 +38,7 @@
 		rec.Take(now, &x, uint64(i+1), 0, 0)
 		rec.Submit(now, x.ID, workers10[i%10], 0)
 		rec.Event(now, tracepb.Kind_REMIND, 0, 0, uint64(i&63)<<32|uint64(i>>6), 2046971000)
-		o := logic.Outcome{Txn: x.ID, Elapsed: logic.Nanos(1e6 + i%64*1000), Over: true}
+		o := logic.Outcome{Txn: x.ID, Elapsed: logic.Nanos(1e6 + i%64*1000), Final: true}
 		rec.Outcome(now, &o, 200)
 	}
 	rec.Close(now)
@@ -87,7 +87,7 @@
 		rec.Take(now, &x, n+1, 0, 0)
 		rec.Submit(now, x.ID, workers10[n%10], 0)
 		rec.Event(now, tracepb.Kind_REMIND, 0, 0, n&63<<32|n>>6, 2046971000)
-		o := logic.Outcome{Txn: x.ID, Elapsed: logic.Nanos(1e6 + n*mixer>>44), Over: true}
+		o := logic.Outcome{Txn: x.ID, Elapsed: logic.Nanos(1e6 + n*mixer>>44), Final: true}
 		rec.Outcome(now, &o, 200)
 	}
 	rec.Close(now)
--- a/trace/follow.go
+++ b/trace/follow.go
@@ -133,9 +133,9 @@
 	Why     string
 }
 
-var endingTexts = map[logic.Ending]string{logic.OK: "ok", logic.Cancelled: "called off", logic.TimedOut: "timed out", logic.Full: "turned away unseen",
-	logic.Moot: "not sent", logic.Broken: "connection broke", logic.Erred: "error", logic.ConnectFailed: "no connection",
-	logic.Spoilt: "spoilt"}
+var endingTexts = map[logic.Ending]string{logic.OK: "ok", logic.Cancelled: "called off", logic.TimedOut: "timed out", logic.Rejected: "turned away unseen",
+	logic.Skipped: "not sent", logic.Disconnected: "connection broke", logic.ErrorResponse: "error", logic.ConnectFailed: "no connection",
+	logic.MalformedResponse: "spoilt"}
 
 // Follow finds the stories of the txns that fit, looking only into blocks that may hold them. Damage is passed
 // over and named to hurt.
--- a/trace/hold.go
+++ b/trace/hold.go
@@ -85,14 +85,14 @@
 	if x == nil {
 		return
 	}
-	if o.Over && status > 0 {
+	if o.Final && status > 0 {
 		x.well = status < 500
 		x.bad = x.bad || status >= 500
 	}
 	if h.level == LevelDecisions {
 		return
 	}
-	s := step{at: int64(now), kind: tracepb.Kind_OUTCOME, number: uint16(o.Number), ending: uint8(o.Ending), over: o.Over, span: int64(o.Elapsed),
+	s := step{at: int64(now), kind: tracepb.Kind_OUTCOME, number: uint16(o.Number), ending: uint8(o.Ending), over: o.Final, span: int64(o.Elapsed),
 		token: uint32(status)}
 	if o.Load != nil {
 		s.load, s.loaded = *o.Load, true
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -369,8 +369,8 @@
 }
 
 // News records news of the newest build.
-func (k *Recorder) News(now logic.Nanos, n logic.News) {
-	m := &tracepb.News{Stage: int64(n.Stage), Answer: n.Answer, Build: int64(n.Rel), Cap: n.Cap, Phase: int64(n.Phase), Age: int64(n.Age),
+func (k *Recorder) News(now logic.Nanos, n logic.ReleaseUpdate) {
+	m := &tracepb.News{Stage: int64(n.Stage), Answer: n.VoteReply, Build: int64(n.Rel), Cap: n.Cap, Phase: int64(n.Phase), Age: int64(n.Age),
 		Ending: int64(n.Ending)}
 	k.message(now, Record{Kind: tracepb.Kind_NEWS}, m)
 	if n.Ending == logic.OK {
@@ -526,7 +526,7 @@
 	b = putUint(b, tagNumber, uint64(o.Number))
 	b = putUint(b, tagEnding, uint64(o.Ending))
 	b = putSpan(b, tagElapsed, uint64(o.Elapsed))
-	if o.Over {
+	if o.Final {
 		b = append(b, byte(tagOver), 1)
 	}
 	if o.Load != nil {
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -287,14 +287,14 @@
 	p.put(action{kind: tracepb.Kind_DECLINE, txn: uint64(t), span: uint64(after)})
 }
 func (p *player) Void(t logic.TxnID) { p.put(action{kind: tracepb.Kind_VOID, txn: uint64(t)}) }
-func (p *player) Remind(after logic.Nanos, token uint64) {
+func (p *player) SetTimer(after logic.Nanos, token uint64) {
 	p.put(action{kind: tracepb.Kind_REMIND, token: token, span: uint64(after)})
 }
 func (p *player) Vote(v logic.Verdict, rel logic.RelID, stage int) {
 	p.put(action{kind: tracepb.Kind_VOTE, number: uint32(v), token: uint64(rel), span: uint64(stage)})
 }
-func (p *player) Watch() { p.put(action{kind: tracepb.Kind_WATCH}) }
-func (p *player) Tell(to int, data []byte) {
+func (p *player) WatchWorkers() { p.put(action{kind: tracepb.Kind_WATCH}) }
+func (p *player) SendToPeer(to int, data []byte) {
 	p.put(action{kind: tracepb.Kind_TELL, number: uint32(to), text: string(data)})
 }
 func (p *player) Log(text string) { p.put(action{kind: tracepb.Kind_LOG, text: text}) }
@@ -384,29 +384,29 @@
 			list = append(list, logic.Worker{ID: logic.WorkerID(w.Id), Zone: logic.ZoneID(w.Zone), Kind: logic.KindID(w.Kind), Cell: int(w.Cell),
 				State: logic.State(w.State), Weight: w.Weight, Rel: logic.RelID(w.Build), Start: logic.Nanos(w.Start)})
 		}
-		(*s).List(now, logic.ListMode(r.Number), list)
+		(*s).UpdateWorkers(now, logic.ListMode(r.Number), list)
 	case tracepb.Kind_TAKE:
 		out.Txns++
 		(*s).Take(now, logic.Txn{ID: logic.TxnID(r.Txn), Product: logic.ProductID(r.Product), Customer: logic.CustomerID(r.Customer),
 			Key: logic.KeyID(r.Key), Cost: logic.Nanos(r.Cost), Repeat: r.Repeat, Expiry: now + logic.Nanos(r.Patience)})
 	case tracepb.Kind_OUTCOME:
-		o := logic.Outcome{Txn: logic.TxnID(r.Txn), Number: int(r.Number), Ending: logic.Ending(r.Ending), Elapsed: logic.Nanos(r.Elapsed), Over: r.Over}
+		o := logic.Outcome{Txn: logic.TxnID(r.Txn), Number: int(r.Number), Ending: logic.Ending(r.Ending), Elapsed: logic.Nanos(r.Elapsed), Final: r.Over}
 		if r.Loaded {
 			o.Load = &logic.Load{Util: r.Util, Queue: r.Queue, Busy: r.Busy}
 		}
 		(*s).Outcome(now, o)
 	case tracepb.Kind_LEFT:
-		(*s).Left(now, logic.TxnID(r.Txn))
+		(*s).ClientLeft(now, logic.TxnID(r.Txn))
 	case tracepb.Kind_STREAMING:
-		(*s).Streaming(now, logic.TxnID(r.Txn), int(r.Number))
+		(*s).StreamStarted(now, logic.TxnID(r.Txn), int(r.Number))
 	case tracepb.Kind_TIMER:
-		(*s).Timer(now, r.Token)
+		(*s).TimerFired(now, r.Token)
 	case tracepb.Kind_NEWS:
 		var n tracepb.News
 		if err := proto.Unmarshal(r.Body, &n); err != nil {
 			return fmt.Errorf("%w: news: %w", ErrDamaged, err)
 		}
-		(*s).News(now, logic.News{Stage: int(n.Stage), Answer: n.Answer, Rel: logic.RelID(n.Build), Cap: n.Cap, Phase: logic.Phase(n.Phase),
+		(*s).ReleaseUpdate(now, logic.ReleaseUpdate{Stage: int(n.Stage), VoteReply: n.Answer, Rel: logic.RelID(n.Build), Cap: n.Cap, Phase: logic.Phase(n.Phase),
 			Age: logic.Nanos(n.Age), Ending: logic.Ending(n.Ending)})
 	case tracepb.Kind_TALLY:
 		var t tracepb.Tally
@@ -418,7 +418,7 @@
 	case tracepb.Kind_CONTESTED:
 		(*s).Contested(now, logic.ProductID(r.Product), logic.WorkerID(names[r.Worker]), logic.Nanos(r.Span))
 	case tracepb.Kind_TOLD:
-		(*s).Told(now, int(r.Number), append([]byte(nil), r.Body...))
+		(*s).PeerMessage(now, int(r.Number), append([]byte(nil), r.Body...))
 	default:
 		return fmt.Errorf("trace: a record of kind %d, which this program does not know", r.Kind)
 	}
--- a/trace/rules.go
+++ b/trace/rules.go
@@ -263,7 +263,7 @@
 
 func (s *ruled) list(r *Record) {
 	var l tracepb.List
-	if proto.Unmarshal(r.Body, &l) != nil || logic.ListMode(r.Number) == logic.NoList {
+	if proto.Unmarshal(r.Body, &l) != nil || logic.ListMode(r.Number) == logic.ListUnavailable {
 		return
 	}
 	named := map[string]bool{}
@@ -350,7 +350,7 @@
 	b := &t.subs[r.Number]
 	b.out = false
 	e := logic.Ending(r.Ending)
-	b.unseen = e == logic.Full || e == logic.Moot || e == logic.ConnectFailed
+	b.unseen = e == logic.Rejected || e == logic.Skipped || e == logic.ConnectFailed
 	if r.Token == 0 || t.streams {
 		return
 	}
@@ -519,7 +519,7 @@
 	case tracepb.Kind_OUTCOME:
 		// Much work alone is no fall: costs are guesses. A worker that fell breaks what it holds.
 		t := s.open[r.Txn]
-		if t == nil || int(r.Number) >= len(t.subs) || logic.Ending(r.Ending) != logic.Broken {
+		if t == nil || int(r.Number) >= len(t.subs) || logic.Ending(r.Ending) != logic.Disconnected {
 			return
 		}
 		worker := t.subs[r.Number].worker
--- a/trace/summary.go
+++ b/trace/summary.go
@@ -298,7 +298,7 @@
 // ended counts the end of a submission for its build's side of the trial.
 func (s *summing) ended(b *Bucket, r *Record, build int64) {
 	e := logic.Ending(r.Ending)
-	if e == logic.Cancelled || e == logic.Moot {
+	if e == logic.Cancelled || e == logic.Skipped {
 		return
 	}
 	many, bad, sum := &b.Others, &b.OthersBad, &b.OthersTime
--- a/trace/tale.go
+++ b/trace/tale.go
@@ -106,7 +106,7 @@
 
 // Why replays a life up to a txn's last recorded decision, and lists how each worker stood for it: what the decision
 // module itself says speaks against each. It needs the life from its start.
-func Why(s *Story) ([]logic.Standing, error) {
+func Why(s *Story) ([]logic.WorkerStatus, error) {
 	l := s.life
 	if l.Level() != LevelWhole || l.origin != 0 {
 		return nil, ErrSampled
--- a/trace/tools_test.go
+++ b/trace/tools_test.go
@@ -156,7 +156,7 @@
 			s.fleet(0, 1)
 			s.take(10, 1, 1)
 			s.submit(10, 1, "a")
-			s.end(30, 1, 0, logic.Broken, 0)
+			s.end(30, 1, 0, logic.Disconnected, 0)
 			s.submit(30, 1, "b")
 			s.end(50, 1, 1, logic.OK, 200)
 		}},
@@ -164,7 +164,7 @@
 			s.fleet(0, 1)
 			s.take(10, 1, 1)
 			s.submit(10, 1, "a")
-			s.end(30, 1, 0, logic.Full, 0)
+			s.end(30, 1, 0, logic.Rejected, 0)
 			s.submit(30, 1, "b")
 			s.end(50, 1, 1, logic.OK, 200)
 		}},
@@ -208,7 +208,7 @@
 				s.take(100+2*i, uint64(i+1), 0)
 				s.submit(100+2*i, uint64(i+1), "a")
 			}
-			s.end(350, 1, 0, logic.Broken, 0)
+			s.end(350, 1, 0, logic.Disconnected, 0)
 			s.add(360, "", Record{Kind: tracepb.Kind_VOID, Txn: 1})
 		}},
 		{"a cold worker that bears it", 0, "", func(s *scene) {
@@ -389,7 +389,7 @@
 			}
 			now := logic.Nanos(began)
 			rec.Start(now, 1)
-			rec.News(now, logic.News{Rel: 2, Cap: 0.1})
+			rec.News(now, logic.ReleaseUpdate{Rel: 2, Cap: 0.1})
 			rng := rand.New(rand.NewSource(1))
 			bad, chosen := 0, 0
 			const n = 5000
@@ -409,12 +409,12 @@
 					rec.Event(late, tracepb.Kind_VOID, x.ID, 0, 0, 0)
 				case i%50 == 1:
 					bad++
-					rec.Outcome(late, &logic.Outcome{Txn: x.ID, Ending: logic.Erred, Over: true}, 503)
+					rec.Outcome(late, &logic.Outcome{Txn: x.ID, Ending: logic.ErrorResponse, Final: true}, 503)
 				default:
 					if Keeps(uint64(x.Key), c.oneIn) {
 						chosen++
 					}
-					rec.Outcome(late, &logic.Outcome{Txn: x.ID, Over: true, Elapsed: 30 * logic.Millisecond}, 200)
+					rec.Outcome(late, &logic.Outcome{Txn: x.ID, Final: true, Elapsed: 30 * logic.Millisecond}, 200)
 				}
 				rec.Done(late, x.ID)
 				rec.Flush(now)
@@ -625,7 +625,7 @@
 		}
 		rec.Take(now, &x, uint64(i), 0, 0)
 		rec.Submit(now, x.ID, logic.WorkerID(fmt.Sprint("w", i%3)), 0)
-		rec.Outcome(now, &logic.Outcome{Txn: x.ID, Over: true}, 200)
+		rec.Outcome(now, &logic.Outcome{Txn: x.ID, Final: true}, 200)
 	}
 	rec.Close(now)
 	lives, err := Lives([]string{dir})
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -111,7 +111,7 @@
 	h.event(tracepb.Kind_VOTE, 0, int(v), uint64(rel), uint64(stage))
 }
 func (h *hosted) Log(text string) { h.rec.Log(h.now, text) }
-func (h *hosted) Remind(after logic.Nanos, token uint64) {
+func (h *hosted) SetTimer(after logic.Nanos, token uint64) {
 	h.event(tracepb.Kind_REMIND, 0, 0, token, uint64(after))
 	h.timers, h.tokens = append(h.timers, h.now+after), append(h.tokens, token)
 }
@@ -128,10 +128,10 @@
 		list = append(list, logic.Worker{ID: logic.WorkerID(fmt.Sprintf("w%d", i)), Rel: logic.RelID(1 + i/6), Weight: 1})
 	}
 	rec.List(h.now, logic.Whole, list)
-	s.List(h.now, logic.Whole, list)
-	news := logic.News{Rel: 2, Cap: 0.3, Phase: logic.OnTrial}
+	s.UpdateWorkers(h.now, logic.Whole, list)
+	news := logic.ReleaseUpdate{Rel: 2, Cap: 0.3, Phase: logic.OnTrial}
 	rec.News(h.now, news)
-	s.News(h.now, news)
+	s.ReleaseUpdate(h.now, news)
 	count := 0
 	for i := 1; i <= n; i++ {
 		h.now += logic.Nanos(rng.Int63n(int64(10 * logic.Millisecond)))
@@ -141,7 +141,7 @@
 				h.timers, h.tokens = append(h.timers[:k], h.timers[k+1:]...), append(h.tokens[:k], h.tokens[k+1:]...)
 				k--
 				rec.Event(h.now, tracepb.Kind_TIMER, 0, 0, token, 0)
-				s.Timer(h.now, token)
+				s.TimerFired(h.now, token)
 			}
 		}
 		rec.Flush(h.now)
@@ -159,9 +159,9 @@
 			h.subs = h.subs[1:]
 			o := logic.Outcome{Txn: logic.TxnID(a.txn), Number: tries, Elapsed: logic.Nanos(rng.Int63n(int64(40 * logic.Millisecond)))}
 			if a.worker > "w5" && rng.Intn(3) == 0 {
-				o.Ending = logic.Erred
+				o.Ending = logic.ErrorResponse
 			}
-			o.Over = o.Ending == logic.OK
+			o.Final = o.Ending == logic.OK
 			if rng.Intn(2) == 0 {
 				o.Load = &logic.Load{Util: rng.Float64(), Queue: 2, Busy: -1}
 			}
--- a/wire/terms.go
+++ b/wire/terms.go
@@ -2,33 +2,33 @@
 
 import "dunegrade/logic"
 
-// Terms is what an instance's first message comes to in our words: the module's settings, and numbers for names.
-type Terms struct {
-	Module    map[string]any // the plain map of names to values that the module reads
-	Products  map[string]int
-	Customers map[string]int // from 1
-	Zones     map[string]int
-	Kinds     map[string]int
-	Fields    []string // of a load report, as the wire calls them
+// InitSettings is what an instance's first message comes to in our words: the module's settings, and numbers for names.
+type InitSettings struct {
+	Values     map[string]any // the plain map of names to values that the module reads
+	Products   map[string]int
+	Customers  map[string]int // from 1
+	Zones      map[string]int
+	Kinds      map[string]int
+	LoadFields []string // of a load report, as the wire calls them
 }
 
-// Translate turns the object of an instance's first message into our words. The bench's host and a sentry in service
+// DecodeInit turns the object of an instance's first message into our words. The bench's host and a sentry in service
 // both start from it.
-func Translate(params map[string]any) *Terms {
-	t := &Terms{Module: map[string]any{}, Products: names(params["classes"], 0), Customers: names(params["realms"], 1),
+func DecodeInit(params map[string]any) *InitSettings {
+	t := &InitSettings{Values: map[string]any{}, Products: names(params["classes"], 0), Customers: names(params["realms"], 1),
 		Zones: names(params["localities"], 0), Kinds: names(params["skus"], 0)}
-	flatten(t.Module, "", "", params)
+	flatten(t.Values, "", "", params)
 	if rep, ok := params["report"].(map[string]any); ok {
 		if fields, ok := rep["fields"].([]any); ok {
 			for _, f := range fields {
 				s, _ := f.(string)
-				t.Fields = append(t.Fields, s)
+				t.LoadFields = append(t.LoadFields, s)
 			}
 		}
 	}
 	if zone, ok := params["locality"].(string); ok {
 		if n, known := t.Zones[zone]; known {
-			t.Module["zone"] = float64(n)
+			t.Values["zone"] = float64(n)
 		}
 	}
 	return t
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -22,7 +22,7 @@
 	number int
 	out    *bytes.Buffer
 	failed bool
-	*Terms
+	*InitSettings
 }
 
 type host struct {
@@ -185,10 +185,10 @@
 	if r.fault != nil {
 		return r.fault
 	}
-	terms := Translate(params)
-	in := &instance{number: number, out: &h.out, Terms: terms}
+	terms := DecodeInit(params)
+	in := &instance{number: number, out: &h.out, InitSettings: terms}
 	h.instances[number] = in
-	in.guard(func() { in.sentry = logic.New(h.now, seed, terms.Module, in) })
+	in.guard(func() { in.sentry = logic.New(h.now, seed, terms.Values, in) })
 	return nil
 }
 
@@ -199,7 +199,7 @@
 	case "peersKnown":
 		mode := lookup(r, modes, r.text(3, "mode"), "mode")
 		var list []logic.Worker
-		if r.fault == nil && mode != logic.NoList {
+		if r.fault == nil && mode != logic.ListUnavailable {
 			page, ok := h.pages[int(r.num(2, "page"))]
 			if !ok {
 				return nil, fmt.Errorf("page %s was never sent", r.v[2])
@@ -208,7 +208,7 @@
 				list = append(list, h.worker(in, r, e))
 			}
 		}
-		call = func() { s.List(now, mode, list) }
+		call = func() { s.UpdateWorkers(now, mode, list) }
 	case "knock":
 		t := logic.Txn{ID: r.txn(2)}
 		var org any
@@ -231,18 +231,18 @@
 		call = func() { s.Take(now, t) }
 	case "completed":
 		o := logic.Outcome{Txn: r.txn(2), Number: int(r.num(3, "copy")), Ending: r.ending(5), Elapsed: r.time(6, "costTime")}
-		r.get(7, "ended", &o.Over, false)
+		r.get(7, "ended", &o.Final, false)
 		o.Load = in.load(r, 8)
 		call = func() { s.Outcome(now, o) }
 	case "flowing":
 		t, n := r.txn(2), int(r.num(3, "copy"))
-		call = func() { s.Streaming(now, t, n) }
+		call = func() { s.StreamStarted(now, t, n) }
 	case "dropped":
 		t := r.txn(2)
-		call = func() { s.Left(now, t) }
+		call = func() { s.ClientLeft(now, t) }
 	case "timer":
 		token := uint64(r.num(2, "keyBack"))
-		call = func() { s.Timer(now, token) }
+		call = func() { s.TimerFired(now, token) }
 	case "echo":
 		r.text(2, "worker")
 		r.ending(3)
@@ -255,15 +255,15 @@
 		if r.fault == nil && err != nil {
 			r.fault = fmt.Errorf("data is not base64: %w", err)
 		}
-		call = func() { s.Told(now, from, data) }
+		call = func() { s.PeerMessage(now, from, data) }
 	case "trialNews":
-		n := logic.News{Ending: r.ending(8)}
-		n.Stage, n.Answer = int(r.opt(2, "stage")), r.opt(3, "mark") == 1
+		n := logic.ReleaseUpdate{Ending: r.ending(8)}
+		n.Stage, n.VoteReply = int(r.opt(2, "stage")), r.opt(3, "mark") == 1
 		n.Rel = logic.RelID(r.opt(4, "edition"))
 		r.get(5, "cap", &n.Cap, false)
 		n.Phase = logic.Phase(r.opt(6, "phase"))
 		n.Age = logic.Nanos(r.opt(7, "old") * 1000)
-		call = func() { s.News(now, n) }
+		call = func() { s.ReleaseUpdate(now, n) }
 	case "countsByBuild":
 		t := logic.Tally{Rel: logic.RelID(r.num(2, "edition")), Many: int(r.num(3, "many")), Bad: int(r.num(4, "bad"))}
 		t.Product = logic.ProductID(lookup(r, in.Products, r.text(6, "class"), "class"))
@@ -317,7 +317,7 @@
 		return nil
 	}
 	l := &logic.Load{Util: -1, Queue: -1, Busy: -1}
-	for k, f := range in.Fields {
+	for k, f := range in.LoadFields {
 		if k >= len(v) {
 			break
 		}
@@ -354,14 +354,14 @@
 	in.act("refuse", txnText(t), timeText(retryAfter))
 }
 func (in *instance) Void(t logic.TxnID) { in.act("reportFailure", txnText(t)) }
-func (in *instance) Remind(after logic.Nanos, token uint64) {
+func (in *instance) SetTimer(after logic.Nanos, token uint64) {
 	in.act("remind", timeText(after), strconv.FormatUint(token, 10))
 }
 func (in *instance) Vote(v logic.Verdict, rel logic.RelID, stage int) {
 	in.act("vote", numText(v), numText(rel), numText(stage))
 }
-func (in *instance) Watch() { in.act("watch", "true") }
-func (in *instance) Tell(to int, data []byte) {
+func (in *instance) WatchWorkers() { in.act("watch", "true") }
+func (in *instance) SendToPeer(to int, data []byte) {
 	in.act("broadcastTo", numText(to), jsonText(base64.StdEncoding.EncodeToString(data)))
 }
 func (in *instance) Log(text string) { in.act("trace", jsonText(text)) }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -111,9 +111,9 @@
 	}{
 		{func(in *instance) { in.Submit(0xab, "a:1", 5000) }, `["issue",3,"00000000000000ab",5,"a:1"]`},
 		{func(in *instance) { in.Cancel(0xab, 1) }, `["abortAttempt",3,"00000000000000ab",1]`},
-		{func(in *instance) { in.Vote(logic.Back, 41, 2) }, `["vote",3,3,41,2]`},
-		{func(in *instance) { in.Remind(1_000_000, 1<<62) }, `["remind",3,1000,4611686018427387904]`},
-		{func(in *instance) { in.Tell(1, []byte("hi 7")) }, `["broadcastTo",3,1,"aGkgNw=="]`},
+		{func(in *instance) { in.Vote(logic.VerdictBack, 41, 2) }, `["vote",3,3,41,2]`},
+		{func(in *instance) { in.SetTimer(1_000_000, 1<<62) }, `["remind",3,1000,4611686018427387904]`},
+		{func(in *instance) { in.SendToPeer(1, []byte("hi 7")) }, `["broadcastTo",3,1,"aGkgNw=="]`},
 		{func(in *instance) { in.Log("two\nlines") }, `["trace",3,"two\nlines"]`},
 	} {
 		var out bytes.Buffer
--- a/wire/words.go
+++ b/wire/words.go
@@ -80,14 +80,14 @@
 }
 
 var endings = map[int]logic.Ending{
-	0: logic.OK, 1: logic.Cancelled, 4: logic.TimedOut, 8: logic.Full, 9: logic.Moot, 10: logic.Broken,
-	13: logic.Erred, 14: logic.ConnectFailed,
+	0: logic.OK, 1: logic.Cancelled, 4: logic.TimedOut, 8: logic.Rejected, 9: logic.Skipped, 10: logic.Disconnected,
+	13: logic.ErrorResponse, 14: logic.ConnectFailed,
 }
 
 var states = map[string]logic.State{"up": logic.Up, "draining": logic.Draining, "removed": logic.Gone}
 
 var modes = map[string]logic.ListMode{
-	"update": logic.Changes, "replace": logic.Whole, "restored": logic.Restored, "unavailable": logic.NoList,
+	"update": logic.Changes, "replace": logic.Whole, "restored": logic.Restored, "unavailable": logic.ListUnavailable,
 }
 
 // flatten lays the settings out as one plain map from our names to values: numbers as float64 (times in
