--- a/api/client.go
+++ b/api/client.go
@@ -13,35 +13,39 @@
 	"time"
 )
 
-// Outcomes of a vote that was not counted, or may not have been.
+// Errors of Client.Vote.
 var (
-	ErrStaleVote          = errors.New("api: the vote is not for the present build or stage")
-	ErrTooManyVotes       = errors.New("api: more votes than the platform takes")
-	ErrVoteOutcomeUnknown = errors.New("api: no answer in time; the vote may count")
+	// ErrStaleVote means that the platform discarded the vote, as it names another build or stage than the current one.
+	ErrStaleVote = errors.New("api: the vote is not for the current build or stage")
+	// ErrTooManyVotes means that the platform rejected the vote because it receives more than it accepts.
+	ErrTooManyVotes = errors.New("api: more votes than the platform accepts")
+	// ErrVoteOutcomeUnknown means that no complete answer arrived: the platform may or may not have counted the vote.
+	ErrVoteOutcomeUnknown = errors.New("api: no answer in time; the vote may have been counted")
 )
 
-// Client speaks to one server. It is safe for concurrent use.
+// Client accesses one API server. It is safe for concurrent use.
 type Client struct {
-	BaseURL string // such as http://127.0.0.1:7000
+	BaseURL string // for example http://127.0.0.1:7000
 	HTTP    *http.Client
-	// WatchIdleTimeout is how long a watch may say nothing before it counts as broken.
+	// WatchIdleTimeout is how long a watch may deliver no event before it fails.
 	WatchIdleTimeout time.Duration
 }
 
-// NewClient makes a client with connections of its own; Close ends them.
+// NewClient returns a client with its own connection pool; Close releases it.
 func NewClient(base string) *Client {
 	return &Client{BaseURL: base, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}, WatchIdleTimeout: 3 * time.Second}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.HTTP.CloseIdleConnections() }
 
-// Watch reads one watch until it breaks or ctx ends, and hands each line to on. It always gives an error.
-func (c *Client) Watch(ctx context.Context, path string, query url.Values, on func(line []byte) error) error {
-	ctx, stop := context.WithCancelCause(ctx)
-	defer stop(nil)
-	quiet := time.AfterFunc(c.WatchIdleTimeout, func() { stop(errors.New("the watch fell silent")) })
-	defer quiet.Stop()
+// Watch reads events from one watch until it fails or ctx ends, and passes each line to handle. It always returns a non-nil
+// error.
+func (c *Client) Watch(ctx context.Context, path string, query url.Values, handle func(line []byte) error) error {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	idle := time.AfterFunc(c.WatchIdleTimeout, func() { cancel(errors.New("the watch fell silent")) })
+	defer idle.Stop()
 	query.Set("watch", "1")
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.BaseURL+path+"?"+query.Encode(), nil)
 	if err != nil {
@@ -61,13 +65,14 @@
 		if err != nil {
 			return fmt.Errorf("watch %s: %w", path, cause(ctx, err))
 		}
-		quiet.Reset(c.WatchIdleTimeout)
-		if err := on(bytes.TrimSpace(line)); err != nil {
+		idle.Reset(c.WatchIdleTimeout)
+		if err := handle(bytes.TrimSpace(line)); err != nil {
 			return fmt.Errorf("watch %s: %w", path, err)
 		}
 	}
 }
 
+// cause returns the reason why ctx was cancelled, or err if it was not.
 func cause(ctx context.Context, err error) error {
 	if c := context.Cause(ctx); c != nil {
 		return c
@@ -75,42 +80,42 @@
 	return err
 }
 
-// Vote casts a vote and gives the news that answers it. Errors: ErrMoot, ErrFull, ErrUnknown, or another for a
-// vote that does not count.
+// Vote casts a vote and returns the release state that the platform answers with. It fails with ErrStaleVote,
+// ErrTooManyVotes, ErrVoteOutcomeUnknown, or another error if the vote was not counted.
 func (c *Client) Vote(ctx context.Context, v Vote) (ReleaseEvent, error) {
-	var out ReleaseEvent
+	var event ReleaseEvent
 	body, err := json.Marshal(v)
 	if err != nil {
-		return out, err
+		return event, err
 	}
-	url := fmt.Sprintf("%s/v1/releases/%d/votes", c.BaseURL, v.Build)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
+	endpoint := fmt.Sprintf("%s/v1/releases/%d/votes", c.BaseURL, v.Build)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, endpoint, bytes.NewReader(body))
 	if err != nil {
-		return out, fmt.Errorf("vote: %w", err)
+		return event, fmt.Errorf("vote: %w", err)
 	}
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
 		if ctx.Err() != nil {
-			return out, ErrVoteOutcomeUnknown
+			return event, ErrVoteOutcomeUnknown
 		}
-		return out, fmt.Errorf("vote: %w", err)
+		return event, fmt.Errorf("vote: %w", err)
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
 	if err != nil {
-		return out, ErrVoteOutcomeUnknown
+		return event, ErrVoteOutcomeUnknown
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		if err := json.Unmarshal(text, &out); err != nil {
-			return out, fmt.Errorf("vote: malformed answer: %w", err)
+		if err := json.Unmarshal(text, &event); err != nil {
+			return event, fmt.Errorf("vote: malformed answer: %w", err)
 		}
-		return out, nil
+		return event, nil
 	case http.StatusConflict:
-		return out, ErrStaleVote
+		return event, ErrStaleVote
 	case http.StatusTooManyRequests:
-		return out, ErrTooManyVotes
+		return event, ErrTooManyVotes
 	}
-	return out, fmt.Errorf("vote: status %d", resp.StatusCode)
+	return event, fmt.Errorf("vote: status %d", resp.StatusCode)
 }
