--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -1,5 +1,5 @@
-// Package fleet is a model of workers, the builds they run and what goes wrong with them. It is pure: the clock is
-// handed in, chance comes from one seeded source a machine, and nothing here opens a socket or starts a goroutine.
+// Package fleet simulates workers, the builds they run and their failures. It is deterministic: callers pass in the clock,
+// each machine has its own seeded random source, and the package opens no sockets and starts no goroutines.
 package fleet
 
 import (
@@ -7,345 +7,361 @@
 	"math/rand"
 )
 
-// Nanos is a clock time or a span, in whole nanoseconds.
+// Nanos is a clock time or a duration, in nanoseconds.
 type Nanos int64
 
-// Millisecond and Second read well in code.
+// Common durations.
 const (
 	Millisecond Nanos = 1_000_000
 	Second      Nanos = 1_000_000_000
 )
 
-// Flaw is what is wrong with a build.
+// Flaw is the kind of defect of a build.
 type Flaw string
 
 // Flaws of builds.
 const (
-	NoFlaw     Flaw = "good"
-	Errors     Flaw = "errors"    // fails a share (Strength) of all txns
-	Slow       Flaw = "slow"      // needs Strength times the work
-	OneProduct Flaw = "product"   // fails a share of one product's txns
-	UnderLoad  Flaw = "load"      // slow by Strength, and fails a fifth, when its machine is over half busy
-	LateFlaw   Flaw = "late"      // fails a share, from 6 s after its start on
-	Wrong      Flaw = "wrong"     // a share of its answers is wrong, and looks like any other
-	SlowsFleet Flaw = "slows-all" // slows all machines by up to Strength, in step with its share of the traffic
-	FlawAfter       = 6 * Second  // when a LateFlaw shows
-	FlawLoad        = 0.5         // busy share at which UnderLoad shows
-	LoadFails       = 0.2         // share of txns that it then fails
+	NoFlaw        Flaw = "good"
+	Errors        Flaw = "errors"    // fails a share of Strength of all txns
+	Slow          Flaw = "slow"      // takes Strength times the work
+	OneProduct    Flaw = "product"   // fails a share of Strength of one product's txns
+	UnderLoad     Flaw = "load"      // slows down by Strength and fails UnderLoadErrorRate of txns on a busy machine
+	DelayedErrors Flaw = "late"      // fails a share of Strength of txns, from DelayedErrorsAfter on
+	WrongAnswers  Flaw = "wrong"     // answers a share of Strength of txns wrongly, indistinguishable from correct answers
+	SlowsFleet    Flaw = "slows-all" // slows all machines by up to Strength, in proportion to its share of the traffic
+
+	// DelayedErrorsAfter is the time from a machine's start to the first failures of DelayedErrors.
+	DelayedErrorsAfter = 6 * Second
+	// UnderLoadThreshold is the busy share of the cores above which UnderLoad takes effect.
+	UnderLoadThreshold = 0.5
+	// UnderLoadErrorRate is the share of txns that UnderLoad fails.
+	UnderLoadErrorRate = 0.2
 )
 
-// Build is a version of the workers' software.
+// Build is a version of the worker software.
 type Build struct {
 	Number   int
 	Flaw     Flaw
-	Strength float64
-	Product  int     // the one that OneProduct hits
-	Speed    float64 // of a good part of it; 1 is usual
+	Strength float64 // failure rate, wrong-answer rate or slowdown factor, depending on Flaw
+	Product  int     // index of the product that OneProduct affects
+	Speed    float64 // speed relative to a normal build; NewMachine takes 0 as 1
 }
 
-// Kind is what a machine can do.
+// Kind describes the capacity and failure behavior of a machine.
 type Kind struct {
-	Cores             int
-	Slots             int // txns waiting or in work; beyond them it turns away unseen
-	Speed             float64
+	Cores int
+	// Slots limits the queued and running txns; further ones are refused without being processed.
+	Slots int
+	// Speed is relative to a normal machine.
+	Speed float64
+	// ColdStartCapacity is the share of the capacity that a machine has at its start. It rises linearly to 1 over WarmUp.
 	ColdStartCapacity float64
 	WarmUp            Nanos
-	OverloadMultiple  float64 // sent more than that many times its present capacity
-	OverloadWindow    Nanos   // for so long, a cold machine falls over
-	StopsOnCancel     bool    // work whose connection has gone stops
-	BaseErrorRate     float64 // share of txns that any build fails
-	ReportInterval    Nanos
-	ReportNoise       float64
+	// A machine that warms up fails if the work that it is sent within OverloadWindow exceeds OverloadMultiple times its
+	// current capacity. An OverloadMultiple of 0 disables this.
+	OverloadMultiple float64
+	OverloadWindow   Nanos
+	StopsOnCancel    bool    // whether a machine stops work whose connection was closed
+	BaseErrorRate    float64 // share of txns that fail with any build
+	ReportInterval   Nanos   // between updates of the load report
+	ReportNoise      float64 // relative standard deviation of the reported utilization
 }
 
-// Job is a txn as a machine sees it.
+// Job is a txn as submitted to a machine.
 type Job struct {
 	ID       uint64
 	Product  int
-	DedupKey uint64 // by which a repeat is known; 0: none
-	Memory   Nanos  // for how long the mark is remembered
-	Work     Nanos  // on a core of speed 1
-	From     int    // the sentry it came through
+	DedupKey uint64 // key that identifies duplicates; 0 means none
+	Memory   Nanos  // how long DedupKey is remembered
+	Work     Nanos  // run time on a core of speed 1
+	From     int    // index of the sentry that submitted it
 }
 
-// Admission is what a machine says to a job that arrives.
+// Admission is a machine's response to a submitted job.
 type Admission int
 
-// Verdicts.
+// Admissions.
 const (
-	Accepted Admission = iota
-	Refused
-	MachineDown
+	Accepted    Admission = iota
+	Refused               // all slots are taken
+	MachineDown           // the machine has failed
 )
 
-// End is how a job ended.
+// End is the result of a job.
 type End int
 
-// Ends of jobs.
+// Job results.
 const (
-	Fine End = iota
+	Succeeded End = iota
 	Failed
-	WrongAnswer // looks fine
-	Dropped     // a repeat, answered as what ran before
+	WrongAnswer // reported as a success
+	Dropped     // a duplicate, answered with the result of the first execution
 )
 
-// CompletedJob is a job that has ended.
+// CompletedJob is a job with its result and times.
 type CompletedJob struct {
 	Job
-	End     End
-	Arrived Nanos
-	Began   Nanos
-	At      Nanos
+	End      End
+	Arrived  Nanos
+	Started  Nanos
+	Finished Nanos
 }
 
-// TookEffect tells whether the job's effect took place at this machine.
+// TookEffect reports whether this machine executed the job's effect.
 func (d CompletedJob) TookEffect() bool { return d.End != Dropped }
 
-// MachineFault is what is wrong with a machine by itself. The zero value is a healthy one.
+// MachineFault is a fault injected into one machine, whatever its build. The zero value is a healthy machine.
 type MachineFault struct {
-	Slow           float64 // takes so many times as long; 0 or 1: no
-	NeighbourShare float64 // share of the machine that another program takes
-	FailureRate    float64 // share of txns that it fails at once
-	Hangs          bool    // takes txns and ends none
-	ReportsIdle    bool    // reports to be idle, whatever it does
-	ReportsStale   bool    // its reports stand still
+	Slow           float64 // factor on run times; 0 and 1 mean none
+	NeighbourShare float64 // share of the machine's capacity that another program uses
+	FailureRate    float64 // share of txns that fail immediately
+	Hangs          bool    // accepts txns and completes none
+	ReportsIdle    bool    // always reports zero load
+	ReportsStale   bool    // its load reports are no longer updated
 }
 
-// SharedState is what all machines of a fleet have in common: the marks of effects, and the drag of a build that slows all.
+// SharedState is the state that all machines of a fleet share: the dedup keys of executed effects, and the slowdown by a
+// build with the flaw SlowsFleet.
 type SharedState struct {
-	marks map[uint64]mark
-	order []uint64
-	// SlowdownFactor is how many times as long everything takes; the host sets it from the traffic that a build gets.
+	seen           map[uint64]dedupEntry
+	insertionOrder []uint64
+	// SlowdownFactor multiplies all run times. The host sets it from the share of traffic that a SlowsFleet build gets.
 	SlowdownFactor float64
 }
 
-type mark struct {
-	at, memory Nanos
+// dedupEntry records when a dedup key was first seen and how long it is remembered.
+type dedupEntry struct {
+	seenAt, memory Nanos
 }
 
-// NewSharedState makes what the machines of one fleet share.
-func NewSharedState() *SharedState { return &SharedState{marks: map[uint64]mark{}, SlowdownFactor: 1} }
+// NewSharedState returns the shared state of a new fleet.
+func NewSharedState() *SharedState {
+	return &SharedState{seen: map[uint64]dedupEntry{}, SlowdownFactor: 1}
+}
 
-// repeat notes an effect's mark, and tells whether it is known already.
-func (s *SharedState) repeat(now Nanos, j Job) bool {
+// isDuplicate reports whether a job's dedup key is remembered, and records the key if not.
+func (s *SharedState) isDuplicate(now Nanos, j Job) bool {
 	if j.DedupKey == 0 || j.Memory <= 0 {
 		return false
 	}
-	for len(s.order) > 0 {
-		m, known := s.marks[s.order[0]]
-		if known && now-m.at < m.memory {
+	for len(s.insertionOrder) > 0 {
+		e, known := s.seen[s.insertionOrder[0]]
+		if known && now-e.seenAt < e.memory {
 			break
 		}
-		delete(s.marks, s.order[0])
-		s.order = s.order[1:]
+		delete(s.seen, s.insertionOrder[0])
+		s.insertionOrder = s.insertionOrder[1:]
 	}
-	if m, known := s.marks[j.DedupKey]; known && now-m.at < m.memory {
+	if e, known := s.seen[j.DedupKey]; known && now-e.seenAt < e.memory {
 		return true
 	}
-	s.marks[j.DedupKey] = mark{now, j.Memory}
-	s.order = append(s.order, j.DedupKey)
+	s.seen[j.DedupKey] = dedupEntry{now, j.Memory}
+	s.insertionOrder = append(s.insertionOrder, j.DedupKey)
 	return false
 }
 
-type running struct {
+// pendingJob is a queued or running job.
+type pendingJob struct {
 	CompletedJob
-	ends Nanos
-	gone bool // its client went away, and the machine stops for that
+	endsAt Nanos
+	gone   bool // its client disconnected and the machine stops work on that
 }
 
+// arrival records the work that a job sent to a machine.
 type arrival struct {
-	at   Nanos
-	work Nanos
-	from int
+	arrivedAt Nanos
+	work      Nanos
+	from      int
 }
 
-// Machine is one worker process. Methods take the clock, which never goes back.
+// Machine is one worker process. The clock passed to its methods must not go back.
 type Machine struct {
 	Kind    Kind
 	Build   Build
-	Started Nanos // 0: long past
+	Started Nanos // 0 means long ago: the machine is warm
 	Fault   MachineFault
 	shared  *SharedState
 	rng     *rand.Rand
-	queue   []running
-	work    []running
+	queue   []pendingJob
+	running []pendingJob
 	down    bool
 
-	arrivals []arrival // of the last FallAfter, while cold
-	busy     float64   // smoothed share of cores busy
-	busyAt   Nanos
-	settled  float64 // txns a second, smoothed
-	report   LoadReport
-	reported Nanos
+	recentArrivals []arrival // within OverloadWindow, while warming up
+	busyShare      float64   // exponential moving average of the share of busy cores
+	busyUpdatedAt  Nanos
+	completed      float64 // number of completed jobs
+	lastReport     LoadReport
+	lastReportAt   Nanos
 }
 
-// NewMachine starts a machine. seed gives it its own chance.
+// NewMachine starts a machine. seed initializes its random source.
 func NewMachine(kind Kind, build Build, started Nanos, shared *SharedState, seed int64) *Machine {
 	if build.Speed == 0 {
 		build.Speed = 1
 	}
 	return &Machine{Kind: kind, Build: build, Started: started, shared: shared, rng: rand.New(rand.NewSource(seed)),
-		busyAt: started}
+		busyUpdatedAt: started}
 }
 
-// Ramp is the share of its capacity that the machine has by now.
-func (m *Machine) Ramp(now Nanos) float64 {
+// CapacityShare returns the share of its full capacity that the machine has at now.
+func (m *Machine) CapacityShare(now Nanos) float64 {
 	if m.Started == 0 || m.Kind.WarmUp <= 0 || now-m.Started >= m.Kind.WarmUp {
 		return 1
 	}
 	return m.Kind.ColdStartCapacity + (1-m.Kind.ColdStartCapacity)*float64(now-m.Started)/float64(m.Kind.WarmUp)
 }
 
-// Fell tells whether the machine has fallen over.
-func (m *Machine) Fell() bool { return m.down }
+// IsDown reports whether the machine has failed from overload.
+func (m *Machine) IsDown() bool { return m.down }
 
-// InHand is how many jobs wait or are in work.
-func (m *Machine) InHand() int { return len(m.queue) + len(m.work) }
+// JobCount returns the number of queued and running jobs.
+func (m *Machine) JobCount() int { return len(m.queue) + len(m.running) }
 
-// Submit takes a job. Work that is turned away counts towards falling over as well.
+// Submit submits a job. A refused job still counts towards the overload limit.
 func (m *Machine) Submit(now Nanos, j Job) Admission {
 	if m.down {
 		return MachineDown
 	}
-	m.press(now, j)
+	m.checkOverload(now, j)
 	if m.down {
 		return MachineDown
 	}
-	if m.InHand() >= m.Kind.Slots {
+	if m.JobCount() >= m.Kind.Slots {
 		return Refused
 	}
-	m.queue = append(m.queue, running{CompletedJob: CompletedJob{Job: j, Arrived: now}})
-	m.begin(now)
+	m.queue = append(m.queue, pendingJob{CompletedJob: CompletedJob{Job: j, Arrived: now}})
+	m.startQueued(now)
 	return Accepted
 }
 
-// press notes what a cold machine is sent. It falls over once that is more, over FallAfter, than the multiple of
-// what it can do; two txns of slack are left for chance.
-func (m *Machine) press(now Nanos, j Job) {
-	if m.Ramp(now) >= 1 || m.Kind.OverloadMultiple <= 0 {
-		m.arrivals = m.arrivals[:0]
+// checkOverload records the work that a warming-up machine is sent, and fails the machine once the work within
+// OverloadWindow exceeds OverloadMultiple times its capacity by more than two average jobs, a margin for random bursts.
+func (m *Machine) checkOverload(now Nanos, j Job) {
+	if m.CapacityShare(now) >= 1 || m.Kind.OverloadMultiple <= 0 {
+		m.recentArrivals = m.recentArrivals[:0]
 		return
 	}
-	m.arrivals = append(m.arrivals, arrival{now, j.Work, j.From})
-	sum, from := Nanos(0), 0
-	for i, a := range m.arrivals {
-		if now-a.at > m.Kind.OverloadWindow {
-			from = i + 1
+	m.recentArrivals = append(m.recentArrivals, arrival{now, j.Work, j.From})
+	recent, firstKept := Nanos(0), 0
+	for i, a := range m.recentArrivals {
+		if now-a.arrivedAt > m.Kind.OverloadWindow {
+			firstKept = i + 1
 		} else {
-			sum += a.work
+			recent += a.work
 		}
 	}
-	m.arrivals = append(m.arrivals[:0], m.arrivals[from:]...)
-	can := float64(m.Kind.Cores) * m.Kind.Speed * m.Ramp(now) * float64(m.Kind.OverloadWindow)
-	if float64(sum) > m.Kind.OverloadMultiple*can+2*float64(sum)/float64(len(m.arrivals)) {
+	m.recentArrivals = append(m.recentArrivals[:0], m.recentArrivals[firstKept:]...)
+	capacity := float64(m.Kind.Cores) * m.Kind.Speed * m.CapacityShare(now) * float64(m.Kind.OverloadWindow)
+	if float64(recent) > m.Kind.OverloadMultiple*capacity+2*float64(recent)/float64(len(m.recentArrivals)) {
 		m.down = true
 	}
 }
 
-// RecentWork lists how much work came from which sentry over the last FallAfter.
+// RecentWork returns the work submitted within OverloadWindow, by sentry.
 func (m *Machine) RecentWork() map[int]Nanos {
-	sum := map[int]Nanos{}
-	for _, a := range m.arrivals {
-		sum[a.from] += a.work
+	bySentry := map[int]Nanos{}
+	for _, a := range m.recentArrivals {
+		bySentry[a.from] += a.work
 	}
-	return sum
+	return bySentry
 }
 
-// begin puts waiting jobs on free cores.
-func (m *Machine) begin(now Nanos) {
-	for len(m.work) < m.Kind.Cores && len(m.queue) > 0 {
-		r := m.queue[0]
+// startQueued starts queued jobs on free cores.
+func (m *Machine) startQueued(now Nanos) {
+	for len(m.running) < m.Kind.Cores && len(m.queue) > 0 {
+		job := m.queue[0]
 		m.queue = m.queue[1:]
-		m.fade(now)
-		r.Began = now
-		span, end := m.how(now, r.Job)
-		r.End, r.ends = end, now+span
+		m.updateBusyShare(now)
+		job.Started = now
+		duration, end := m.execute(now, job.Job)
+		job.End, job.endsAt = end, now+duration
 		if m.Fault.Hangs {
-			r.ends = math.MaxInt64
+			job.endsAt = math.MaxInt64
 		}
-		m.work = append(m.work, r)
+		m.running = append(m.running, job)
 	}
 }
 
-// how works out how long a job takes and how it ends.
-func (m *Machine) how(now Nanos, j Job) (Nanos, End) {
-	if m.shared.repeat(now, j) {
+// execute returns how long a job takes and its result.
+func (m *Machine) execute(now Nanos, j Job) (Nanos, End) {
+	if m.shared.isDuplicate(now, j) {
 		return Millisecond, Dropped
 	}
 	if m.Fault.FailureRate > 0 && m.rng.Float64() < m.Fault.FailureRate {
 		return Millisecond, Failed
 	}
-	times, fails, wrong := 1.0, m.Kind.BaseErrorRate, 0.0
+	slowdown, failureRate, wrongRate := 1.0, m.Kind.BaseErrorRate, 0.0
 	b := m.Build
 	switch b.Flaw {
 	case Errors:
-		fails += b.Strength
+		failureRate += b.Strength
 	case Slow:
-		times *= b.Strength
+		slowdown *= b.Strength
 	case OneProduct:
 		if j.Product == b.Product {
-			fails += b.Strength
+			failureRate += b.Strength
 		}
 	case UnderLoad:
-		if m.busy > FlawLoad {
-			times *= b.Strength
-			fails += LoadFails
+		if m.busyShare > UnderLoadThreshold {
+			slowdown *= b.Strength
+			failureRate += UnderLoadErrorRate
 		}
-	case LateFlaw:
-		if now-m.Started > FlawAfter {
-			fails += b.Strength
+	case DelayedErrors:
+		if now-m.Started > DelayedErrorsAfter {
+			failureRate += b.Strength
 		}
-	case Wrong:
-		wrong = b.Strength
+	case WrongAnswers:
+		wrongRate = b.Strength
 	}
 	if m.Fault.Slow > 1 {
-		times *= m.Fault.Slow
+		slowdown *= m.Fault.Slow
 	}
-	speed := m.Kind.Speed * b.Speed * m.Ramp(now) * (1 - m.Fault.NeighbourShare) / max(1, m.shared.SlowdownFactor)
-	span := Nanos(float64(j.Work) * times / max(speed, 0.001))
+	speed := m.Kind.Speed * b.Speed * m.CapacityShare(now) * (1 - m.Fault.NeighbourShare) / max(1, m.shared.SlowdownFactor)
+	duration := Nanos(float64(j.Work) * slowdown / max(speed, 0.001))
 	switch x := m.rng.Float64(); {
-	case x < fails:
-		return span, Failed
-	case x < fails+wrong:
-		return span, WrongAnswer
+	case x < failureRate:
+		return duration, Failed
+	case x < failureRate+wrongRate:
+		return duration, WrongAnswer
 	}
-	return span, Fine
+	return duration, Succeeded
 }
 
-// Advance ends what is through by now, in order of time.
+// Advance completes the jobs that end by now, and returns them in order of their end.
 func (m *Machine) Advance(now Nanos) []CompletedJob {
-	var out []CompletedJob
+	var done []CompletedJob
 	for {
-		best := -1
-		for i := range m.work {
-			if m.work[i].ends <= now && (best < 0 || m.work[i].ends < m.work[best].ends) {
-				best = i
+		earliest := -1
+		for i := range m.running {
+			if m.running[i].endsAt <= now && (earliest < 0 || m.running[i].endsAt < m.running[earliest].endsAt) {
+				earliest = i
 			}
 		}
-		if best < 0 {
-			return out
+		if earliest < 0 {
+			return done
 		}
-		r := m.work[best]
-		m.fade(r.ends)
-		m.work = append(m.work[:best], m.work[best+1:]...)
-		r.At = r.ends
-		m.settled++
-		out = append(out, r.CompletedJob)
-		m.begin(r.ends)
+		job := m.running[earliest]
+		m.updateBusyShare(job.endsAt)
+		m.running = append(m.running[:earliest], m.running[earliest+1:]...)
+		job.Finished = job.endsAt
+		m.completed++
+		done = append(done, job.CompletedJob)
+		m.startQueued(job.endsAt)
 	}
 }
 
-// NextCompletion is when the next job ends, or the end of time.
+// NextCompletion returns when the next job ends, or math.MaxInt64 if none will.
 func (m *Machine) NextCompletion() Nanos {
 	next := Nanos(math.MaxInt64)
-	for i := range m.work {
-		next = min(next, m.work[i].ends)
+	for i := range m.running {
+		next = min(next, m.running[i].endsAt)
 	}
 	return next
 }
 
-// Cancel stops a job whose connection has gone, where the machine does that. It tells whether it had begun.
-func (m *Machine) Cancel(now Nanos, id uint64) (began, found bool) {
+// Cancel removes a job whose connection was closed, if Kind.StopsOnCancel is set. It reports whether the job was found, and
+// whether it had started.
+func (m *Machine) Cancel(now Nanos, id uint64) (started, found bool) {
 	if !m.Kind.StopsOnCancel {
 		return false, false
 	}
@@ -355,45 +371,45 @@
 			return false, true
 		}
 	}
-	for i := range m.work {
-		if m.work[i].ID == id {
-			m.fade(now)
-			m.work = append(m.work[:i], m.work[i+1:]...)
-			m.begin(now)
+	for i := range m.running {
+		if m.running[i].ID == id {
+			m.updateBusyShare(now)
+			m.running = append(m.running[:i], m.running[i+1:]...)
+			m.startQueued(now)
 			return true, true
 		}
 	}
 	return false, false
 }
 
-// fade keeps the smoothed busy share, over a second.
-func (m *Machine) fade(now Nanos) {
-	dt := float64(now-m.busyAt) / float64(Second)
+// updateBusyShare updates the moving average of the busy share, with a time constant of one second.
+func (m *Machine) updateBusyShare(now Nanos) {
+	dt := float64(now-m.busyUpdatedAt) / float64(Second)
 	if dt <= 0 {
 		return
 	}
-	m.busyAt = now
-	keep := math.Exp(-dt)
-	m.busy = m.busy*keep + (1-keep)*float64(len(m.work))/float64(m.Kind.Cores)
+	m.busyUpdatedAt = now
+	decay := math.Exp(-dt)
+	m.busyShare = m.busyShare*decay + (1-decay)*float64(len(m.running))/float64(m.Kind.Cores)
 }
 
-// LoadReport is what a machine says of its load.
+// LoadReport is the load that a machine reports.
 type LoadReport struct {
-	Util  float64
-	Queue float64
-	Busy  float64
+	Util  float64 // share of busy cores
+	Queue float64 // number of queued jobs
+	Busy  float64 // number of queued and running jobs
 }
 
-// Load gives the machine's report, which it renews now and then only, with some noise.
+// Load returns the machine's latest load report. The report is renewed every ReportInterval and has random noise.
 func (m *Machine) Load(now Nanos) LoadReport {
-	if now-m.reported >= m.Kind.ReportInterval && !m.Fault.ReportsStale {
-		m.reported = now
-		m.fade(now)
+	if now-m.lastReportAt >= m.Kind.ReportInterval && !m.Fault.ReportsStale {
+		m.lastReportAt = now
+		m.updateBusyShare(now)
 		noise := 1 + m.Kind.ReportNoise*m.rng.NormFloat64()
-		m.report = LoadReport{Util: max(0, m.busy*noise), Queue: float64(len(m.queue)), Busy: float64(m.InHand())}
+		m.lastReport = LoadReport{Util: max(0, m.busyShare*noise), Queue: float64(len(m.queue)), Busy: float64(m.JobCount())}
 	}
 	if m.Fault.ReportsIdle {
 		return LoadReport{}
 	}
-	return m.report
+	return m.lastReport
 }
--- a/fleet/machine_test.go
+++ b/fleet/machine_test.go
@@ -15,8 +15,8 @@
 	take := func(list []CompletedJob) {
 		for _, d := range list {
 			ends[d.End]++
-			if d.End == Fine {
-				sum += d.At - d.Arrived
+			if d.End == Succeeded {
+				sum += d.Finished - d.Arrived
 				fine++
 			}
 		}
@@ -54,8 +54,8 @@
 		{"another product", Build{Flaw: OneProduct, Strength: 0.5, Product: 1}, 0, 20, 0, 0, 1},
 		{"under load, idle", Build{Flaw: UnderLoad, Strength: 3}, 0, 20, 0, 0, 1},
 		{"under load, busy", Build{Flaw: UnderLoad, Strength: 1.01}, 0, 160, 0.2, 0, 1},
-		{"late", Build{Flaw: LateFlaw, Strength: 0.4}, 0, 20, 0.4 * (1 - 6.0/200), 0, 1},
-		{"wrong", Build{Flaw: Wrong, Strength: 0.2}, 0, 20, 0, 0.2, 1},
+		{"late", Build{Flaw: DelayedErrors, Strength: 0.4}, 0, 20, 0.4 * (1 - 6.0/200), 0, 1},
+		{"wrong", Build{Flaw: WrongAnswers, Strength: 0.2}, 0, 20, 0, 0.2, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ends, turned, mean := load(NewMachine(kind, c.build, 0, NewSharedState(), 5), 0, n, c.rate, c.product)
@@ -90,8 +90,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			m := NewMachine(kind, Build{}, 1, NewSharedState(), 5)
 			load(m, c.from, int(c.rate), c.rate, 0)
-			if m.Fell() != c.down {
-				t.Errorf("fell: %t", m.Fell())
+			if m.IsDown() != c.down {
+				t.Errorf("fell: %t", m.IsDown())
 			}
 		})
 	}
@@ -105,7 +105,7 @@
 		m    *Machine
 		at   Nanos
 		want End
-	}{{a, 0, Fine}, {b, 500 * Millisecond, Dropped}, {a, 900 * Millisecond, Dropped}, {b, 1500 * Millisecond, Fine}} {
+	}{{a, 0, Succeeded}, {b, 500 * Millisecond, Dropped}, {a, 900 * Millisecond, Dropped}, {b, 1500 * Millisecond, Succeeded}} {
 		c.m.Submit(c.at, job)
 		if got := c.m.Advance(c.at + 100*Millisecond); len(got) != 1 || got[0].End != c.want {
 			t.Errorf("at %d ms: %+v, want end %d", c.at/Millisecond, got, c.want)
@@ -119,8 +119,8 @@
 	for i := 0; i < 10; i++ {
 		m.Submit(Nanos(i), Job{ID: uint64(i), Work: Millisecond})
 	}
-	if len(m.Advance(100*Second)) != 0 || m.InHand() != kind.Slots {
-		t.Errorf("a hung machine ended something, or holds %d", m.InHand())
+	if len(m.Advance(100*Second)) != 0 || m.JobCount() != kind.Slots {
+		t.Errorf("a hung machine ended something, or holds %d", m.JobCount())
 	}
 	if began, found := m.Cancel(Second, 0); !began || !found {
 		t.Error("work was not called off")
