--- a/fleet/machine_test.go
+++ b/fleet/machine_test.go
@@ -8,44 +8,45 @@
 var kind = Kind{Cores: 2, Slots: 8, Speed: 1, ColdStartCapacity: 0.25, WarmUp: 4 * Second, OverloadMultiple: 2, OverloadWindow: Second, StopsOnCancel: true,
 	ReportInterval: Second}
 
-// load sends n jobs, so many a second, and gives what ended how, and the mean time of the fine ones.
-func load(m *Machine, from Nanos, n int, rate float64, product int) (ends map[End]int, turned int, mean Nanos) {
+// submitJobs submits n jobs at a rate per second. It returns how many ended with each result, how many were not accepted, and
+// the mean latency of the successful ones.
+func submitJobs(m *Machine, start Nanos, n int, rate float64, product int) (ends map[End]int, refused int, mean Nanos) {
 	ends = map[End]int{}
-	sum, fine := Nanos(0), 0
-	take := func(list []CompletedJob) {
-		for _, d := range list {
+	sum, succeeded := Nanos(0), 0
+	count := func(jobs []CompletedJob) {
+		for _, d := range jobs {
 			ends[d.End]++
 			if d.End == Succeeded {
 				sum += d.Finished - d.Arrived
-				fine++
+				succeeded++
 			}
 		}
 	}
-	now := from
+	now := start
 	for i := 0; i < n; i++ {
 		now += Nanos(float64(Second) / rate)
-		take(m.Advance(now))
+		count(m.Advance(now))
 		if m.Submit(now, Job{ID: uint64(i), Product: product, Work: 10 * Millisecond}) != Accepted {
-			turned++
+			refused++
 		}
 	}
-	take(m.Advance(now + 100*Second))
-	if fine > 0 {
-		mean = sum / Nanos(fine)
+	count(m.Advance(now + 100*Second))
+	if succeeded > 0 {
+		mean = sum / Nanos(succeeded)
 	}
-	return ends, turned, mean
+	return ends, refused, mean
 }
 
-func TestBuildsShowTheirFlaws(t *testing.T) {
+func TestBuildFlaws(t *testing.T) {
 	const n = 4000
 	for _, c := range []struct {
-		name     string
-		build    Build
-		product  int
-		rate     float64
-		fails    float64 // share, give or take 0.04
-		wrong    float64
-		slowerBy float64 // than the good one at an idle machine
+		name        string
+		build       Build
+		product     int
+		rate        float64 // jobs per second
+		failureRate float64 // tolerance 0.04
+		wrongRate   float64 // tolerance 0.04
+		slowdown    float64 // latency relative to a good build on an idle machine, tolerance 0.1
 	}{
 		{"good", Build{Flaw: NoFlaw}, 0, 20, 0, 0, 1},
 		{"errors", Build{Flaw: Errors, Strength: 0.3}, 0, 20, 0.3, 0, 1},
@@ -58,46 +59,46 @@
 		{"wrong", Build{Flaw: WrongAnswers, Strength: 0.2}, 0, 20, 0, 0.2, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ends, turned, mean := load(NewMachine(kind, c.build, 0, NewSharedState(), 5), 0, n, c.rate, c.product)
-			if turned > 0 {
-				t.Errorf("%d turned away", turned)
+			ends, refused, mean := submitJobs(NewMachine(kind, c.build, 0, NewSharedState(), 5), 0, n, c.rate, c.product)
+			if refused > 0 {
+				t.Errorf("%d jobs refused", refused)
 			}
-			if got := float64(ends[Failed]) / n; math.Abs(got-c.fails) > 0.04 {
-				t.Errorf("fails %.3f, want %.3f", got, c.fails)
+			if got := float64(ends[Failed]) / n; math.Abs(got-c.failureRate) > 0.04 {
+				t.Errorf("failure rate %.3f, want %.3f", got, c.failureRate)
 			}
-			if got := float64(ends[WrongAnswer]) / n; math.Abs(got-c.wrong) > 0.04 {
-				t.Errorf("wrong %.3f, want %.3f", got, c.wrong)
+			if got := float64(ends[WrongAnswer]) / n; math.Abs(got-c.wrongRate) > 0.04 {
+				t.Errorf("wrong-answer rate %.3f, want %.3f", got, c.wrongRate)
 			}
-			if got := float64(mean) / float64(10*Millisecond); math.Abs(got-c.slowerBy) > 0.1 {
-				t.Errorf("takes %.2f times as long, want %.2f", got, c.slowerBy)
+			if got := float64(mean) / float64(10*Millisecond); math.Abs(got-c.slowdown) > 0.1 {
+				t.Errorf("latency is %.2f times that of a good build, want %.2f", got, c.slowdown)
 			}
 		})
 	}
 }
 
-func TestColdMachineFallsOnlyWhenPushed(t *testing.T) {
+func TestOnlyOverloadedColdMachineFails(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		rate float64
-		from Nanos
-		down bool
+		name  string
+		rate  float64
+		start Nanos
+		down  bool
 	}{
-		{"warm, far too much", 2000, 10 * Second, false},
-		{"cold, what it can do", 50, 0, false},
-		{"cold, just under the multiple", 90, 0, false},
-		{"cold, over it", 300, 0, true},
+		{"warm, far above capacity", 2000, 10 * Second, false},
+		{"cold, at capacity", 50, 0, false},
+		{"cold, just under the overload multiple", 90, 0, false},
+		{"cold, above the overload multiple", 300, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := NewMachine(kind, Build{}, 1, NewSharedState(), 5)
-			load(m, c.from, int(c.rate), c.rate, 0)
+			submitJobs(m, c.start, int(c.rate), c.rate, 0)
 			if m.IsDown() != c.down {
-				t.Errorf("fell: %t", m.IsDown())
+				t.Errorf("machine down: %t", m.IsDown())
 			}
 		})
 	}
 }
 
-func TestRepeatsAreDroppedWithinTheirMemory(t *testing.T) {
+func TestDuplicatesAreDroppedWithinMemory(t *testing.T) {
 	shared := NewSharedState()
 	a, b := NewMachine(kind, Build{}, 0, shared, 1), NewMachine(kind, Build{}, 0, shared, 2)
 	job := Job{ID: 1, DedupKey: 7, Memory: Second, Work: 10 * Millisecond}
@@ -113,40 +114,40 @@
 	}
 }
 
-func TestTroubles(t *testing.T) {
+func TestMachineFaults(t *testing.T) {
 	m := NewMachine(kind, Build{}, 0, NewSharedState(), 1)
 	m.Fault = MachineFault{Hangs: true}
 	for i := 0; i < 10; i++ {
 		m.Submit(Nanos(i), Job{ID: uint64(i), Work: Millisecond})
 	}
 	if len(m.Advance(100*Second)) != 0 || m.JobCount() != kind.Slots {
-		t.Errorf("a hung machine ended something, or holds %d", m.JobCount())
+		t.Errorf("a hung machine completed a job, or holds %d", m.JobCount())
 	}
-	if began, found := m.Cancel(Second, 0); !began || !found {
-		t.Error("work was not called off")
+	if started, found := m.Cancel(Second, 0); !started || !found {
+		t.Error("a running job was not cancelled")
 	}
-	if began, found := m.Cancel(Second, 7); began || !found {
-		t.Error("waiting work was not called off")
+	if started, found := m.Cancel(Second, 7); started || !found {
+		t.Error("a queued job was not cancelled")
 	}
 	idle := NewMachine(kind, Build{}, 0, NewSharedState(), 1)
 	idle.Fault = MachineFault{ReportsIdle: true}
 	idle.Submit(0, Job{ID: 1, Work: Second})
 	if idle.Load(2*Second) != (LoadReport{}) {
-		t.Error("a machine that pretends to be idle reports its load")
+		t.Error("a machine with ReportsIdle reports its load")
 	}
 	for _, c := range []struct {
-		name string
-		ail  MachineFault
-		drag float64
-		took Nanos
+		name     string
+		fault    MachineFault
+		slowdown float64 // of the whole fleet
+		runTime  Nanos   // in milliseconds
 	}{{"slow", MachineFault{Slow: 5}, 1, 50}, {"neighbour", MachineFault{NeighbourShare: 0.5}, 1, 20}, {"drag", MachineFault{}, 3, 30}} {
 		shared := NewSharedState()
-		shared.SlowdownFactor = c.drag
+		shared.SlowdownFactor = c.slowdown
 		m := NewMachine(kind, Build{}, 0, shared, 1)
-		m.Fault = c.ail
+		m.Fault = c.fault
 		m.Submit(0, Job{ID: 1, Work: 10 * Millisecond})
-		if m.NextCompletion()/Millisecond != c.took {
-			t.Errorf("%s: takes %d ms, want %d", c.name, m.NextCompletion()/Millisecond, c.took)
+		if m.NextCompletion()/Millisecond != c.runTime {
+			t.Errorf("%s: takes %d ms, want %d", c.name, m.NextCompletion()/Millisecond, c.runTime)
 		}
 	}
 }
