--- a/chart/chart.go
+++ b/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws figures as SVG, and puts them into pages that need nothing from elsewhere.
+// Package chart draws line charts as SVG and embeds them in self-contained HTML pages.
 package chart
 
 import (
@@ -15,28 +15,28 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Colors that tell lines apart, in the order of a chart's series.
-var Colors = []color.Color{color.RGBA{30, 130, 60, 255}, color.RGBA{60, 90, 200, 255}, color.RGBA{200, 40, 40, 255}, color.RGBA{220, 150, 0, 255},
-	color.RGBA{150, 60, 160, 255}, color.RGBA{0, 150, 160, 255}, color.RGBA{120, 120, 120, 255}, color.RGBA{0, 0, 0, 255}}
+// Palette holds the default colors of a chart's series, by index.
+var Palette = []color.Color{color.RGBA{30, 130, 60, 255}, color.RGBA{60, 90, 200, 255}, color.RGBA{200, 40, 40, 255},
+	color.RGBA{220, 150, 0, 255}, color.RGBA{150, 60, 160, 255}, color.RGBA{0, 150, 160, 255}, color.RGBA{120, 120, 120, 255}, color.RGBA{0, 0, 0, 255}}
 
-// Series is one line of a chart. Low and High, if given, are drawn as its band.
+// Series is one line of a chart. Low and High, if not empty, are drawn as a band around it.
 type Series struct {
 	Name      string
 	X, Y      []float64
 	Low, High []float64
-	Color     color.Color // nil: by its place
-	Points    bool        // points rather than a line
-	Stepped   bool
+	Color     color.Color // nil selects the color of the series' index in Palette
+	Points    bool        // draw separate points instead of a line
+	Stepped   bool        // draw steps instead of straight segments
 }
 
-// Axes name a chart's axes. LogX and LogY draw them as powers of ten; every figure is above 0 then.
+// Axes holds the axis labels of a chart. LogX and LogY select a logarithmic scale, which requires all values to be above 0.
 type Axes struct {
 	X, Y       string
 	LogX, LogY bool
 }
 
-// LineChart draws a chart as SVG.
-func LineChart(title string, axes Axes, all []Series) (string, error) {
+// LineChart returns a chart as an SVG element.
+func LineChart(title string, axes Axes, series []Series) (string, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, axes.X, axes.Y
 	p.Legend.Top = true
@@ -48,10 +48,10 @@
 	} else {
 		p.Y.Min = 0
 	}
-	for i, s := range all {
+	for i, s := range series {
 		c := s.Color
 		if c == nil {
-			c = Colors[i%len(Colors)]
+			c = Palette[i%len(Palette)]
 		}
 		points := make(plotter.XYs, len(s.X))
 		for k := range s.X {
@@ -61,14 +61,14 @@
 			continue
 		}
 		if len(s.Low) == len(s.X) && len(s.Low) > 0 {
-			var ring plotter.XYs
+			var outline plotter.XYs
 			for k := range s.X {
-				ring = append(ring, plotter.XY{X: s.X[k], Y: s.High[k]})
+				outline = append(outline, plotter.XY{X: s.X[k], Y: s.High[k]})
 			}
 			for k := len(s.X) - 1; k >= 0; k-- {
-				ring = append(ring, plotter.XY{X: s.X[k], Y: s.Low[k]})
+				outline = append(outline, plotter.XY{X: s.X[k], Y: s.Low[k]})
 			}
-			band, err := plotter.NewPolygon(ring)
+			band, err := plotter.NewPolygon(outline)
 			if err != nil {
 				return "", fmt.Errorf("chart: %s: %w", s.Name, err)
 			}
@@ -86,16 +86,16 @@
 			p.Legend.Add(s.Name, dots)
 			continue
 		}
-		l, err := plotter.NewLine(points)
+		line, err := plotter.NewLine(points)
 		if err != nil {
 			return "", fmt.Errorf("chart: %s: %w", s.Name, err)
 		}
-		l.Color = c
+		line.Color = c
 		if s.Stepped {
-			l.StepStyle = plotter.PostStep
+			line.StepStyle = plotter.PostStep
 		}
-		p.Add(l)
-		p.Legend.Add(s.Name, l)
+		p.Add(line)
+		p.Legend.Add(s.Name, line)
 	}
 	canvas := vgsvg.New(9*vg.Inch, 3.2*vg.Inch)
 	p.Draw(draw.New(canvas))
@@ -104,13 +104,13 @@
 		return "", fmt.Errorf("chart: %w", err)
 	}
 	svg := b.String()
-	if at := strings.Index(svg, "<svg"); at > 0 { // without the XML prolog, within a page
-		svg = svg[at:]
+	if start := strings.Index(svg, "<svg"); start > 0 { // drop the XML prolog, which is not allowed within HTML
+		svg = svg[start:]
 	}
 	return svg, nil
 }
 
-// Page makes a page of a title, charts and a text.
+// Page returns an HTML page with a title, charts and preformatted text.
 func Page(title string, charts []string, text string) string {
 	t := html.EscapeString(title)
 	return fmt.Sprintf("<!doctype html>\n<meta charset=\"utf-8\"><title>%s</title>\n<body style=\"font-family:sans-serif;margin:2em\"><h1>%s</h1>\n%s\n<pre>%s</pre>\n",
