--- a/config/edge.go
+++ b/config/edge.go
@@ -133,10 +133,10 @@
 	f := r.Root().RequireField("edge")
 	r.Root().RejectUnknown()
 	e.readProcess(f)
-	e.readDoor(f)
+	e.readLimits(f)
 	e.readProducts(f)
 	e.readRoutes(f)
-	e.readModule(f)
+	e.readModuleSettings(f)
 	f.RejectUnknown()
 	if err := r.Err(); err != nil {
 		return nil, err
@@ -158,10 +158,10 @@
 	return a
 }
 
-// differ records a fault where a field of texts holds one twice.
-func (f *Form) differ(field string, names []string) {
+// rejectDuplicates records a fault where a field of texts holds one twice.
+func (f *Form) rejectDuplicates(field string, names []string) {
 	for i, name := range names {
-		if index(names[:i], name) >= 0 {
+		if indexOf(names[:i], name) >= 0 {
 			f.Field(field).AddError(fmt.Sprintf("%q twice", name), "names that differ")
 		}
 	}
@@ -178,22 +178,22 @@
 	e.Zones = f.Texts("zones")
 	e.Kinds = f.Texts("kinds")
 	e.Zone = f.Text("zone", "")
-	f.differ("zones", e.Zones)
-	f.differ("kinds", e.Kinds)
-	if e.Zone != "" && index(e.Zones, e.Zone) < 0 {
+	f.rejectDuplicates("zones", e.Zones)
+	f.rejectDuplicates("kinds", e.Kinds)
+	if e.Zone != "" && indexOf(e.Zones, e.Zone) < 0 {
 		f.Field("zone").AddError(strconv.Quote(e.Zone), "one of (zones ...)")
 	}
 	e.DrainTimeout = f.Duration("drain-within", 10*time.Second, 0, hour)
 	if p := f.Field("peers"); p != nil {
 		for _, n := range p.items {
 			if n.List != nil {
-				f.r.fault(n.Pos, n.String(), "an address and port")
+				f.r.addError(n.Pos, n.String(), "an address and port")
 				continue
 			}
-			if _, port, err := net.SplitHostPort(raw(n)); err != nil || api.ParsePort(port) < 0 {
-				f.r.fault(n.Pos, n.String(), "an address and port, such as 127.0.0.1:9000")
+			if _, port, err := net.SplitHostPort(literalText(n)); err != nil || api.ParsePort(port) < 0 {
+				f.r.addError(n.Pos, n.String(), "an address and port, such as 127.0.0.1:9000")
 			}
-			e.Peers = append(e.Peers, raw(n))
+			e.Peers = append(e.Peers, literalText(n))
 		}
 	}
 	t := f.OptionalField("trace")
@@ -229,7 +229,7 @@
 	}
 }
 
-func (e *Edge) readDoor(f *Form) {
+func (e *Edge) readLimits(f *Form) {
 	d := f.OptionalField("door")
 	e.ClientLimits = ClientLimits{
 		MaxHeadBytes: d.Bytes("head", 16<<10, 256, 1<<20), MaxBodyBytes: d.Bytes("body", 1<<20, 0, 1<<30),
@@ -345,8 +345,8 @@
 	}
 }
 
-// readModule gathers what the decision module reads, by the module's names.
-func (e *Edge) readModule(f *Form) {
+// readModuleSettings gathers what the decision module reads, by the module's names.
+func (e *Edge) readModuleSettings(f *Form) {
 	m := e.Module
 	span := func(g *Form, name string, otherwise, most time.Duration) {
 		m[g.name+"."+name] = float64(g.Duration(name, otherwise, 0, most))
@@ -362,7 +362,7 @@
 		f.AddError(fmt.Sprintf("sentries from %v, %d of them, of %v in all", m["index"], e.Loops, m["sentries"]),
 			"(index ...) plus (loops ...) within (sentries ...)")
 	}
-	m["zone"] = float64(max(0, index(e.Zones, e.Zone)))
+	m["zone"] = float64(max(0, indexOf(e.Zones, e.Zone)))
 
 	a := f.OptionalField("allow")
 	num(a, "submissions", 4, 1, 8)
@@ -435,7 +435,7 @@
 	p.RejectUnknown()
 }
 
-func index(list []string, name string) int {
+func indexOf(list []string, name string) int {
 	for i, s := range list {
 		if s == name {
 			return i
--- a/config/form.go
+++ b/config/form.go
@@ -1,5 +1,5 @@
-// Package config reads S-expressions into checked values. Every fault names file, line and column, what was
-// found and what was wanted, and all faults of a file are told at once.
+// Package config reads settings files and worker lists, written as S-expressions, into validated values. Each error gives
+// file, line and column, the text found and what was expected, and all errors of a file are reported together.
 package config
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// node is one S-expression: a list, a text in quotes or a bare word.
+// node is an S-expression: a list, a quoted string or a bare word.
 type node struct {
 	Pos  lexer.Position
 	List *list   `parser:"  @@"`
@@ -44,6 +44,7 @@
 	participle.Unquote("String"),
 )
 
+// String returns a short form of the node for error messages.
 func (n *node) String() string {
 	switch {
 	case n.Text != nil:
@@ -58,7 +59,7 @@
 	return "a list"
 }
 
-// FileError is one thing wrong with a file.
+// FileError is an error at a position of a file.
 type FileError struct {
 	File         string
 	Line, Column int
@@ -66,29 +67,29 @@
 	Wanted       string
 }
 
-func (f FileError) Error() string {
-	return fmt.Sprintf("%s:%d:%d: found %s, wanted %s", f.File, f.Line, f.Column, f.Found, f.Wanted)
+func (e FileError) Error() string {
+	return fmt.Sprintf("%s:%d:%d: found %s, wanted %s", e.File, e.Line, e.Column, e.Found, e.Wanted)
 }
 
-// FileErrors are all that is wrong with a file, in the order of its text.
+// FileErrors are all errors of a file, ordered by position.
 type FileErrors []FileError
 
-func (f FileErrors) Error() string {
-	lines := make([]string, len(f))
-	for i := range f {
-		lines[i] = f[i].Error()
+func (l FileErrors) Error() string {
+	lines := make([]string, len(l))
+	for i := range l {
+		lines[i] = l[i].Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Reader holds one file's top-level forms and gathers its faults. It is for one goroutine.
+// Reader holds the top-level forms of a file and collects its errors. It is not safe for concurrent use.
 type Reader struct {
-	file   string
-	root   *Form
-	faults FileErrors
+	file string
+	root *Form
+	errs FileErrors
 }
 
-// ReadFile parses a file. The error is Faults where the text is no S-expression, else that of reading.
+// ReadFile parses a file. The error is FileErrors if the text is not a valid S-expression, else the error of reading the file.
 func ReadFile(path string) (*Reader, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -97,125 +98,127 @@
 	return Read(path, string(text))
 }
 
-// Read parses a text; file is the name that faults give.
+// Read parses text; file is the file name for error messages.
 func Read(file, text string) (*Reader, error) {
 	doc, err := grammar.ParseString(file, text)
 	if err != nil {
-		f := FileError{File: file, Line: 1, Column: 1, Found: "text that is no S-expression", Wanted: "balanced parentheses and quotes"}
-		if pe, ok := err.(participle.Error); ok {
-			f.Line, f.Column = pe.Position().Line, pe.Position().Column
-			f.Found = pe.Message()
+		syntaxErr := FileError{File: file, Line: 1, Column: 1, Found: "text that is not an S-expression",
+			Wanted: "balanced parentheses and quotes"}
+		if parseErr, ok := err.(participle.Error); ok {
+			syntaxErr.Line, syntaxErr.Column = parseErr.Position().Line, parseErr.Position().Column
+			syntaxErr.Found = parseErr.Message()
 		}
-		return nil, FileErrors{f}
+		return nil, FileErrors{syntaxErr}
 	}
 	r := &Reader{file: file}
-	r.root = &Form{r: r, name: "file", items: doc.Items, asked: map[string]bool{}}
+	r.root = &Form{r: r, name: "file", items: doc.Items, requested: map[string]bool{}}
 	r.root.pos = lexer.Position{Line: 1, Column: 1}
 	return r, nil
 }
 
-// Root is the form that holds the file's top-level forms as its fields.
+// Root returns a form whose fields are the file's top-level forms.
 func (r *Reader) Root() *Form { return r.root }
 
-// Err gives all faults found so far, in the order of the text, or nil.
+// Err returns the errors found so far as FileErrors, ordered by position, or nil.
 func (r *Reader) Err() error {
-	if len(r.faults) == 0 {
+	if len(r.errs) == 0 {
 		return nil
 	}
-	sort.SliceStable(r.faults, func(i, j int) bool {
-		a, b := r.faults[i], r.faults[j]
+	sort.SliceStable(r.errs, func(i, j int) bool {
+		a, b := r.errs[i], r.errs[j]
 		return a.Line < b.Line || a.Line == b.Line && a.Column < b.Column
 	})
-	return r.faults
+	return r.errs
 }
 
-func (r *Reader) fault(at lexer.Position, found, wanted string) {
-	r.faults = append(r.faults, FileError{r.file, at.Line, at.Column, found, wanted})
+func (r *Reader) addError(pos lexer.Position, found, wanted string) {
+	r.errs = append(r.errs, FileError{r.file, pos.Line, pos.Column, found, wanted})
 }
 
-// Form is a list that opens with a word: (name item ...). Its items are values, or fields: forms in turn.
+// Form is a list that starts with a word: (name item ...). Its items are values or fields, and fields are forms themselves.
 type Form struct {
-	r     *Reader
-	pos   lexer.Position
-	name  string
-	items []*node
-	asked map[string]bool // the fields that were asked for
-	ghost bool            // stands for a form that is missing, which was told; no more faults of it
+	r           *Reader
+	pos         lexer.Position
+	name        string
+	items       []*node
+	requested   map[string]bool // names of the fields that were looked up
+	placeholder bool            // stands for a missing form; its errors are suppressed, as the absence was reported
 }
 
-// Name is the form's first word.
+// Name returns the form's first word.
 func (f *Form) Name() string { return f.name }
 
-// AddError records that what stands here is not what is wanted.
+// AddError records an error at the form's position.
 func (f *Form) AddError(found, wanted string) {
-	if !f.ghost {
-		f.r.fault(f.pos, found, wanted)
+	if !f.placeholder {
+		f.r.addError(f.pos, found, wanted)
 	}
 }
 
-func (f *Form) form(n *node) *Form {
+// asForm returns a node as a form, or nil if it is not a list that starts with a word.
+func (f *Form) asForm(n *node) *Form {
 	if n.List == nil || len(n.List.Items) == 0 || n.List.Items[0].Word == nil {
 		return nil
 	}
-	return &Form{r: f.r, pos: n.Pos, name: *n.List.Items[0].Word, items: n.List.Items[1:], asked: map[string]bool{}}
+	return &Form{r: f.r, pos: n.Pos, name: *n.List.Items[0].Word, items: n.List.Items[1:], requested: map[string]bool{}}
 }
 
-// Fields gives all fields of a name, in order.
+// Fields returns all fields with a name, in order.
 func (f *Form) Fields(name string) []*Form {
-	f.asked[name] = true
-	var out []*Form
+	f.requested[name] = true
+	var fields []*Form
 	for _, n := range f.items {
-		if g := f.form(n); g != nil && g.name == name {
-			out = append(out, g)
+		if g := f.asForm(n); g != nil && g.name == name {
+			fields = append(fields, g)
 		}
 	}
-	return out
+	return fields
 }
 
-// Field gives the one field of a name, or nil where there is none; a second one is a fault.
+// Field returns the only field with a name, or nil if there is none. More than one is an error, reported once.
 func (f *Form) Field(name string) *Form {
-	first := !f.asked[name]
-	all := f.Fields(name)
-	if len(all) == 0 {
+	firstLookup := !f.requested[name]
+	fields := f.Fields(name)
+	if len(fields) == 0 {
 		return nil
 	}
-	if first {
-		for _, g := range all[1:] {
+	if firstLookup {
+		for _, g := range fields[1:] {
 			g.AddError(fmt.Sprintf("a second (%s ...)", name), fmt.Sprintf("one (%s ...) in (%s ...)", name, f.name))
 		}
 	}
-	return all[0]
+	return fields[0]
 }
 
-// RequireField is Sub, but a field that is missing is a fault; then it gives an empty form.
+// RequireField is like Field, but a missing field is an error. It then returns an empty form.
 func (f *Form) RequireField(name string) *Form {
 	if g := f.Field(name); g != nil {
 		return g
 	}
 	f.AddError(fmt.Sprintf("(%s ...) without (%s ...)", f.name, name), fmt.Sprintf("a field (%s ...)", name))
-	return &Form{r: f.r, pos: f.pos, name: name, asked: map[string]bool{}, ghost: true}
+	return &Form{r: f.r, pos: f.pos, name: name, requested: map[string]bool{}, placeholder: true}
 }
 
-// RejectUnknown records a fault for each item that no call has asked for. Call it when all fields were read.
+// RejectUnknown records an error for each item that is not a field looked up before. Call it after all fields were read.
 func (f *Form) RejectUnknown() {
 	var names []string
-	for n := range f.asked {
+	for n := range f.requested {
 		names = append(names, n)
 	}
 	sort.Strings(names)
 	for _, n := range f.items {
-		g := f.form(n)
+		g := f.asForm(n)
 		if g == nil {
-			f.r.fault(n.Pos, n.String(), fmt.Sprintf("a field of (%s ...): %s", f.name, strings.Join(names, ", ")))
-		} else if !f.asked[g.name] {
-			f.r.fault(n.Pos, fmt.Sprintf("unknown word %q", g.name),
+			f.r.addError(n.Pos, n.String(), fmt.Sprintf("a field of (%s ...): %s", f.name, strings.Join(names, ", ")))
+		} else if !f.requested[g.name] {
+			f.r.addError(n.Pos, fmt.Sprintf("unknown word %q", g.name),
 				fmt.Sprintf("a field of (%s ...): %s", f.name, strings.Join(names, ", ")))
 		}
 	}
 }
 
-// value gives the form's only value, or nil after recording a fault.
-func (f *Form) value(wanted string) *node {
+// singleValue returns the form's only value, or nil after recording an error.
+func (f *Form) singleValue(wanted string) *node {
 	if len(f.items) == 1 && f.items[0].List == nil {
 		return f.items[0]
 	}
@@ -223,51 +226,52 @@
 	case len(f.items) == 0:
 		f.AddError(fmt.Sprintf("(%s) without a value", f.name), wanted)
 	case len(f.items) > 1:
-		f.r.fault(f.items[1].Pos, f.items[1].String(), "one value only: "+wanted)
+		f.r.addError(f.items[1].Pos, f.items[1].String(), "one value only: "+wanted)
 	default:
-		f.r.fault(f.items[0].Pos, f.items[0].String(), wanted)
+		f.r.addError(f.items[0].Pos, f.items[0].String(), wanted)
 	}
 	return nil
 }
 
-func raw(n *node) string {
+// literalText returns the text of a string or word.
+func literalText(n *node) string {
 	if n.Text != nil {
 		return *n.Text
 	}
 	return *n.Word
 }
 
-// parsed reads the value of the field by a parser; a field that is absent gives otherwise.
-func parsed[T any](f *Form, name string, otherwise T, wanted string, parse func(string) (T, bool)) T {
+// readValue parses the value of a field. It returns fallback if the field is missing or invalid.
+func readValue[T any](f *Form, name string, fallback T, wanted string, parse func(string) (T, bool)) T {
 	g := f.Field(name)
 	if g == nil {
-		return otherwise
+		return fallback
 	}
-	n := g.value(wanted)
+	n := g.singleValue(wanted)
 	if n == nil {
-		return otherwise
+		return fallback
 	}
-	v, ok := parse(raw(n))
+	v, ok := parse(literalText(n))
 	if !ok {
-		f.r.fault(n.Pos, n.String(), wanted)
-		return otherwise
+		f.r.addError(n.Pos, n.String(), wanted)
+		return fallback
 	}
 	return v
 }
 
-// Text reads a text of at least one character.
-func (f *Form) Text(name, otherwise string) string {
-	return parsed(f, name, otherwise, "a text", func(s string) (string, bool) { return s, s != "" })
+// Text reads a non-empty string.
+func (f *Form) Text(name, fallback string) string {
+	return readValue(f, name, fallback, "a non-empty string", func(s string) (string, bool) { return s, s != "" })
 }
 
 // Bool reads true or false.
-func (f *Form) Bool(name string, otherwise bool) bool {
-	return parsed(f, name, otherwise, "true or false", func(s string) (bool, bool) { return s == "true", s == "true" || s == "false" })
+func (f *Form) Bool(name string, fallback bool) bool {
+	return readValue(f, name, fallback, "true or false", func(s string) (bool, bool) { return s == "true", s == "true" || s == "false" })
 }
 
-// OneOf reads one of some words.
-func (f *Form) OneOf(name, otherwise string, words ...string) string {
-	return parsed(f, name, otherwise, "one of "+strings.Join(words, ", "), func(s string) (string, bool) {
+// OneOf reads one of the given words.
+func (f *Form) OneOf(name, fallback string, words ...string) string {
+	return readValue(f, name, fallback, "one of "+strings.Join(words, ", "), func(s string) (string, bool) {
 		for _, w := range words {
 			if s == w {
 				return s, true
@@ -277,101 +281,103 @@
 	})
 }
 
-// Int reads a whole number from least to most.
-func (f *Form) Int(name string, otherwise, least, most int64) int64 {
-	return parsed(f, name, otherwise, fmt.Sprintf("a whole number from %d to %d", least, most),
+// Int reads an integer from minimum to maximum.
+func (f *Form) Int(name string, fallback, minimum, maximum int64) int64 {
+	return readValue(f, name, fallback, fmt.Sprintf("a whole number from %d to %d", minimum, maximum),
 		func(s string) (int64, bool) {
 			v, err := strconv.ParseInt(s, 10, 64)
-			return v, err == nil && v >= least && v <= most
+			return v, err == nil && v >= minimum && v <= maximum
 		})
 }
 
-// Float reads a number from least to most; a share may be written in percent.
-func (f *Form) Float(name string, otherwise, least, most float64) float64 {
-	return parsed(f, name, otherwise, fmt.Sprintf("a number from %g to %g", least, most), func(s string) (float64, bool) {
-		return number(s, least, most)
+// Float reads a number from minimum to maximum, either plain or as a percentage.
+func (f *Form) Float(name string, fallback, minimum, maximum float64) float64 {
+	return readValue(f, name, fallback, fmt.Sprintf("a number from %g to %g", minimum, maximum), func(s string) (float64, bool) {
+		return parseNumber(s, minimum, maximum)
 	})
 }
 
-func number(s string, least, most float64) (float64, bool) {
+// parseNumber parses a number or percentage, and reports whether it is valid and within the limits.
+func parseNumber(s string, minimum, maximum float64) (float64, bool) {
 	scale := 1.0
-	if t, cut := strings.CutSuffix(s, "%"); cut {
-		s, scale = t, 0.01
+	if digits, ok := strings.CutSuffix(s, "%"); ok {
+		s, scale = digits, 0.01
 	}
 	v, err := strconv.ParseFloat(s, 64)
 	v *= scale
-	return v, err == nil && !math.IsNaN(v) && v >= least && v <= most
+	return v, err == nil && !math.IsNaN(v) && v >= minimum && v <= maximum
 }
 
-// Duration reads a length of time with its unit, such as 250ms or 1.5s, from least to most.
-func (f *Form) Duration(name string, otherwise, least, most time.Duration) time.Duration {
-	return parsed(f, name, otherwise, fmt.Sprintf("a time from %v to %v, such as 250ms or 1.5s", least, most),
+// Duration reads a duration with its unit, such as 250ms or 1.5s, from minimum to maximum.
+func (f *Form) Duration(name string, fallback, minimum, maximum time.Duration) time.Duration {
+	return readValue(f, name, fallback, fmt.Sprintf("a time from %v to %v, such as 250ms or 1.5s", minimum, maximum),
 		func(s string) (time.Duration, bool) {
 			v, err := time.ParseDuration(s)
-			return v, err == nil && v >= least && v <= most
+			return v, err == nil && v >= minimum && v <= maximum
 		})
 }
 
-var sizes = []struct {
-	unit string
-	many int64
+// byteUnits are the suffixes of sizes. The first one that fits applies, so the shorter ones come last.
+var byteUnits = []struct {
+	suffix string
+	factor int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}, {"", 1}}
 
-// Bytes reads a number of bytes, such as 64KiB, from least to most.
-func (f *Form) Bytes(name string, otherwise, least, most int64) int64 {
-	return parsed(f, name, otherwise, fmt.Sprintf("a size from %d to %d bytes, such as 64KiB", least, most),
+// Bytes reads a number of bytes, such as 64KiB, from minimum to maximum.
+func (f *Form) Bytes(name string, fallback, minimum, maximum int64) int64 {
+	return readValue(f, name, fallback, fmt.Sprintf("a size from %d to %d bytes, such as 64KiB", minimum, maximum),
 		func(s string) (int64, bool) {
-			for _, u := range sizes {
-				if t, cut := strings.CutSuffix(s, u.unit); cut {
-					v, err := strconv.ParseInt(t, 10, 64)
-					if err != nil || v > math.MaxInt64/u.many {
+			for _, u := range byteUnits {
+				if digits, ok := strings.CutSuffix(s, u.suffix); ok {
+					v, err := strconv.ParseInt(digits, 10, 64)
+					if err != nil || v > math.MaxInt64/u.factor {
 						return 0, false
 					}
-					return v * u.many, v*u.many >= least && v*u.many <= most
+					return v * u.factor, v*u.factor >= minimum && v*u.factor <= maximum
 				}
 			}
 			return 0, false
 		})
 }
 
-// Texts reads a field of any number of texts.
+// Texts reads a field of any number of non-empty strings. It returns nil if the field is missing.
 func (f *Form) Texts(name string) []string {
 	g := f.Field(name)
 	if g == nil {
 		return nil
 	}
-	var out []string
+	var texts []string
 	for _, n := range g.items {
-		if n.List != nil || raw(n) == "" {
-			f.r.fault(n.Pos, n.String(), "a text")
+		if n.List != nil || literalText(n) == "" {
+			f.r.addError(n.Pos, n.String(), "a non-empty string")
 			continue
 		}
-		out = append(out, raw(n))
+		texts = append(texts, literalText(n))
 	}
-	return out
+	return texts
 }
 
-// Floats reads a field of numbers, each from least to most.
-func (f *Form) Floats(name string, least, most float64) []float64 {
+// Floats reads a field of any number of numbers, each from minimum to maximum. It returns nil if the field is missing.
+func (f *Form) Floats(name string, minimum, maximum float64) []float64 {
 	g := f.Field(name)
 	if g == nil {
 		return nil
 	}
-	out := make([]float64, len(g.items)) // as many as stand there, or a fault would bring others
+	values := make([]float64, len(g.items)) // invalid items keep their place, so that no error on the count follows
 	for i, n := range g.items {
 		ok := n.List == nil
 		if ok {
-			out[i], ok = number(raw(n), least, most)
+			values[i], ok = parseNumber(literalText(n), minimum, maximum)
 		}
 		if !ok {
-			f.r.fault(n.Pos, n.String(), fmt.Sprintf("a number from %g to %g", least, most))
-			out[i] = most
+			f.r.addError(n.Pos, n.String(), fmt.Sprintf("a number from %g to %g", minimum, maximum))
+			values[i] = maximum
 		}
 	}
-	return out
+	return values
 }
 
-// TakeName takes the form's first item, a bare word or text that names it, and leaves the rest as fields.
+// TakeName removes the form's first item, a word or string that names the form, and returns its text.
 func (f *Form) TakeName(wanted string) string {
 	if len(f.items) == 0 || f.items[0].List != nil {
 		f.AddError(fmt.Sprintf("(%s ...) without a name", f.name), wanted)
@@ -379,13 +385,13 @@
 	}
 	n := f.items[0]
 	f.items = f.items[1:]
-	return raw(n)
+	return literalText(n)
 }
 
-// OptionalField is Sub, but a field that is missing gives an empty form, so that its defaults hold.
+// OptionalField is like Field, but returns an empty form if the field is missing, so that its own fields take their defaults.
 func (f *Form) OptionalField(name string) *Form {
 	if g := f.Field(name); g != nil {
 		return g
 	}
-	return &Form{r: f.r, pos: f.pos, name: name, asked: map[string]bool{}}
+	return &Form{r: f.r, pos: f.pos, name: name, requested: map[string]bool{}}
 }
