--- a/config/edge.go
+++ b/config/edge.go
@@ -11,22 +11,23 @@
 	"dunegrade/api"
 )
 
-// Edge is all that an edge is told by its file, checked.
+// Edge holds the validated settings of an edge process.
 type Edge struct {
 	Name   string
-	Listen string // address of the clients' side
-	Admin  string // address of health and metrics; empty: none
-	Peers  []string
-	// PeerListen is where other sentries' messages arrive, each known by its sender's address; empty: at this one's own
-	// address of Peers, each saying whose it is.
+	Listen string // address for clients
+	Admin  string // address of health checks and metrics; empty disables them
+	// Peers holds the message address of every sentry, by sentry number.
+	Peers []string
+	// PeerListen is the address for messages of other sentries, which are identified by their source address. If it is
+	// empty, the process receives at its own entry of Peers, and each message carries the sender's number.
 	PeerListen   string
-	Loops        int
+	Loops        int // number of event loops, each of which is a sentry
 	Seed         int64
-	Zone         string
+	Zone         string // of this process
 	Zones        []string
 	Kinds        []string
-	StateDir     string // folder of what outlives a restart; empty: nothing does
-	LogLevel     string // least level of a log line
+	StateDir     string // directory for state that survives a restart; empty means none is kept
+	LogLevel     string // minimum level of log messages
 	ClientLimits ClientLimits
 	WorkerLimits WorkerPoolLimits
 	Source       Source
@@ -36,73 +37,90 @@
 	Customers []string
 	Routes    []Route
 
-	// AnswerSlack is taken off a client's patience, so that a final answer has time to arrive.
+	// AnswerSlack is subtracted from a client's timeout, so that the final answer arrives in time.
 	AnswerSlack time.Duration
-	// ShutdownDelay is how long after SIGTERM clients still come.
+	// ShutdownDelay is how long the process still accepts connections and requests after SIGTERM.
 	ShutdownDelay time.Duration
-	// DrainTimeout bounds the stop after that.
+	// DrainTimeout bounds the drain that follows ShutdownDelay.
 	DrainTimeout time.Duration
-	// Module is the plain map of names to values that the decision module reads.
+	// Module holds the settings of the decision module by name.
 	Module map[string]any
 }
 
-// ClientLimits holds the limits on the clients' side, each loop by itself.
+// ClientLimits holds the limits on client connections. Limits on counts and on held bytes apply to each event loop, except
+// those on connections, which apply to the process.
 type ClientLimits struct {
-	MaxHeadBytes, MaxBodyBytes, AnswerBufferBytes, MaxUnsentBytes int64 // bytes
-	IdleTimeout, HeadTimeout, BodyTimeout                         time.Duration
-	SlowReaderTimeout                                             time.Duration
-	MaxConnections, MaxOpenTxns, MaxPipelinedBytes                int
-	MaxHeldBytes                                                  int // bytes that came from clients and were not used yet, of all; 0: no bound
-	// OverflowConnections is how many connections more are taken while idle ones are ended for them; Spare is how long one must have
-	// been idle to be ended once half of all are in use.
+	MaxHeadBytes int64 // of a request's head
+	MaxBodyBytes int64 // of a request's body
+	// AnswerBufferBytes is the size up to which an answer is buffered whole; larger answers are streamed.
+	AnswerBufferBytes int64
+	// MaxUnsentBytes bounds the answers that wait for a client to read. Beyond it the connection is aborted.
+	MaxUnsentBytes int64
+	IdleTimeout    time.Duration
+	HeadTimeout    time.Duration // for a request's head to arrive
+	BodyTimeout    time.Duration // for a request's body to arrive
+	// SlowReaderTimeout is how long a client may take to read answers before its connection is closed.
+	SlowReaderTimeout time.Duration
+	MaxConnections    int
+	MaxOpenTxns       int
+	MaxPipelinedBytes int // unparsed bytes of one connection
+	MaxHeldBytes      int // received and not yet processed bytes of all connections; 0 means unlimited
+	// OverflowConnections is how many connections beyond MaxConnections are accepted while idle ones are closed to make room.
 	OverflowConnections int
+	// PressureIdleTimeout is the idle time after which a connection may be closed to make room, or once more than half of
+	// MaxConnections are open.
 	PressureIdleTimeout time.Duration
-	MaxStreams          int // answers that carriers hand on at once
+	MaxStreams          int // concurrently streamed answers
 }
 
-// WorkerPoolLimits holds the limits on connections to workers, each loop by itself.
+// WorkerPoolLimits holds the limits on connections to workers. They apply to each event loop.
 type WorkerPoolLimits struct {
-	MaxConnections      int // to one worker
-	MaxTotalConnections int // to all workers; 0: no bound of its own
-	MaxDialing          int // at once, to all
+	MaxConnections      int // per worker
+	MaxTotalConnections int // to all workers; 0 means unlimited
+	MaxDialing          int // concurrent connection attempts to all workers
 	ConnectTimeout      time.Duration
 	IdleTimeout         time.Duration
-	ReuseDelay          time.Duration // between an answer and the next use of its connection
-	MaxAnswerHeadBytes  int64         // bytes of an answer's head
+	ReuseDelay          time.Duration // between an answer and the next request on the same connection
+	MaxAnswerHeadBytes  int64
 }
 
-// Trace says what is recorded of the sentries' decisions, and for how long it is kept.
+// Trace holds what is recorded of the sentries' decisions and how long it is kept.
 type Trace struct {
-	Dir          string // empty: nothing is recorded
-	Level        string // whole, sampled or decisions
-	OneIn        uint32 // of txns that ended well, where sampled
-	TailDir      string // folder in memory where a process that is killed leaves its last records; empty: none
+	Dir   string // empty disables recording
+	Level string // whole, sampled or decisions
+	OneIn uint32 // at level sampled, one in OneIn of the txns that ended well is recorded
+	// TailDir is a directory in memory that preserves the latest records when the process is killed; empty disables it.
+	TailDir      string
 	SegmentBytes int64
 	SegmentAge   time.Duration
 	TotalBytes   int64
 }
 
-// Source says where list, news and votes come from: a file, or the address of an API.
+// Source is where the worker list and release updates come from and votes go to: a file, which accepts no votes, or an API.
 type Source struct {
 	File   string
 	APIURL string
 }
 
-// Product is a kind of txn.
+// Product is a type of txn.
 type Product struct {
-	Name        string
-	SLA, Expiry time.Duration
-	Effect      string // inquiry-like, referenced, once-only
-	Stream      bool
+	Name   string
+	SLA    time.Duration
+	Expiry time.Duration
+	Effect string // inquiry-like, referenced or once-only
+	Stream bool   // whether answers are forwarded as they arrive instead of being buffered
 }
 
-// Route gives a request its product, key, customer and cost. The longest prefix of the first fitting method wins.
+// Route determines the product, key, customer and cost of a request. The matching route with the longest prefix applies; of
+// two with the same prefix, the one that states a method goes before the one for any method.
 type Route struct {
-	Method, Prefix           string
-	Product                  int
-	KeyHeader                string
-	CustomerHeader           string
-	CostHeader, RepeatHeader string
+	Method         string // empty matches any
+	Prefix         string
+	Product        int // index into Edge.Products
+	KeyHeader      string
+	CustomerHeader string
+	CostHeader     string
+	RepeatHeader   string // its presence marks a request as a repetition
 }
 
 const (
@@ -110,7 +128,7 @@
 	day  = 24 * hour
 )
 
-// ReadEdge reads and checks an edge's file. The error is Faults where the text is at fault.
+// ReadEdge reads and validates an edge's settings file. The error is FileErrors if the contents are invalid.
 func ReadEdge(path string) (*Edge, error) {
 	r, err := ReadFile(path)
 	if err != nil {
@@ -119,7 +137,7 @@
 	return readEdge(r)
 }
 
-// ParseEdge is ReadEdge for a text in hand.
+// ParseEdge is like ReadEdge, for text that was read from file.
 func ParseEdge(file, text string) (*Edge, error) {
 	r, err := Read(file, text)
 	if err != nil {
@@ -144,10 +162,11 @@
 	return e, nil
 }
 
-func (f *Form) address(name string, must bool) string {
+// address reads an address and port. A missing field is an error if required is set.
+func (f *Form) address(name string, required bool) string {
 	a := f.Text(name, "")
 	if a == "" {
-		if must && f.Field(name) == nil {
+		if required && f.Field(name) == nil {
 			f.RequireField(name)
 		}
 		return ""
@@ -158,11 +177,11 @@
 	return a
 }
 
-// rejectDuplicates records a fault where a field of texts holds one twice.
+// rejectDuplicates records an error for each name that a field holds more than once.
 func (f *Form) rejectDuplicates(field string, names []string) {
 	for i, name := range names {
 		if indexOf(names[:i], name) >= 0 {
-			f.Field(field).AddError(fmt.Sprintf("%q twice", name), "names that differ")
+			f.Field(field).AddError(fmt.Sprintf("%q twice", name), "unique names")
 		}
 	}
 }
@@ -197,11 +216,11 @@
 		}
 	}
 	t := f.OptionalField("trace")
-	folder := ""
+	traceDir := ""
 	if e.StateDir != "" {
-		folder = filepath.Join(e.StateDir, "trace")
+		traceDir = filepath.Join(e.StateDir, "trace")
 	}
-	e.Trace = Trace{Dir: t.Text("folder", folder), SegmentBytes: t.Bytes("segment", 64<<20, 64<<10, 1<<40),
+	e.Trace = Trace{Dir: t.Text("folder", traceDir), SegmentBytes: t.Bytes("segment", 64<<20, 64<<10, 1<<40),
 		SegmentAge: t.Duration("age", 10*time.Minute, time.Second, day), TotalBytes: t.Bytes("total", 1<<30, 1<<20, 1<<50)}
 	e.Trace.Level = t.OneOf("level", "whole", "whole", "sampled", "decisions")
 	if e.Trace.TailDir = t.Text("tail", "/dev/shm"); e.Trace.TailDir == "none" {
@@ -209,13 +228,13 @@
 	}
 	e.Trace.OneIn = uint32(t.Int("one-in", 100, 1, 1<<30))
 	if s := t.Field("one-in"); s != nil && e.Trace.Level != "sampled" {
-		s.AddError("(one-in ...) at level "+e.Trace.Level, "it at level sampled only")
+		s.AddError("(one-in ...) at level "+e.Trace.Level, "(one-in ...) at level sampled only")
 	}
 	if !t.Bool("on", true) {
 		e.Trace.Dir = ""
 	}
 	if e.Trace.TotalBytes < 2*e.Trace.SegmentBytes {
-		t.AddError(fmt.Sprintf("(total ...) of %d bytes", e.Trace.TotalBytes), "at least two segments' size")
+		t.AddError(fmt.Sprintf("(total ...) of %d bytes", e.Trace.TotalBytes), "at least the size of two segments")
 	}
 	t.RejectUnknown()
 	s := f.RequireField("source")
@@ -230,30 +249,31 @@
 }
 
 func (e *Edge) readLimits(f *Form) {
-	d := f.OptionalField("door")
+	clients := f.OptionalField("door")
 	e.ClientLimits = ClientLimits{
-		MaxHeadBytes: d.Bytes("head", 16<<10, 256, 1<<20), MaxBodyBytes: d.Bytes("body", 1<<20, 0, 1<<30),
-		AnswerBufferBytes: d.Bytes("answer-buffer", 256<<10, 1<<10, 1<<30), MaxUnsentBytes: d.Bytes("unsent", 4<<20, 1<<10, 1<<30),
-		IdleTimeout: d.Duration("idle", 60*time.Second, 10*time.Millisecond, day),
-		HeadTimeout: d.Duration("slow-head", 5*time.Second, 10*time.Millisecond, hour),
-		BodyTimeout: d.Duration("slow-body", 15*time.Second, 10*time.Millisecond, hour),
-		SlowReaderTimeout: d.Duration("slow-reader", 15*time.Second, 10*time.Millisecond,
-			hour),
-		MaxConnections:    int(d.Int("connections", 20000, 1, 1<<20)),
-		MaxOpenTxns:       int(d.Int("open", 10000, 1, 1<<20)),
-		MaxPipelinedBytes: int(d.Bytes("pipeline", 64<<10, 1<<10, 1<<24)),
-		MaxStreams:        int(d.Int("streams", 1024, 1, 1<<16)),
-	}
-	d.RejectUnknown()
-	w := f.OptionalField("workers")
+		MaxHeadBytes:      clients.Bytes("head", 16<<10, 256, 1<<20),
+		MaxBodyBytes:      clients.Bytes("body", 1<<20, 0, 1<<30),
+		AnswerBufferBytes: clients.Bytes("answer-buffer", 256<<10, 1<<10, 1<<30),
+		MaxUnsentBytes:    clients.Bytes("unsent", 4<<20, 1<<10, 1<<30),
+		IdleTimeout:       clients.Duration("idle", 60*time.Second, 10*time.Millisecond, day),
+		HeadTimeout:       clients.Duration("slow-head", 5*time.Second, 10*time.Millisecond, hour),
+		BodyTimeout:       clients.Duration("slow-body", 15*time.Second, 10*time.Millisecond, hour),
+		SlowReaderTimeout: clients.Duration("slow-reader", 15*time.Second, 10*time.Millisecond, hour),
+		MaxConnections:    int(clients.Int("connections", 20000, 1, 1<<20)),
+		MaxOpenTxns:       int(clients.Int("open", 10000, 1, 1<<20)),
+		MaxPipelinedBytes: int(clients.Bytes("pipeline", 64<<10, 1<<10, 1<<24)),
+		MaxStreams:        int(clients.Int("streams", 1024, 1, 1<<16)),
+	}
+	clients.RejectUnknown()
+	workers := f.OptionalField("workers")
 	e.WorkerLimits = WorkerPoolLimits{
-		MaxConnections:     int(w.Int("connections", 128, 1, 1<<16)),
-		MaxDialing:         int(w.Int("dialing", 256, 1, 1<<16)),
-		ConnectTimeout:     w.Duration("connect-timeout", 250*time.Millisecond, time.Millisecond, time.Minute),
-		IdleTimeout:        w.Duration("idle", 30*time.Second, 10*time.Millisecond, day),
-		MaxAnswerHeadBytes: w.Bytes("head", 32<<10, 256, 1<<20),
+		MaxConnections:     int(workers.Int("connections", 128, 1, 1<<16)),
+		MaxDialing:         int(workers.Int("dialing", 256, 1, 1<<16)),
+		ConnectTimeout:     workers.Duration("connect-timeout", 250*time.Millisecond, time.Millisecond, time.Minute),
+		IdleTimeout:        workers.Duration("idle", 30*time.Second, 10*time.Millisecond, day),
+		MaxAnswerHeadBytes: workers.Bytes("head", 32<<10, 256, 1<<20),
 	}
-	w.RejectUnknown()
+	workers.RejectUnknown()
 }
 
 func (e *Edge) readProducts(f *Form) {
@@ -267,45 +287,46 @@
 	for i, p := range forms {
 		name := p.TakeName("a product's name")
 		if seen[name] {
-			p.AddError(fmt.Sprintf("a second product %q", name), "names that differ")
+			p.AddError(fmt.Sprintf("a second product %q", name), "unique names")
 		}
 		seen[name] = true
-		out := Product{Name: name, Stream: p.Bool("stream", false)}
+		product := Product{Name: name, Stream: p.Bool("stream", false)}
 		p.RequireField("sla")
 		p.RequireField("expiry")
 		p.RequireField("effect")
-		out.SLA = p.Duration("sla", time.Second, time.Millisecond, hour)
-		out.Expiry = p.Duration("expiry", hour, time.Millisecond, hour)
-		if p.Field("expiry") != nil && out.Expiry < out.SLA {
-			p.Field("expiry").AddError(out.Expiry.String(), fmt.Sprintf("at least the SLA time, %v", out.SLA))
+		product.SLA = p.Duration("sla", time.Second, time.Millisecond, hour)
+		product.Expiry = p.Duration("expiry", hour, time.Millisecond, hour)
+		if p.Field("expiry") != nil && product.Expiry < product.SLA {
+			p.Field("expiry").AddError(product.Expiry.String(), fmt.Sprintf("at least the SLA time, %v", product.SLA))
 		}
-		out.Effect = p.OneOf("effect", "once-only", "inquiry-like", "referenced", "once-only")
+		product.Effect = p.OneOf("effect", "once-only", "inquiry-like", "referenced", "once-only")
 		group := p.OneOf("group", "all", "all", "zone", "cell")
 		memory := p.Duration("memory", 0, 0, hour)
-		if out.Effect == "referenced" && memory <= 0 {
+		if product.Effect == "referenced" && memory <= 0 {
 			p.RequireField("memory")
 		}
 		if group == "zone" && len(e.Zones) == 0 {
 			p.Field("group").AddError("(group zone) without (zones ...)", "the zones that workers may be in")
 		}
-		if out.Effect == "referenced" && memory > 0 {
-			// Danger: a submission may wait for its connection; a repeat that was in time when it was decided would then
-			// reach workers that have forgotten the first.
+		if product.Effect == "referenced" && memory > 0 {
+			// A submission may wait for its connection for up to ConnectTimeout after it was decided. The module is given a
+			// memory that is shorter by this time: otherwise a retry that was decided in time could reach workers that have
+			// already forgotten the first submission.
 			if memory -= e.WorkerLimits.ConnectTimeout; memory <= 0 {
 				p.Field("memory").AddError((memory + e.WorkerLimits.ConnectTimeout).String(),
 					fmt.Sprintf("more than (connect-timeout %v) of (workers ...)", e.WorkerLimits.ConnectTimeout))
 			}
 		}
-		if out.Effect != "referenced" && p.Field("memory") != nil {
-			p.Field("memory").AddError("a memory of a product that is "+out.Effect, "a memory of referenced products only")
+		if product.Effect != "referenced" && p.Field("memory") != nil {
+			p.Field("memory").AddError("a memory of a product that is "+product.Effect, "a memory of referenced products only")
 		}
-		at := "products." + strconv.Itoa(i) + "."
-		m[at+"name"], m[at+"effect"], m[at+"group"], m[at+"stream"] = name, out.Effect, group, out.Stream
-		m[at+"sla"], m[at+"expiry"], m[at+"memory"] = float64(out.SLA), float64(out.Expiry), float64(memory)
-		m[at+"revenue"] = p.Float("revenue", 1, 0, 1e9)
-		m[at+"late-revenue"] = p.Float("late-revenue", 0, 0, 1)
+		prefix := "products." + strconv.Itoa(i) + "."
+		m[prefix+"name"], m[prefix+"effect"], m[prefix+"group"], m[prefix+"stream"] = name, product.Effect, group, product.Stream
+		m[prefix+"sla"], m[prefix+"expiry"], m[prefix+"memory"] = float64(product.SLA), float64(product.Expiry), float64(memory)
+		m[prefix+"revenue"] = p.Float("revenue", 1, 0, 1e9)
+		m[prefix+"late-revenue"] = p.Float("late-revenue", 0, 0, 1)
 		p.RejectUnknown()
-		e.Products = append(e.Products, out)
+		e.Products = append(e.Products, product)
 	}
 	e.Customers = f.Texts("customers")
 	m["customers.count"] = float64(len(e.Customers))
@@ -337,7 +358,7 @@
 		}
 		for _, other := range e.Routes {
 			if other.Method == r.Method && other.Prefix == r.Prefix {
-				g.AddError(fmt.Sprintf("a second route of %s %s", r.Method, r.Prefix), "routes that differ")
+				g.AddError(fmt.Sprintf("a second route of %s %s", r.Method, r.Prefix), "unique routes")
 			}
 		}
 		g.RejectUnknown()
@@ -345,31 +366,31 @@
 	}
 }
 
-// readModuleSettings gathers what the decision module reads, by the module's names.
+// readModuleSettings collects the settings of the decision module, under the module's names.
 func (e *Edge) readModuleSettings(f *Form) {
 	m := e.Module
-	span := func(g *Form, name string, otherwise, most time.Duration) {
-		m[g.name+"."+name] = float64(g.Duration(name, otherwise, 0, most))
+	duration := func(g *Form, name string, fallback, maximum time.Duration) {
+		m[g.name+"."+name] = float64(g.Duration(name, fallback, 0, maximum))
 	}
-	num := func(g *Form, name string, otherwise, least, most float64) {
-		m[g.name+"."+name] = g.Float(name, otherwise, least, most)
+	number := func(g *Form, name string, fallback, minimum, maximum float64) {
+		m[g.name+"."+name] = g.Float(name, fallback, minimum, maximum)
 	}
-	flag := func(g *Form, name string, otherwise bool) { m[g.name+"."+name] = g.Bool(name, otherwise) }
-	m["discovery"] = "push" // the source hands on every change by itself
+	boolean := func(g *Form, name string, fallback bool) { m[g.name+"."+name] = g.Bool(name, fallback) }
+	m["discovery"] = "push" // the source delivers every change without being polled
 	m["sentries"] = float64(f.Int("sentries", int64(max(1, e.Loops)), 1, 1<<20))
 	m["index"] = float64(f.Int("index", 0, 0, 1<<20))
 	if m["index"].(float64)+float64(e.Loops) > m["sentries"].(float64) {
-		f.AddError(fmt.Sprintf("sentries from %v, %d of them, of %v in all", m["index"], e.Loops, m["sentries"]),
+		f.AddError(fmt.Sprintf("sentries from %v, %d of them, with %v in total", m["index"], e.Loops, m["sentries"]),
 			"(index ...) plus (loops ...) within (sentries ...)")
 	}
 	m["zone"] = float64(max(0, indexOf(e.Zones, e.Zone)))
 
 	a := f.OptionalField("allow")
-	num(a, "submissions", 4, 1, 8)
-	flag(a, "copies", true)
-	flag(a, "cancel", true)
-	flag(a, "messages", len(e.Peers) > 0)
-	span(a, "longest-retry-after", time.Second, hour)
+	number(a, "submissions", 4, 1, 8)
+	boolean(a, "copies", true)
+	boolean(a, "cancel", true)
+	boolean(a, "messages", len(e.Peers) > 0)
+	duration(a, "longest-retry-after", time.Second, hour)
 	if m["allow.messages"].(bool) && float64(len(e.Peers)) != m["sentries"].(float64) {
 		a.AddError(fmt.Sprintf("(messages true) with %d addresses in (peers ...)", len(e.Peers)),
 			fmt.Sprintf("the address of each of %v sentries, by number", m["sentries"]))
@@ -400,27 +421,28 @@
 	}
 	g.RequireField("window")
 	m["release.window"] = float64(g.Duration("window", 6*time.Second, time.Millisecond, hour))
-	num(g, "free", 1, 1, 1e6) // with less than one, nothing could ever go to a trial: a submission is a whole one
-	span(g, "bake", 3*time.Second, day)
-	span(g, "vote-timeout", time.Second, hour)
-	num(g, "votes-back", 1, 0, 1e6)
-	num(g, "votes-per-second", 20, 0.001, 1e6)
-	num(g, "guarded-stages", 0, 0, 100)
-	flag(g, "one-way", false)
+	number(g, "free", 1, 1, 1e6) // below 1 no submission could ever go to a build on trial, as each counts as 1
+	duration(g, "bake", 3*time.Second, day)
+	duration(g, "vote-timeout", time.Second, hour)
+	number(g, "votes-back", 1, 0, 1e6)
+	number(g, "votes-per-second", 20, 0.001, 1e6)
+	number(g, "guarded-stages", 0, 0, 100)
+	boolean(g, "one-way", false)
 	g.RejectUnknown()
 
 	r := f.OptionalField("rules")
-	span(r, "cold", 5*time.Second, hour)
-	num(r, "cold-from", 0.3, 0.001, 1)
-	num(r, "fall-multiple", 2, 0.1, 1000)
-	span(r, "fall-after", time.Second, hour)
-	span(r, "drain-grace", 500*time.Millisecond, hour)
-	// Danger: what waits for its connection when a worker drains, or a cap falls, is sent that much later.
+	duration(r, "cold", 5*time.Second, hour)
+	number(r, "cold-from", 0.3, 0.001, 1)
+	number(r, "fall-multiple", 2, 0.1, 1000)
+	duration(r, "fall-after", time.Second, hour)
+	duration(r, "drain-grace", 500*time.Millisecond, hour)
+	// A submission that waits for its connection while its worker starts to drain, or while a cap falls, is sent up to
+	// ConnectTimeout later. The grace period has to cover this.
 	if grace := m["rules.drain-grace"].(float64); grace < float64(e.WorkerLimits.ConnectTimeout) {
 		r.AddError(fmt.Sprintf("(drain-grace %v)", time.Duration(grace)),
 			fmt.Sprintf("at least (connect-timeout %v) of (workers ...)", e.WorkerLimits.ConnectTimeout))
 	}
-	span(r, "ask-within", 10*time.Second, hour)
+	duration(r, "ask-within", 10*time.Second, hour)
 	e.AnswerSlack = r.Duration("answer-slack", 20*time.Millisecond, 0, time.Second)
 	m["rules.answer-slack"] = float64(e.AnswerSlack)
 	for i := range e.Products {
@@ -431,12 +453,12 @@
 	}
 	r.RejectUnknown()
 	p := f.OptionalField("price")
-	num(p, "cross-zone", 0, 0, 1)
+	number(p, "cross-zone", 0, 0, 1)
 	p.RejectUnknown()
 }
 
-func indexOf(list []string, name string) int {
-	for i, s := range list {
+func indexOf(names []string, name string) int {
+	for i, s := range names {
 		if s == name {
 			return i
 		}
--- a/config/list.go
+++ b/config/list.go
@@ -6,13 +6,14 @@
 	"dunegrade/api"
 )
 
-// WorkerList is what a list file tells: the workers and where the newest release stands.
+// WorkerList is the contents of a list file: the workers and the state of the newest release.
 type WorkerList struct {
 	Workers []api.Worker
 	Release api.Release
 }
 
-// ParseWorkerList reads a list file's text; file is the name that faults give. The error is Faults where the text is at fault.
+// ParseWorkerList reads the text of a list file; file is the file name for error messages. The error is FileErrors if the text
+// is invalid.
 func ParseWorkerList(file, text string) (*WorkerList, error) {
 	r, err := Read(file, text)
 	if err != nil {
@@ -22,37 +23,37 @@
 }
 
 func readList(r *Reader) (*WorkerList, error) {
-	out := &WorkerList{}
+	workerList := &WorkerList{}
 	f := r.Root()
-	// Danger: a file that is cut off between two forms reads as whole, and the workers that it lacks as gone. The release
-	// ends the file, so what lacks it is no whole file.
+	// A file that was truncated between two forms would be read as complete, and its missing workers as gone. The release
+	// has to be the last form, so that a file without it is known to be truncated.
 	if n := len(f.items); n > 0 {
 		if last := f.asForm(f.items[n-1]); last == nil || last.name != "release" {
-			f.r.addError(f.items[n-1].Pos, f.items[n-1].String(), "(release ...) as the last form: without it the file is not whole")
+			f.r.addError(f.items[n-1].Pos, f.items[n-1].String(), "(release ...) as the last form: without it the file is incomplete")
 		}
 	}
 	seen := map[string]bool{}
 	for _, w := range f.Fields("worker") {
 		id := w.TakeName("a worker's id")
 		if seen[id] {
-			w.AddError("a second worker "+id, "ids that differ")
+			w.AddError("a second worker "+id, "unique ids")
 		}
 		seen[id] = true
-		out.Workers = append(out.Workers, api.Worker{ID: id, Address: w.address("address", true), Zone: w.Text("zone", ""),
+		workerList.Workers = append(workerList.Workers, api.Worker{ID: id, Address: w.address("address", true), Zone: w.Text("zone", ""),
 			Kind: w.Text("kind", ""), Cell: int(w.Int("cell", 0, 0, 1<<30)),
 			State:  w.OneOf("state", api.Up, api.Up, api.Draining, api.Gone),
 			Weight: w.Float("weight", 1, 0, 1e9), Build: int(w.Int("build", 1, 0, api.MaxBuild)),
 			StartedAt: w.timestamp("started")})
 		w.RejectUnknown()
 	}
-	if len(out.Workers) == 0 {
+	if len(workerList.Workers) == 0 {
 		f.RequireField("worker")
 	}
 	rel := f.Field("release")
-	if rel == nil { // told above
+	if rel == nil { // reported above
 		rel = &Form{r: r, name: "release", requested: map[string]bool{}, placeholder: true}
 	}
-	out.Release = api.Release{Build: int(rel.Int("build", 1, 0, api.MaxBuild)), Stage: int(rel.Int("stage", 0, 0, api.MaxStage)),
+	workerList.Release = api.Release{Build: int(rel.Int("build", 1, 0, api.MaxBuild)), Stage: int(rel.Int("stage", 0, 0, api.MaxStage)),
 		Phase: rel.OneOf("phase", api.Released, api.OnTrial, api.GoingBack, api.Released, api.Withdrawn),
 		Cap:   rel.Float("cap", 1, 0, 1), Since: rel.timestamp("since")}
 	rel.RejectUnknown()
@@ -60,12 +61,12 @@
 	if err := r.Err(); err != nil {
 		return nil, err
 	}
-	return out, nil
+	return workerList, nil
 }
 
-// timestamp reads a moment in RFC 3339, as nanoseconds since 1970; 0 where there is none.
+// timestamp reads an RFC 3339 time as nanoseconds since the Unix epoch. It returns 0 if the field is missing or invalid.
 func (f *Form) timestamp(name string) int64 {
-	return readValue(f, name, 0, "a moment such as 2026-12-01T16:40:00Z", func(s string) (int64, bool) {
+	return readValue(f, name, 0, "a time such as 2026-12-01T16:40:00Z", func(s string) (int64, bool) {
 		t, err := time.Parse(time.RFC3339Nano, s)
 		return t.UnixNano(), err == nil
 	})
