--- a/config/config_test.go
+++ b/config/config_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-const good = `(edge
+const validEdge = `(edge
   (listen "127.0.0.1:8080")
   (source (file "list.sexp"))
   (product "read" (sla 300ms) (expiry 1s) (effect inquiry-like))
@@ -16,8 +16,8 @@
   (release (caps 12% 0.42 1) (shares 0.1 0.35 1) (window 6s) (free 3)))
 `
 
-func TestEdgeRead(t *testing.T) {
-	e, err := ParseEdge("e.sexp", good)
+func TestEdgeIsRead(t *testing.T) {
+	e, err := ParseEdge("e.sexp", validEdge)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,17 +33,17 @@
 	}
 }
 
-func TestEdgeRefused(t *testing.T) {
+func TestInvalidEdges(t *testing.T) {
 	cases := []struct {
-		name, from, to string // what is changed in the good file
-		at, found      string
+		name, from, to string // replacement in validEdge
+		at, found      string // line and column, and a part of the message
 	}{
 		{"unknown word", "(free 3)", "(fee 3)", "8:62", `unknown word "fee"`},
 		{"wrong type", "(sla 300ms)", "(sla often)", "4:24", "found often"},
 		{"no unit", "(sla 300ms)", "(sla 300)", "4:24", "found 300"},
 		{"expiry before SLA time", "(expiry 1s)", "(expiry 100ms)", "4:31", "at least the SLA time"},
 		{"cap out of range", "0.42", "1.42", "8:22", "from 0 to 1"},
-		{"caps that fall", "12% 0.42", "0.5 0.42", "8:12", "caps that do not fall"},
+		{"falling caps", "12% 0.42", "0.5 0.42", "8:12", "caps that do not fall"},
 		{"caps and shares differ", "0.1 0.35 1", "0.1 1", "8:3", "3 caps and 2 shares"},
 		{"duplicate product", `"book" (sla`, `"read" (sla`, "5:3", `a second product "read"`},
 		{"duplicate field", "(sla 500ms)", "(sla 500ms) (sla 600ms)", "5:31", "a second (sla ...)"},
@@ -52,7 +52,7 @@
 		{"no route", "(route (prefix \"/read\") (product \"read\"))\n  (route (method POST) (prefix \"/book\") (product \"book\") (key \"Idempotency-Key\"))",
 			"", "1:1", "without (route ...)"},
 		{"missing memory", "(memory 2s)", "", "5:3", "without (memory ...)"},
-		{"memory of an inquiry", "(effect inquiry-like)", "(effect inquiry-like) (memory 1s)", "4:65", "referenced products only"},
+		{"memory of an inquiry-like product", "(effect inquiry-like)", "(effect inquiry-like) (memory 1s)", "4:65", "referenced products only"},
 		{"number that overflows", "(free 3)", "(free 1e999)", "8:68", "found 1e999"},
 		{"whole number that overflows", "(listen", "(seed 99999999999999999999) (listen", "2:9", "a whole number"},
 		{"size that overflows", "(listen", "(door (body 99999999999GiB)) (listen", "2:15", "a size"},
@@ -66,18 +66,18 @@
 		{"no free submission", "(free 3)", "(free 0)", "8:68", "found 0"},
 		{"no window", "(window 6s)", "(window 0s)", "8:58", "found 0s"},
 		{"no caps", "(caps 12% 0.42 1)", "(caps)", "8:12", "(caps) without a value"},
-		{"memory within the wait for a connection", "(memory 2s)", "(memory 200ms)", "5:63", "found 200ms"},
-		{"grace within the wait for a connection", "(release", "(rules (drain-grace 100ms)) (release", "8:3", "(drain-grace 100ms)"},
-		{"group by zones that nobody named", "(effect referenced)", "(effect referenced) (group zone)", "5:63", "(group zone) without (zones ...)"},
-		{"two zones of a name", "(listen", "(zones a b a) (listen", "2:3", `"a" twice`},
+		{"memory shorter than the connect timeout", "(memory 2s)", "(memory 200ms)", "5:63", "found 200ms"},
+		{"drain grace shorter than the connect timeout", "(release", "(rules (drain-grace 100ms)) (release", "8:3", "(drain-grace 100ms)"},
+		{"group by zones without any zone", "(effect referenced)", "(effect referenced) (group zone)", "5:63", "(group zone) without (zones ...)"},
+		{"two zones with the same name", "(listen", "(zones a b a) (listen", "2:3", `"a" twice`},
 		{"messages without peers", "(release", "(allow (messages true)) (release", "8:3", "the address of each"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if !strings.Contains(good, c.from) {
-				t.Fatalf("the good file holds no %q", c.from)
+			if !strings.Contains(validEdge, c.from) {
+				t.Fatalf("validEdge does not contain %q", c.from)
 			}
-			_, err := ParseEdge("e.sexp", strings.Replace(good, c.from, c.to, 1))
+			_, err := ParseEdge("e.sexp", strings.Replace(validEdge, c.from, c.to, 1))
 			if err == nil {
 				t.Fatal("taken")
 			}
@@ -91,55 +91,55 @@
 	}
 }
 
-func TestWhatIsMissingIsToldOnce(t *testing.T) {
+func TestMissingFieldsAreReportedOnce(t *testing.T) {
 	_, err := ParseEdge("e.sexp", `(edge (listen "127.0.0.1:1"))`)
-	if faults, ok := err.(FileErrors); !ok || len(faults) != 4 { // source, product, route, release
+	if errs, ok := err.(FileErrors); !ok || len(errs) != 4 { // source, product, route, release
 		t.Errorf("got %v", err)
 	}
 }
 
-func TestAllFaultsAtOnce(t *testing.T) {
-	bad := strings.NewReplacer("300ms", "x", "(free 3)", "(free x)", "inquiry-like", "safe").Replace(good)
-	_, err := ParseEdge("e.sexp", bad)
-	if faults, ok := err.(FileErrors); !ok || len(faults) != 3 {
+func TestAllErrorsAreReported(t *testing.T) {
+	invalid := strings.NewReplacer("300ms", "x", "(free 3)", "(free x)", "inquiry-like", "safe").Replace(validEdge)
+	_, err := ParseEdge("e.sexp", invalid)
+	if errs, ok := err.(FileErrors); !ok || len(errs) != 3 {
 		t.Errorf("got %v", err)
 	}
 }
 
-func TestList(t *testing.T) {
+func TestWorkerListIsRead(t *testing.T) {
 	l, err := ParseWorkerList("l", `(worker a (address "127.0.0.1:1") (build 3) (started 2026-12-01T10:00:00Z)) (release (build 3))`)
 	if err != nil || len(l.Workers) != 1 || l.Workers[0].Build != 3 || l.Workers[0].StartedAt == 0 || l.Release.Cap != 1 {
 		t.Errorf("read as %+v, %v", l, err)
 	}
 	if _, err = ParseWorkerList("l", `(worker a (address "x") (build 70000)) (worker a (address "127.0.0.1:2"))`); err == nil || len(err.(FileErrors)) != 4 {
-		t.Errorf("got %v, want four faults", err)
+		t.Errorf("got %v, want four errors", err)
 	}
 }
 
-// Danger: the workers that a list cut short lacks would count as gone.
-func TestListCutAtEveryByte(t *testing.T) {
+// A truncated list must be rejected, as the workers that it lacks would count as gone.
+func TestTruncatedWorkerLists(t *testing.T) {
 	for _, text := range []string{
 		`(worker a (address "127.0.0.1:1")) ; the first
 (worker b (address "127.0.0.1:2") (started 2026-12-01T10:00:00Z))
 (release (build 3) (phase on-trial) (cap 10%))`,
-		`(release (build 3)) (worker a (address "127.0.0.1:1")) (worker b (address "127.0.0.1:2"))`, // never whole
+		`(release (build 3)) (worker a (address "127.0.0.1:1")) (worker b (address "127.0.0.1:2"))`, // never complete, as the release is not last
 	} {
-		taken := 0
+		accepted := 0
 		for n := 0; n <= len(text); n++ {
 			if l, err := ParseWorkerList("l", text[:n]); err == nil {
-				if taken++; len(l.Workers) != 2 || n < len(text) {
-					t.Errorf("%d of %d bytes were taken as whole: %+v", n, len(text), l)
+				if accepted++; len(l.Workers) != 2 || n < len(text) {
+					t.Errorf("%d of %d bytes were accepted as a complete list: %+v", n, len(text), l)
 				}
 			}
 		}
-		if whole := strings.HasSuffix(text, "10%))"); taken != 1 && whole || taken > 0 && !whole {
-			t.Errorf("taken %d times: %s", taken, text)
+		if complete := strings.HasSuffix(text, "10%))"); accepted != 1 && complete || accepted > 0 && !complete {
+			t.Errorf("accepted %d times: %s", accepted, text)
 		}
 	}
 }
 
 func FuzzEdge(f *testing.F) {
-	f.Add(good)
+	f.Add(validEdge)
 	f.Add("(edge (listen))")
 	f.Fuzz(func(t *testing.T, text string) { ParseEdge("e", text) }) // it must not panic
 }
