--- a/cmd/dunegrade/main.go
+++ b/cmd/dunegrade/main.go
@@ -1,4 +1,5 @@
-// Command dunegrade is the tool for people: it checks settings, plays days in the lab and shows a demonstration.
+// Command dunegrade is the command line tool: it checks settings files, reads traces, and runs simulated days and load tests
+// against real edges.
 package main
 
 import (
@@ -26,27 +27,27 @@
 }
 
 func (c *checkCmd) Run() error {
-	bad := 0
+	invalid := 0
 	for _, f := range c.Files {
-		plan, err := config.ReadEdge(f)
+		edgeConfig, err := config.ReadEdge(f)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			bad++
+			invalid++
 			continue
 		}
-		fmt.Printf("%s: fine, %d products, %d routes, %d loops\n", f, len(plan.Products), len(plan.Routes), plan.Loops)
+		fmt.Printf("%s: valid, %d products, %d routes, %d loops\n", f, len(edgeConfig.Products), len(edgeConfig.Routes), edgeConfig.Loops)
 	}
-	if bad > 0 {
-		return unusable{fmt.Errorf("%d of %d files are refused", bad, len(c.Files))}
+	if invalid > 0 {
+		return inputError{fmt.Errorf("%d of %d files are invalid", invalid, len(c.Files))}
 	}
 	return nil
 }
 
-// unusable is an error of the input: exit status 2.
-type unusable struct{ error }
+// inputError is an error in the arguments or input files. It causes exit status 2.
+type inputError struct{ error }
 
-// broken says that a rule broke: exit status 1.
-var broken = errors.New("a rule broke")
+// errRuleViolated reports that a run violated one of the five rules. It causes exit status 1.
+var errRuleViolated = errors.New("a rule was violated")
 
 type runCmd struct {
 	Day       string  `arg:"" help:"A day's file, or the name of one that comes with the program."`
@@ -60,18 +61,19 @@
 func (c *runCmd) Run() error {
 	day, err := findDay(c.Day)
 	if err != nil {
-		return unusable{err}
+		return inputError{err}
 	}
 	if c.Seed >= 0 {
 		day.Seed = c.Seed
 	}
 	if c.TimeScale < 0.1 || c.TimeScale > 20 {
-		return unusable{fmt.Errorf("--time-scale %g: wanted a number from 0.1 to 20", c.TimeScale)}
+		return inputError{fmt.Errorf("--time-scale %g: wanted a number from 0.1 to 20", c.TimeScale)}
 	}
 	day.Scale(c.TimeScale)
-	return play(day, c.Edge, c.Out, c.JSON)
+	return runDay(day, c.Edge, c.Out, c.JSON)
 }
 
+// findDay reads a day from a file if name contains a slash or a dot, else returns the embedded day with that name.
 func findDay(name string) (*lab.Day, error) {
 	if strings.ContainsAny(name, "/.") {
 		return lab.ReadDay(name)
@@ -79,22 +81,22 @@
 	return lab.Embedded(name)
 }
 
-// play runs a day, prints how it goes and what it came to, and writes the report.
-func play(day *lab.Day, kind, out string, quiet bool) error {
+// runDay runs a day against real edges, prints its progress unless quiet is set, and writes and prints the report.
+func runDay(day *lab.Day, kind, out string, quiet bool) error {
 	if out == "" {
 		out = filepath.Join("found", "lab", fmt.Sprintf("%s-%d-%s", day.Name, day.Seed, kind))
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	r := &lab.Runner{Day: day, Out: filepath.Join(out, "edges"), Edge: func(settings string) *exec.Cmd {
 		if kind == "dunegrade" {
-			return exec.Command(self, "edge", settings)
+			return exec.Command(executable, "edge", settings)
 		}
-		return exec.Command(self, "lab", "rival", kind, settings)
+		return exec.Command(executable, "lab", "rival", kind, settings)
 	}}
 	if !quiet {
 		fmt.Printf("%s: %v, %d machines, %d edges (%s), %g txns a second, seed %d\n", day.Name, day.Length.Round(time.Millisecond), day.Machines,
@@ -108,13 +110,13 @@
 				s.Decline, s.Voided, s.Lost, s.Trial)
 		}
 	}
-	rec, err := r.Run(ctx)
+	record, err := r.Run(ctx)
 	if err != nil {
 		return err
 	}
-	violations := lab.Check(day, rec)
-	f := lab.Sum(day, rec, kind, violations)
-	page, err := lab.WriteReport(out, f, rec.Marks)
+	violations := lab.Check(day, record)
+	figures := lab.Sum(day, record, kind, violations)
+	page, err := lab.WriteReport(out, figures, record.Marks)
 	if err != nil {
 		return err
 	}
@@ -125,11 +127,11 @@
 		}
 		os.Stdout.Write(data)
 	} else {
-		f.Table(os.Stdout)
+		figures.Table(os.Stdout)
 		fmt.Println("report:", page)
 	}
 	if len(violations) > 0 {
-		return broken
+		return errRuleViolated
 	}
 	return nil
 }
@@ -142,11 +144,11 @@
 	Out       string   `help:"Folder of the reports." type:"path" default:"found/lab"`
 }
 
-// Run plays every seed with all edges side by side, each with a fleet of its own, and prints a table in Markdown.
+// Run runs each day with each seed against all edges concurrently, each edge with its own fleet, and prints a Markdown table.
 func (c *compareCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
@@ -157,7 +159,7 @@
 			for _, kind := range c.Edges {
 				day, err := findDay(name)
 				if err != nil {
-					return unusable{err}
+					return inputError{err}
 				}
 				day.Seed += int64(k)
 				day.Scale(c.TimeScale)
@@ -167,20 +169,20 @@
 				}
 				runs = append(runs, lab.Contender{Kind: kind, Day: day, Out: filepath.Join(c.Out, fmt.Sprintf("%s-%d-%s", day.Name, day.Seed, kind)),
 					Edge: func(settings string) *exec.Cmd {
-						return exec.Command(self, append(args[:len(args):len(args)], settings)...)
+						return exec.Command(executable, append(args[:len(args):len(args)], settings)...)
 					}})
 			}
-			got, err := lab.SideBySide(ctx, runs)
+			results, err := lab.SideBySide(ctx, runs)
 			if err != nil {
 				return err
 			}
-			rows = append(rows, got...)
+			rows = append(rows, results...)
 		}
 	}
 	lab.Markdown(os.Stdout, rows)
 	for _, f := range rows {
 		if f.Edge == "dunegrade" && f.Breaks() > 0 {
-			return broken
+			return errRuleViolated
 		}
 	}
 	return nil
@@ -195,12 +197,12 @@
 }
 
 func (c *importCmd) Run() error {
-	text, left, err := lab.Import(c.Day, lab.Scales{Machines: c.Machines, Sentries: c.Sentries, Rate: c.Rate})
+	text, dropped, err := lab.Import(c.Day, lab.Scales{Machines: c.Machines, Sentries: c.Sentries, Rate: c.Rate})
 	if err != nil {
-		return unusable{err}
+		return inputError{err}
 	}
-	for _, l := range left {
-		fmt.Fprintln(os.Stderr, "not carried over:", l)
+	for _, l := range dropped {
+		fmt.Fprintln(os.Stderr, "not imported:", l)
 	}
 	if c.O == "" {
 		fmt.Print(text)
@@ -221,13 +223,13 @@
 }
 
 func (c *benchCmd) Run() error {
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	rows, err := lab.Bench(ctx, lab.BenchPlan{Self: self, Out: c.Out, Rounds: c.Rounds, Span: c.Span, Conns: c.Conns, Rate: c.Rate, Sizes: c.Sizes,
+	rows, err := lab.Bench(ctx, lab.BenchPlan{Self: executable, Out: c.Out, Rounds: c.Rounds, Span: c.Span, Conns: c.Conns, Rate: c.Rate, Sizes: c.Sizes,
 		Loops: c.Loops, Subjects: c.Only}, os.Stderr)
 	if err != nil {
 		return err
@@ -261,30 +263,30 @@
 }
 
 func (c *loadCmd) Run() error {
-	p := lab.LoadPlan{Targets: []string{c.URL}, Rates: c.Rates, Ramp: c.Ramp, Span: c.Span, Slice: c.Slice, Conns: c.Conns, Method: c.Method, Body: c.Body,
+	plan := lab.LoadPlan{Targets: []string{c.URL}, Rates: c.Rates, Ramp: c.Ramp, Span: c.Span, Slice: c.Slice, Conns: c.Conns, Method: c.Method, Body: c.Body,
 		Timeout: c.Timeout}
 	if c.Against != "" {
-		p.Targets = append(p.Targets, c.Against)
+		plan.Targets = append(plan.Targets, c.Against)
 	}
-	if err := p.Check(); err != nil {
-		return unusable{err}
+	if err := plan.Check(); err != nil {
+		return inputError{err}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	slices, err := lab.Load(ctx, p, func(s *lab.LoadSlice) {
+	slices, err := lab.Load(ctx, plan, func(s *lab.LoadSlice) {
 		if !c.JSON {
-			fmt.Fprintf(os.Stderr, "%s: %6.0f asked, %6.0f fine a second, %d refused, %d bad, p99 %d us\n", p.Targets[s.Target], s.Rate, s.PerSecond(), s.Refused, s.Bad,
+			fmt.Fprintf(os.Stderr, "%s: %6.0f offered, %6.0f successful a second, %d refused, %d failed, p99 %d us\n", plan.Targets[s.Target], s.Rate, s.PerSecond(), s.Refused, s.Bad,
 				s.Times.ValueAtQuantile(99))
 		}
 	})
 	if err != nil {
 		return err
 	}
-	rows, diffs := lab.SumLoad(p, slices)
+	rows, diffs := lab.SumLoad(plan, slices)
 	var text strings.Builder
 	lab.LoadTable(&text, rows, diffs)
 	if c.HTML != "" {
-		page, err := lab.LoadPage(p, slices, text.String())
+		page, err := lab.LoadPage(plan, slices, text.String())
 		if err != nil {
 			return err
 		}
@@ -308,13 +310,13 @@
 }
 
 func (c *hostileCmd) Run() error {
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	rows, err := lab.Hostile(ctx, lab.BenchPlan{Self: self, Out: c.Out, Span: c.Span}, os.Stderr)
+	rows, err := lab.Hostile(ctx, lab.BenchPlan{Self: executable, Out: c.Out, Span: c.Span}, os.Stderr)
 	if err != nil {
 		return err
 	}
@@ -340,7 +342,7 @@
 	if err != nil {
 		return err
 	}
-	return play(day, "dunegrade", c.Out, false)
+	return runDay(day, "dunegrade", c.Out, false)
 }
 
 type daysCmd struct{}
@@ -383,13 +385,13 @@
 			Subject subjectCmd `cmd:"" hidden:""`
 		} `cmd:"" help:"Days, stand-ins, load and the checker of the rules."`
 	}
-	k := kong.Parse(&cli, kong.Name("dunegrade"), kong.Description("Release controller and router: the tool for people."),
+	command := kong.Parse(&cli, kong.Name("dunegrade"), kong.Description("Release controller and router: the tool for people."),
 		kong.UsageOnError())
-	err := k.Run()
-	var input unusable
+	err := command.Run()
+	var invalidInput inputError
 	switch {
 	case err == nil:
-	case errors.As(err, &input):
+	case errors.As(err, &invalidInput):
 		fmt.Fprintln(os.Stderr, "dunegrade:", err)
 		os.Exit(2)
 	default:
--- a/cmd/dunegrade/trace.go
+++ b/cmd/dunegrade/trace.go
@@ -17,7 +17,7 @@
 	"dunegrade/trace/tracepb"
 )
 
-// traceCmds are the tools on trace files.
+// traceCmds are the subcommands of dunegrade trace.
 type traceCmds struct {
 	Follow    followCmd    `cmd:"" help:"Tell the story of a txn, by its name (s1-4711), key or traceparent."`
 	Replay    replayCmd    `cmd:"" help:"Run the decisions on the recorded events, and show the first that differs."`
@@ -29,17 +29,20 @@
 	Export    exportCmd    `cmd:"" help:"Print records as JSON lines."`
 }
 
-func hurt(path string, d trace.Damage) { fmt.Fprintf(os.Stderr, "%s: damaged: %v\n", path, d) }
+// reportDamage prints a damaged part of a trace file to standard error.
+func reportDamage(path string, d trace.Damage) { fmt.Fprintf(os.Stderr, "%s: damaged: %v\n", path, d) }
 
-func lives(paths []string) ([]*trace.Life, error) {
-	l, err := trace.Lives(paths)
+// openRuns returns the recorded runs of sentries (the lives) in files and folders. It reports trace files that cannot be read
+// and skips them; it is an error if none is left.
+func openRuns(paths []string) ([]*trace.Life, error) {
+	found, err := trace.Lives(paths)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "dunegrade:", err)
 	}
-	if len(l) == 0 {
-		return nil, unusable{errors.New("no trace files there")}
+	if len(found) == 0 {
+		return nil, inputError{errors.New("no trace files found")}
 	}
-	return l, nil
+	return found, nil
 }
 
 type followCmd struct {
@@ -61,38 +64,38 @@
 which reads all the files: for large ones, cut or merge first.`
 }
 
-// joinable is how many bytes of files have their clocks compared without being asked.
-const joinable = 256 << 20
+// maxClockCompareBytes is the total size of files up to which follow compares the sentries' clocks, which reads all of them.
+const maxClockCompareBytes = 256 << 20
 
 func (c *followCmd) Run() error {
-	all, err := lives(c.Paths)
+	runs, err := openRuns(c.Paths)
 	if err != nil {
 		return err
 	}
-	stories, err := trace.Follow(all, trace.ParseQuery(c.Txn), hurt)
+	stories, err := trace.Follow(runs, trace.ParseQuery(c.Txn), reportDamage)
 	if err != nil {
 		return err
 	}
 	if len(stories) == 0 {
-		return fmt.Errorf("no txn fits %q", c.Txn)
+		return fmt.Errorf("no txn matches %q", c.Txn)
 	}
 	var clocks []trace.Clock
 	if len(trace.LivesOf(stories)) > 1 {
-		if trace.SizeOf(all) <= joinable {
-			if clocks, err = trace.Clocks(all, func(string, trace.Damage) {}); err != nil {
+		if trace.SizeOf(runs) <= maxClockCompareBytes {
+			if clocks, err = trace.Clocks(runs, func(string, trace.Damage) {}); err != nil {
 				return err
 			}
 		} else {
-			fmt.Fprintln(os.Stderr, "dunegrade: the sentries' clocks are taken as they are: the files are too large to compare them; see trace merge")
+			fmt.Fprintln(os.Stderr, "dunegrade: the sentries' clocks are not compared, as the files are too large for it; see trace merge")
 		}
 	}
-	tale := trace.Join(stories, all, clocks)
+	timeline := trace.Join(stories, runs, clocks)
 	if c.SVG != "" {
 		out, err := os.Create(c.SVG)
 		if err != nil {
 			return err
 		}
-		err = tale.SVG(out)
+		err = timeline.SVG(out)
 		if cerr := out.Close(); err == nil {
 			err = cerr
 		}
@@ -109,19 +112,19 @@
 		}
 		return nil
 	}
-	tale.Print(os.Stdout)
+	timeline.Print(os.Stdout)
 	if !c.Why {
 		return nil
 	}
 	for _, s := range stories {
-		list, err := trace.Why(s)
+		workers, err := trace.Why(s)
 		if err != nil {
 			return fmt.Errorf("%s: %w", s.Name(), err)
 		}
 		fmt.Printf("\nat the last decision on %s\n", s.Name())
 		t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(t, "  worker\tbuild\tin hand\tof\ttimes the usual time\tagainst it")
-		for _, w := range list {
+		for _, w := range workers {
 			fmt.Fprintf(t, "  %s\t%d\t%d\t%.1f\t%.2f\t%s\n", w.Worker, w.Rel, w.Open, w.Limit, w.Slowdown, w.Reason)
 		}
 		t.Flush()
@@ -143,17 +146,17 @@
 }
 
 func (c *replayCmd) Run() error {
-	all, err := lives(c.Paths)
+	runs, err := openRuns(c.Paths)
 	if err != nil {
 		return err
 	}
 	if c.With != "" {
-		return whatIf(all, c.With, c.JSON)
+		return whatIf(runs, c.With, c.JSON)
 	}
 	enc := json.NewEncoder(os.Stdout)
-	differ, events, actions := 0, 0, 0
+	different, events, actions := 0, 0, 0
 	began := time.Now()
-	for _, l := range all {
+	for _, l := range runs {
 		r, err := trace.Replay(l)
 		name := fmt.Sprintf("%s, sentry %d, life %016x", l.Edge, l.Sentry, l.ID)
 		if r == nil {
@@ -166,7 +169,7 @@
 				why = err.Error()
 			}
 			if r.Differs != "" || err != nil {
-				differ++
+				different++
 			}
 			if err := enc.Encode(struct {
 				Edge, Life string
@@ -179,15 +182,15 @@
 			continue
 		}
 		if r.OtherVersion {
-			fmt.Printf("%s: recorded under another version of the decisions\n", name)
+			fmt.Printf("%s: recorded by another version of the decision module\n", name)
 		}
 		switch {
 		case r.Differs != "":
-			differ++
+			different++
 			fmt.Printf("%s: differs after %d events and %d actions: %s\n", name, r.Events, r.Actions, r.Differs)
 		case err != nil:
-			differ++
-			fmt.Printf("%s: %v, after %d events and %d actions that are equal\n", name, err, r.Events, r.Actions)
+			different++
+			fmt.Printf("%s: %v, after %d equal events and %d equal actions\n", name, err, r.Events, r.Actions)
 		default:
 			fmt.Printf("%s: equal: %d txns, %d events, %d actions\n", name, r.Txns, r.Events, r.Actions)
 		}
@@ -195,21 +198,21 @@
 	if !c.JSON {
 		fmt.Printf("%d events and %d actions in %v\n", events, actions, time.Since(began).Round(time.Millisecond))
 	}
-	if differ > 0 {
-		return fmt.Errorf("%d of %d lives differ or end early", differ, len(all))
+	if different > 0 {
+		return fmt.Errorf("%d of %d lives differ or end early", different, len(runs))
 	}
 	return nil
 }
 
-// whatIf tells what other settings would have decided on the same events.
-func whatIf(all []*trace.Life, path string, asJSON bool) error {
-	plan, err := config.ReadEdge(path)
+// whatIf prints how the decisions on the recorded events differ under other settings.
+func whatIf(runs []*trace.Life, path string, asJSON bool) error {
+	edgeConfig, err := config.ReadEdge(path)
 	if err != nil {
-		return unusable{err}
+		return inputError{err}
 	}
-	for _, l := range all {
+	for _, l := range runs {
 		settings := map[string]any{}
-		for k, v := range plan.Module {
+		for k, v := range edgeConfig.Module {
 			settings[k] = v
 		}
 		settings["index"] = float64(l.Sentry)
@@ -223,7 +226,7 @@
 			}
 			continue
 		}
-		fmt.Printf("%s, sentry %d: %d of %d txns are sent, declined or voided otherwise\n", l.Edge, l.Sentry, d.Differ, d.Txns)
+		fmt.Printf("%s, sentry %d: %d of %d txns are sent, declined or voided differently\n", l.Edge, l.Sentry, d.Differ, d.Txns)
 		kinds := make([]string, 0, len(d.Sums))
 		for k := range d.Sums {
 			kinds = append(kinds, k)
@@ -254,11 +257,11 @@
 }
 
 func (c *summariseCmd) Run() error {
-	all, err := lives(c.Paths)
+	runs, err := openRuns(c.Paths)
 	if err != nil {
 		return err
 	}
-	s, err := trace.Summarise(all, hurt)
+	s, err := trace.Summarise(runs, reportDamage)
 	if err != nil {
 		return err
 	}
@@ -272,10 +275,10 @@
 		}
 	}
 	if len(c.Against) > 0 {
-		if all, err = lives(c.Against); err != nil {
+		if runs, err = openRuns(c.Against); err != nil {
 			return err
 		}
-		before, err := trace.Summarise(all, hurt)
+		before, err := trace.Summarise(runs, reportDamage)
 		if err != nil {
 			return err
 		}
@@ -314,7 +317,7 @@
 }
 
 func (c *cutCmd) Run() error {
-	all, err := lives(c.Paths)
+	runs, err := openRuns(c.Paths)
 	if err != nil {
 		return err
 	}
@@ -332,13 +335,13 @@
 	if err := os.MkdirAll(c.O, 0o755); err != nil {
 		return err
 	}
-	for _, l := range all {
+	for _, l := range runs {
 		path := filepath.Join(c.O, fmt.Sprintf("%s-s%d-%016x-cut%s", l.Edge, l.Sentry, l.ID, trace.Suffix))
 		out, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 		if err != nil {
 			return err
 		}
-		n, err := trace.Cut(l, f, out, hurt)
+		n, err := trace.Cut(l, f, out, reportDamage)
 		if cerr := out.Close(); err == nil {
 			err = cerr
 		}
@@ -377,23 +380,23 @@
 func (c *anonymiseCmd) Run() error {
 	secret, err := trace.ReadSecret(c.Secret)
 	if err != nil {
-		return unusable{err}
+		return inputError{err}
 	}
-	all, err := lives(c.Paths)
+	runs, err := openRuns(c.Paths)
 	if err != nil {
 		return err
 	}
 	if err := os.MkdirAll(c.O, 0o755); err != nil {
 		return err
 	}
-	for i, l := range all {
-		// Not even the file's name may tell what it was made of.
+	for i, l := range runs {
+		// The file's name must not reveal its source either.
 		path := filepath.Join(c.O, fmt.Sprintf("anonymous-%d%s", i, trace.Suffix))
 		out, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 		if err != nil {
 			return err
 		}
-		err = trace.Anonymise(l, secret, out, hurt)
+		err = trace.Anonymise(l, secret, out, reportDamage)
 		if cerr := out.Close(); err == nil {
 			err = cerr
 		}
@@ -427,14 +430,14 @@
 }
 
 func (c *mergeCmd) Run() error {
-	all, err := lives(c.Paths)
+	runs, err := openRuns(c.Paths)
 	if err != nil {
 		return err
 	}
 	var clocks []trace.Clock
 	m := &trace.Merged{}
 	if c.O == "" {
-		if clocks, err = trace.Clocks(all, hurt); err != nil {
+		if clocks, err = trace.Clocks(runs, reportDamage); err != nil {
 			return err
 		}
 	} else {
@@ -442,7 +445,7 @@
 		if err != nil {
 			return err
 		}
-		m, err = trace.Merge(all, out, hurt)
+		m, err = trace.Merge(runs, out, reportDamage)
 		if cerr := out.Close(); err == nil {
 			err = cerr
 		}
@@ -456,18 +459,18 @@
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(m)
 	}
-	for i, l := range all {
+	for i, l := range runs {
 		if i == 0 {
-			fmt.Printf("%s, sentry %d, life %016x: the clock that the others are held against\n", l.Edge, l.Sentry, l.ID)
+			fmt.Printf("%s, sentry %d, life %016x: the reference clock\n", l.Edge, l.Sentry, l.ID)
 			continue
 		}
 		fmt.Printf("%s, sentry %d, life %016x: %v\n", l.Edge, l.Sentry, l.ID, clocks[i])
 		if clocks[i].Broken > 0 {
-			fmt.Printf("  %d events contradict the others and were left aside\n", clocks[i].Broken)
+			fmt.Printf("  %d events contradict the others and were ignored\n", clocks[i].Broken)
 		}
 	}
 	if c.O != "" {
-		fmt.Printf("%s: %d records; %d were held back behind their causes\n", c.O, m.Records, m.Held)
+		fmt.Printf("%s: %d records; %d were delayed to follow their causes\n", c.O, m.Records, m.Held)
 	}
 	return nil
 }
@@ -480,17 +483,17 @@
 	JSON  bool     `help:"Print JSON."`
 }
 
-// rules holds the rules against lives.
-func (c *verifyCmd) rules(all []*trace.Life) error {
+// checkRules checks the five rules on recorded runs.
+func (c *verifyCmd) checkRules(runs []*trace.Life) error {
 	plan := trace.RulesPlan{Cores: c.Cores}
 	if c.With != "" {
 		e, err := config.ReadEdge(c.With)
 		if err != nil {
-			return unusable{err}
+			return inputError{err}
 		}
 		plan.Settings = e.Module
 	}
-	r, err := trace.CheckRules(all, plan, hurt)
+	r, err := trace.CheckRules(runs, plan, reportDamage)
 	if err != nil {
 		return err
 	}
@@ -502,7 +505,7 @@
 		r.Print(os.Stdout)
 	}
 	if len(r.Broken) > 0 {
-		return fmt.Errorf("%d breaks of the rules", len(r.Broken))
+		return fmt.Errorf("%d rule violations", len(r.Broken))
 	}
 	return nil
 }
@@ -515,39 +518,39 @@
 }
 
 func (c *verifyCmd) Run() error {
-	all, err := lives(c.Paths)
+	runs, err := openRuns(c.Paths)
 	if err != nil {
 		return err
 	}
 	if c.Rules {
-		return c.rules(all)
+		return c.checkRules(runs)
 	}
-	bad := 0
-	for _, l := range all {
-		records, gaps, last, back := 0, uint64(0), int64(0), 0
+	faults := 0
+	for _, l := range runs {
+		records, missing, lastTime, backwards := 0, uint64(0), int64(0), 0
 		ended := false
 		err := l.Each(func(r *trace.Record, _ []string) bool {
 			records++
 			if r.Kind == tracepb.Kind_BACK {
-				last = r.At - int64(r.Span) // whole txns are written when they have ended
+				lastTime = r.At - int64(r.Span) // an announced step back in time: txns are recorded when they have ended
 				return true
 			}
-			if r.At < last {
-				back++
+			if r.At < lastTime {
+				backwards++
 			}
-			last = r.At
+			lastTime = r.At
 			if r.Kind == tracepb.Kind_GAP {
-				gaps += r.Token
+				missing += r.Token
 			}
 			ended = r.Kind == tracepb.Kind_END
 			return true
-		}, func(path string, d trace.Damage) { bad++; hurt(path, d) })
+		}, func(path string, d trace.Damage) { faults++; reportDamage(path, d) })
 		if err != nil {
 			return err
 		}
-		how := "it ends cleanly"
+		ending := "it ends cleanly"
 		if !ended {
-			how = "it was cut off"
+			ending = "it is truncated"
 		}
 		if c.JSON {
 			if err := json.NewEncoder(os.Stdout).Encode(struct {
@@ -557,16 +560,16 @@
 				Missing           uint64
 				Ended             bool
 				Backwards         int
-			}{l.Edge, fmt.Sprintf("%016x", l.ID), l.Sentry, len(l.Paths), records, gaps, ended, back}); err != nil {
+			}{l.Edge, fmt.Sprintf("%016x", l.ID), l.Sentry, len(l.Paths), records, missing, ended, backwards}); err != nil {
 				return err
 			}
 		} else {
-			fmt.Printf("%s, sentry %d, life %016x: %d segments, %d records, %d txns not recorded, %s\n", l.Edge, l.Sentry, l.ID, len(l.Paths), records, gaps, how)
+			fmt.Printf("%s, sentry %d, life %016x: %d segments, %d records, %d txns not recorded, %s\n", l.Edge, l.Sentry, l.ID, len(l.Paths), records, missing, ending)
 		}
-		bad += back
+		faults += backwards
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d faults", bad)
+	if faults > 0 {
+		return fmt.Errorf("%d faults", faults)
 	}
 	return nil
 }
@@ -585,7 +588,7 @@
 }
 
 func (c *exportCmd) Run() error {
-	all, err := lives(c.Paths)
+	runs, err := openRuns(c.Paths)
 	if err != nil {
 		return err
 	}
@@ -597,11 +600,11 @@
 		defer file.Close()
 	}
 	if c.Format == "otlp" {
-		clocks, err := trace.Clocks(all, func(string, trace.Damage) {})
+		clocks, err := trace.Clocks(runs, func(string, trace.Damage) {})
 		if err != nil {
 			return err
 		}
-		n, err := trace.ExportSpans(all, clocks, file, hurt)
+		n, err := trace.ExportSpans(runs, clocks, file, reportDamage)
 		if err == nil && c.O != "" {
 			fmt.Printf("%s: %d spans\n", c.O, n)
 		}
@@ -609,19 +612,19 @@
 	}
 	out := bufio.NewWriter(file)
 	enc := json.NewEncoder(out)
-	for _, l := range all {
-		var fault error
+	for _, l := range runs {
+		var encodeErr error
 		err := l.Each(func(r *trace.Record, names []string) bool {
-			fault = enc.Encode(struct {
+			encodeErr = enc.Encode(struct {
 				Sentry uint32
 				What   string
 				Worker string `json:",omitempty"`
 				*trace.Record
 			}{l.Sentry, r.Kind.String(), names[r.Worker], r})
-			return fault == nil
-		}, hurt)
+			return encodeErr == nil
+		}, reportDamage)
 		if err == nil {
-			err = fault
+			err = encodeErr
 		}
 		if err != nil {
 			return err
