--- a/config/config_test.go
+++ b/config/config_test.go
@@ -79,7 +79,7 @@
 			}
 			_, err := ParseEdge("e.sexp", strings.Replace(validEdge, c.from, c.to, 1))
 			if err == nil {
-				t.Fatal("taken")
+				t.Fatal("the file was accepted")
 			}
 			for _, line := range strings.Split(err.Error(), "\n") {
 				if strings.HasPrefix(line, "e.sexp:"+c.at+":") && strings.Contains(line, c.found) {
--- a/fleet/machine_test.go
+++ b/fleet/machine_test.go
@@ -140,7 +140,7 @@
 		fault    MachineFault
 		slowdown float64 // of the whole fleet
 		runTime  Nanos   // in milliseconds
-	}{{"slow", MachineFault{Slow: 5}, 1, 50}, {"neighbour", MachineFault{NeighbourShare: 0.5}, 1, 20}, {"drag", MachineFault{}, 3, 30}} {
+	}{{"slow", MachineFault{Slow: 5}, 1, 50}, {"neighbour", MachineFault{NeighbourShare: 0.5}, 1, 20}, {"fleet-wide slowdown", MachineFault{}, 3, 30}} {
 		shared := NewSharedState()
 		shared.SlowdownFactor = c.slowdown
 		m := NewMachine(kind, Build{}, 0, shared, 1)
