--- a/api/client.go
+++ b/api/client.go
@@ -32,8 +32,8 @@
 }
 
 // NewClient returns a client with its own connection pool; Close releases it.
-func NewClient(base string) *Client {
-	return &Client{BaseURL: base, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}, WatchIdleTimeout: 3 * time.Second}
+func NewClient(baseURL string) *Client {
+	return &Client{BaseURL: baseURL, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}, WatchIdleTimeout: 3 * time.Second}
 }
 
 // Close closes idle connections.
--- a/cmd/dunegrade/trace.go
+++ b/cmd/dunegrade/trace.go
@@ -32,8 +32,8 @@
 // reportDamage prints a damaged part of a trace file to standard error.
 func reportDamage(path string, d trace.Damage) { fmt.Fprintf(os.Stderr, "%s: damaged: %v\n", path, d) }
 
-// openRuns returns the recorded runs of sentries (the lives) in files and folders. It reports trace files that cannot be read
-// and skips them; it is an error if none is left.
+// openRuns returns the recorded runs of sentries (the lives) in files and folders. It reports trace files that cannot be
+// read and skips them; it is an error if none is left.
 func openRuns(paths []string) ([]*trace.Life, error) {
 	found, err := trace.Lives(paths)
 	if err != nil {
--- a/config/edge.go
+++ b/config/edge.go
@@ -146,6 +146,7 @@
 	return readEdge(r)
 }
 
+// readEdge reads and validates all settings, and returns all errors together.
 func readEdge(r *Reader) (*Edge, error) {
 	e := &Edge{Module: map[string]any{}}
 	f := r.Root().RequireField("edge")
@@ -186,6 +187,7 @@
 	}
 }
 
+// readProcess reads the settings of the process, its traces and its source.
 func (e *Edge) readProcess(f *Form) {
 	e.Name = f.Text("name", "edge")
 	e.Listen = f.address("listen", true)
@@ -248,6 +250,7 @@
 	}
 }
 
+// readLimits reads the limits on client and worker connections.
 func (e *Edge) readLimits(f *Form) {
 	clients := f.OptionalField("door")
 	e.ClientLimits = ClientLimits{
@@ -276,6 +279,7 @@
 	workers.RejectUnknown()
 }
 
+// readProducts reads the products and customers. It relies on the zones and on WorkerLimits, which were read before.
 func (e *Edge) readProducts(f *Form) {
 	seen := map[string]bool{}
 	forms := f.Fields("product")
@@ -332,6 +336,7 @@
 	m["customers.count"] = float64(len(e.Customers))
 }
 
+// readRoutes reads the routes. It relies on the products, which were read before.
 func (e *Edge) readRoutes(f *Form) {
 	forms := f.Fields("route")
 	if len(forms) == 0 {
@@ -457,6 +462,7 @@
 	p.RejectUnknown()
 }
 
+// indexOf returns the index of a name, or -1 if it is missing.
 func indexOf(names []string, name string) int {
 	for i, s := range names {
 		if s == name {
--- a/config/form.go
+++ b/config/form.go
@@ -89,7 +89,8 @@
 	errs FileErrors
 }
 
-// ReadFile parses a file. The error is FileErrors if the text is not a valid S-expression, else the error of reading the file.
+// ReadFile parses a file. The error is FileErrors if the text is not a valid S-expression, else the error from reading the
+// file.
 func ReadFile(path string) (*Reader, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -388,7 +389,8 @@
 	return literalText(n)
 }
 
-// OptionalField is like Field, but returns an empty form if the field is missing, so that its own fields take their defaults.
+// OptionalField is like Field, but returns an empty form if the field is missing, so that the form's fields take their
+// defaults.
 func (f *Form) OptionalField(name string) *Form {
 	if g := f.Field(name); g != nil {
 		return g
--- a/config/list.go
+++ b/config/list.go
@@ -12,8 +12,8 @@
 	Release api.Release
 }
 
-// ParseWorkerList reads the text of a list file; file is the file name for error messages. The error is FileErrors if the text
-// is invalid.
+// ParseWorkerList reads the text of a list file; file is the file name for error messages. The error is FileErrors if the
+// text is invalid.
 func ParseWorkerList(file, text string) (*WorkerList, error) {
 	r, err := Read(file, text)
 	if err != nil {
@@ -22,6 +22,7 @@
 	return readList(r)
 }
 
+// readList reads and validates the workers and the release.
 func readList(r *Reader) (*WorkerList, error) {
 	workerList := &WorkerList{}
 	f := r.Root()
