--- a/trace/anonymise.go
+++ b/trace/anonymise.go
@@ -62,7 +62,7 @@
 	if v == 0 {
 		return 0
 	}
-	return binary.LittleEndian.Uint64(s.of(use, string(word(v)))) | 1
+	return binary.LittleEndian.Uint64(s.of(use, string(uint64Bytes(v)))) | 1
 }
 
 // words are the texts that settings may keep: they are the program's own.
@@ -134,7 +134,7 @@
 	for i := range in.Customers {
 		h.Customers = append(h.Customers, fmt.Sprintf("customer-%d", i+1))
 	}
-	p, err := newPacker(w, h)
+	p, err := newFileWriter(w, h)
 	if err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 			Key: s.number("key", r.Key), Cost: r.Cost, Patience: r.Patience, Elapsed: r.Elapsed, Token: r.Token, Span: r.Span, Util: r.Util,
 			Queue: r.Queue, Busy: r.Busy, Repeat: r.Repeat, Over: r.Over, Loaded: r.Loaded}
 		if r.TraceID != [2]uint64{} {
-			sum := s.of("trace", string(word(r.TraceID[0]))+string(word(r.TraceID[1])))
+			sum := s.of("trace", string(uint64Bytes(r.TraceID[0]))+string(uint64Bytes(r.TraceID[1])))
 			out.TraceID = [2]uint64{binary.LittleEndian.Uint64(sum) | 1, binary.LittleEndian.Uint64(sum[8:])}
 		}
 		switch r.Kind {
--- a/trace/anonymise_test.go
+++ b/trace/anonymise_test.go
@@ -31,7 +31,7 @@
 		Settings: fmt.Appendf(nil, `{"products.0.name": %q, "release.votes": "single", %q: 1, "%s": true, "rules.cold": 3e9}`, say(), say(), numbers[0])}
 	h.ProtoReflect().SetUnknown(append([]byte{0xfa, 0x06, 8}, numbers[1][:8]...)) // field 111
 	var out bytes.Buffer
-	p, err := newPacker(&out, h)
+	p, err := newFileWriter(&out, h)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 	_, differ := run("c", other)
 	found := 0
 	for _, n := range numbers {
-		hash := word(xxhash.Sum64String(n) | 1)
+		hash := uint64Bytes(xxhash.Sum64String(n) | 1)
 		for _, s := range append(spellings(n), string(hash)) {
 			if bytes.Contains(in, []byte(s)) {
 				found++
--- a/trace/clock.go
+++ b/trace/clock.go
@@ -244,7 +244,7 @@
 func messageKey(from, to uint32, body []byte) uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	d.Write(word(uint64(from)<<32 | uint64(to)))
+	d.Write(uint64Bytes(uint64(from)<<32 | uint64(to)))
 	d.Write(body)
 	return d.Sum64()
 }
--- a/trace/cost_test.go
+++ b/trace/cost_test.go
@@ -18,7 +18,7 @@
 func benchmarkTxn(b *testing.B, tails string) {
 	dir := b.TempDir()
 	rec, err := NewTailed(Disk(dir), tails, Keep{SegmentBytes: 64 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30},
-		&tracepb.Header{Edge: "e", Life: 7, Products: []string{"ask"}}, settings, zap.NewNop())
+		&tracepb.Header{Edge: "e", Life: 7, Products: []string{"ask"}}, testSettings, zap.NewNop())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 		x.ID = logic.TxnID(uint64(i>>6)<<placeBits | uint64(i&63))
 		x.Expiry = now + 3*logic.Second
 		x.Key = logic.KeyID(uint64(i) * mixer)
-		for rec.room() <= reserve {
+		for rec.freeBuffers() <= reservedBuffers {
 			time.Sleep(10 * time.Microsecond)
 		}
 		rec.Take(now, &x, uint64(i+1), 0, 0)
@@ -61,14 +61,14 @@
 func BenchmarkFollowInAGiB(b *testing.B) {
 	dir := b.TempDir()
 	rec, err := NewRecorder(Disk(dir), Keep{SegmentBytes: 4 << 30, SegmentAge: time.Hour, TotalBytes: 16 << 30},
-		&tracepb.Header{Edge: "e", Life: 7, Products: []string{"ask"}}, settings, zap.NewNop())
+		&tracepb.Header{Edge: "e", Life: 7, Products: []string{"ask"}}, testSettings, zap.NewNop())
 	if err != nil {
 		b.Fatal(err)
 	}
 	now := logic.Nanos(1e15)
 	rec.Start(now, 1)
 	n := uint64(0)
-	key := func(i uint64) logic.KeyID { return logic.KeyID(xxhash.Sum64(word(i)) | 1) }
+	key := func(i uint64) logic.KeyID { return logic.KeyID(xxhash.Sum64(uint64Bytes(i)) | 1) }
 	for size := int64(0); size < 1<<30; n++ {
 		if n%100000 == 0 {
 			list, err := Disk(dir).List()
@@ -81,7 +81,7 @@
 		}
 		now += 22000 + logic.Nanos(n*mixer>>50)
 		x := logic.Txn{ID: logic.TxnID(uint64(n>>6)<<placeBits | n&63), Expiry: now + 3*logic.Second, Cost: 2e7, Key: key(n + 1)}
-		for rec.room() <= reserve {
+		for rec.freeBuffers() <= reservedBuffers {
 			time.Sleep(10 * time.Microsecond)
 		}
 		rec.Take(now, &x, n+1, 0, 0)
--- a/trace/cut.go
+++ b/trace/cut.go
@@ -40,7 +40,7 @@
 	}
 	h := proto.Clone(l.Headers[0]).(*tracepb.Header)
 	h.Level = LevelPart
-	p, err := newPacker(w, h)
+	p, err := newFileWriter(w, h)
 	if err != nil {
 		return 0, err
 	}
@@ -101,7 +101,7 @@
 			fit[c.serial] = true
 		}
 	}
-	err := l.each(func(r *Record, names []string) bool {
+	err := l.eachSkipping(func(r *Record, names []string) bool {
 		switch r.Kind {
 		case tracepb.Kind_LIST:
 			var list tracepb.List
@@ -143,8 +143,8 @@
 	return fit, err
 }
 
-// packer writes records as a file.
-type packer struct {
+// fileWriter writes records as a file.
+type fileWriter struct {
 	w           io.Writer
 	enc         *encoder
 	buf         []byte
@@ -154,12 +154,12 @@
 	size        uint64
 }
 
-func newPacker(w io.Writer, h *tracepb.Header) (*packer, error) {
+func newFileWriter(w io.Writer, h *tracepb.Header) (*fileWriter, error) {
 	enc, err := newEncoder()
 	if err != nil {
 		return nil, err
 	}
-	p := &packer{w: w, enc: enc, names: map[string]uint32{}}
+	p := &fileWriter{w: w, enc: enc, names: map[string]uint32{}}
 	frame, err := headerFrame(h)
 	if err != nil {
 		return nil, err
@@ -167,7 +167,7 @@
 	return p, p.write(frame)
 }
 
-func (p *packer) write(b []byte) error {
+func (p *fileWriter) write(b []byte) error {
 	n, err := p.w.Write(b)
 	p.size += uint64(n)
 	if err != nil {
@@ -177,8 +177,8 @@
 }
 
 // add appends a record; worker is the name that its number stands for.
-func (p *packer) add(r Record, worker string) error {
-	if len(p.buf) >= blockSize {
+func (p *fileWriter) add(r Record, worker string) error {
+	if len(p.buf) >= blockBytes {
 		if err := p.flush(); err != nil {
 			return err
 		}
@@ -207,21 +207,21 @@
 	return nil
 }
 
-func (p *packer) flush() error {
+func (p *fileWriter) flush() error {
 	if len(p.buf) == 0 {
 		return nil
 	}
-	frame, info, err := p.enc.block(p.first, p.buf)
+	frame, info, err := p.enc.encodeBlock(p.first, p.buf)
 	if err != nil {
 		return err
 	}
-	p.index.Blocks = append(p.index.Blocks, p.enc.entry(p.size, info))
+	p.index.Blocks = append(p.index.Blocks, p.enc.indexEntry(p.size, info))
 	p.buf = p.buf[:0]
 	clear(p.names)
 	return p.write(frame)
 }
 
-func (p *packer) close() error {
+func (p *fileWriter) close() error {
 	if err := p.flush(); err != nil {
 		return err
 	}
--- a/trace/file.go
+++ b/trace/file.go
@@ -70,7 +70,7 @@
 // filterOf makes a block's filter of keys and trace ids: three in a thousand blocks are looked into for nothing.
 func filterOf(n int) *bloom.BloomFilter { return bloom.NewWithEstimates(uint(max(n, 16)), 0.003) }
 
-func word(v uint64) []byte { return binary.LittleEndian.AppendUint64(nil, v) }
+func uint64Bytes(v uint64) []byte { return binary.LittleEndian.AppendUint64(nil, v) }
 
 // quick is how fast a block fills, in nanoseconds, from which on time is dearer than space.
 const quick = 500_000_000
@@ -85,15 +85,15 @@
 	head int // bytes of the last frame before its records
 }
 
-// entry is the index's entry of the frame that was made last.
-func (e *encoder) entry(offset uint64, info *tracepb.Block) *tracepb.Index_Entry {
+// indexEntry is the index's indexEntry of the frame that was made last.
+func (e *encoder) indexEntry(offset uint64, info *tracepb.Block) *tracepb.Index_Entry {
 	info.Keys = nil // they stand in the block's head, and would make the index huge
 	return &tracepb.Index_Entry{Offset: offset, Block: info, Head: uint32(e.head), HeadSum: crc32.Checksum(e.out[:e.head], castagnoli)}
 }
 
 func newEncoder() (*encoder, error) {
 	options := []zstd.EOption{zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithEncoderCRC(false),
-		zstd.WithWindowSize(blockSize)}
+		zstd.WithWindowSize(blockBytes)}
 	z, err := zstd.NewWriter(nil, options...)
 	if err != nil {
 		return nil, err
@@ -105,8 +105,8 @@
 	return &encoder{zip: z, fast: fast}, nil
 }
 
-// block makes the frame of one block, and the index entry's part of it.
-func (e *encoder) block(first int64, records []byte) ([]byte, *tracepb.Block, error) {
+// encodeBlock makes the frame of one encodeBlock, and the index entry's part of it.
+func (e *encoder) encodeBlock(first int64, records []byte) ([]byte, *tracepb.Block, error) {
 	info := &tracepb.Block{First: first, Last: first, Size: uint32(len(records))}
 	e.keys = e.keys[:0]
 	var r Record
@@ -162,7 +162,7 @@
 	if len(met) > 0 {
 		f := filterOf(len(met))
 		for _, k := range met {
-			f.Add(word(k))
+			f.Add(uint64Bytes(k))
 		}
 		keys, err := f.MarshalBinary()
 		if err != nil {
@@ -460,9 +460,9 @@
 	return r.At
 }
 
-// again tells whether block i was read before: a block that was being written stands in a tail as well. number is that
+// isDuplicate tells whether block i was read before: a block that was being written stands in a tail as well. number is that
 // of the last one read.
-func (f *File) again(i int, number *uint64) bool {
+func (f *File) isDuplicate(i int, number *uint64) bool {
 	n := f.Blocks[i].Block.Number
 	if n != 0 && n <= *number {
 		return true
@@ -471,8 +471,8 @@
 	return false
 }
 
-// Has tells whether block i may hold a key or a trace id (its halves, one over the other).
-func (f *File) Has(i int, key uint64) bool {
+// MayContain tells whether block i may hold a key or a trace id (its halves, one over the other).
+func (f *File) MayContain(i int, key uint64) bool {
 	e := f.Blocks[i]
 	keys := e.Block.Keys
 	if len(keys) == 0 && e.Head > 0 {
@@ -537,7 +537,7 @@
 		return true
 	}
 	if f.asked != key || len(f.places) != int(k) {
-		f.asked, f.places = key, bloom.Locations(word(key), uint(k))
+		f.asked, f.places = key, bloom.Locations(uint64Bytes(key), uint(k))
 	}
 	for _, at := range f.places {
 		at %= m
@@ -548,14 +548,14 @@
 	return true
 }
 
-// Holds tells whether block i holds a key's bytes anywhere, without taking its records apart: most blocks that their
+// ContainsBytes tells whether block i holds a key's bytes anywhere, without taking its records apart: most blocks that their
 // filter names in vain are told so by it.
-func (f *File) Holds(i int, keys ...uint64) bool {
+func (f *File) ContainsBytes(i int, keys ...uint64) bool {
 	if _, err := f.unpack(i); err != nil {
 		return true // Read says what is wrong
 	}
 	for _, k := range keys {
-		if k != 0 && bytes.Contains(f.records, word(k)) {
+		if k != 0 && bytes.Contains(f.records, uint64Bytes(k)) {
 			return true
 		}
 	}
--- a/trace/follow.go
+++ b/trace/follow.go
@@ -88,9 +88,9 @@
 	case q.Serial != 0:
 		return b.FirstSerial <= q.Serial && q.Serial <= b.LastSerial
 	case q.TraceID != [2]uint64{}:
-		return f.Has(i, q.TraceID[0]^q.TraceID[1]) && f.Holds(i, q.TraceID[1], q.TraceID[0])
+		return f.MayContain(i, q.TraceID[0]^q.TraceID[1]) && f.ContainsBytes(i, q.TraceID[1], q.TraceID[0])
 	}
-	return f.Has(i, q.Key) && f.Holds(i, q.Key)
+	return f.MayContain(i, q.Key) && f.ContainsBytes(i, q.Key)
 }
 
 // Story is all that was recorded of one txn.
@@ -168,7 +168,7 @@
 		}
 		var news tracepb.News
 		for i := range f.Blocks {
-			if f.again(i, &number) || len(open) == 0 && !q.may(f, i) {
+			if f.isDuplicate(i, &number) || len(open) == 0 && !q.may(f, i) {
 				continue
 			}
 			builds := map[string]int64{}
@@ -190,7 +190,7 @@
 				if r.Kind == tracepb.Kind_TAKE && q.fits(r) {
 					s := &Story{Edge: l.Edge, Sentry: l.Sentry, Serial: r.Serial, Key: r.Key, TraceID: r.TraceID, Taken: r.At, Expiry: r.At + int64(r.Patience),
 						Wall: time.Unix(0, l.Headers[k].Wall+r.At-l.Headers[k].Start).UTC(), id: r.Txn, End: "cut", life: l, product: int(r.Product),
-						Unsure: time.Duration(l.Unsure)}
+						Unsure: time.Duration(l.ClockUncertainty)}
 					if int(r.Product) < len(l.Headers[k].Products) {
 						s.Product = l.Headers[k].Products[r.Product]
 					}
--- a/trace/hold.go
+++ b/trace/hold.go
@@ -13,8 +13,8 @@
 	LevelDecisions = 3 // what was decided, not what came of it
 )
 
-// Keeps tells whether a sample of one in n holds the txns of a key. All sentries keep the same keys.
-func Keeps(key uint64, n uint32) bool {
+// InSample tells whether a sample of one in n holds the txns of a key. All sentries keep the same keys.
+func InSample(key uint64, n uint32) bool {
 	// The hash is mixed once more: keys have their lowest bit set.
 	return n <= 1 || (key*mixer)>>32%uint64(n) == 0
 }
@@ -134,7 +134,7 @@
 	if key == 0 {
 		key = x.serial
 	}
-	if h.level == LevelSampled && !x.bad && x.well && !Keeps(key, h.oneIn) {
+	if h.level == LevelSampled && !x.bad && x.well && !InSample(key, h.oneIn) {
 		h.left++
 		return
 	}
@@ -143,7 +143,7 @@
 
 // write puts a whole txn down, and says how far back it begins.
 func (h *holder) write(k *Recorder, now logic.Nanos, x *heldTxn, id uint64) {
-	if k.room() < reserve || !k.ready(now) {
+	if k.freeBuffers() < reservedBuffers || !k.ready(now) {
 		if k.skipped == 0 && k.since == 0 {
 			k.since = int64(now)
 		}
--- a/trace/merge.go
+++ b/trace/merge.go
@@ -212,7 +212,7 @@
 		h.Origins = append(h.Origins, &tracepb.Header_Origin{Edge: l.Edge, Sentry: l.Sentry, Life: l.ID, Offset: int64(clocks[i].Offset),
 			Drift: clocks[i].Drift, Middle: clocks[i].Middle, Unsure: clocks[i].Unsure, Settings: x.Settings, Module: x.Module, Level: x.Level, OneIn: x.OneIn})
 	}
-	p, err := newPacker(w, h)
+	p, err := newFileWriter(w, h)
 	if err != nil {
 		return nil, err
 	}
@@ -227,15 +227,15 @@
 	return out, p.close()
 }
 
-// origins takes a merged file apart into the lives that it was made of. Their clock is the first one's.
-func origins(path string, h *tracepb.Header) []*Life {
+// splitMergedFile takes a merged file apart into the lives that it was made of. Their clock is the first one's.
+func splitMergedFile(path string, h *tracepb.Header) []*Life {
 	var out []*Life
 	for i, o := range h.Origins {
 		x := proto.Clone(h).(*tracepb.Header)
 		x.Origins, x.Edge, x.Sentry, x.Life, x.Settings, x.Module = nil, o.Edge, o.Sentry, o.Life, o.Settings, o.Module
 		x.Wall, x.Start, x.OneIn = 0, 0, o.OneIn
 		out = append(out, &Life{ID: o.Life, Edge: o.Edge, Sentry: o.Sentry, Paths: []string{path}, Headers: []*tracepb.Header{x}, origin: uint32(i + 1),
-			Unsure: o.Unsure, level: o.Level})
+			ClockUncertainty: o.Unsure, sourceLevel: o.Level})
 	}
 	return out
 }
--- a/trace/merge_test.go
+++ b/trace/merge_test.go
@@ -103,7 +103,7 @@
 		var buf bytes.Buffer
 		start := int64(i+1) * 1e13
 		wall := w.shown(i, began)
-		p, err := newPacker(&buf, &tracepb.Header{Version: 1, Edge: fmt.Sprintf("edge-%d", i), Sentry: uint32(i), Life: uint64(i + 1), Wall: wall, Start: start,
+		p, err := newFileWriter(&buf, &tracepb.Header{Version: 1, Edge: fmt.Sprintf("edge-%d", i), Sentry: uint32(i), Life: uint64(i + 1), Wall: wall, Start: start,
 			Products: []string{"ask"}})
 		if err != nil {
 			t.Fatal(err)
@@ -257,7 +257,7 @@
 	}
 	n := 0
 	for i, l := range again {
-		if l.Sentry != uint32(i) || l.Unsure != m.Clocks[i].Unsure {
+		if l.Sentry != uint32(i) || l.ClockUncertainty != m.Clocks[i].Unsure {
 			t.Errorf("life %d: %+v", i, l)
 		}
 		k := 0
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	blockSize = 128 << 10 // records of a block, before they are packed
-	buffers   = 16        // of a sentry: what is written may lag by so many blocks
-	reserve   = 4         // of them are for what has begun: new txns are not recorded when no more are free
-	flushAge  = int64(time.Second)
-	retryWait = time.Second
+	blockBytes      = 128 << 10 // records of a block, before they are packed
+	buffers         = 16        // of a sentry: what is written may lag by so many blocks
+	reservedBuffers = 4         // of them are for what has begun: new txns are not recorded when no more are free
+	flushAge        = int64(time.Second)
+	retryWait       = time.Second
 )
 
 // Recorder records one sentry. Its methods but Close are for the sentry's event loop, and never wait for a disk: what
@@ -120,7 +120,7 @@
 		if k.tail != nil {
 			b.slot = k.tail.slot(i)
 		} else {
-			b.records = make([]byte, 0, blockSize+blockSize/4)
+			b.records = make([]byte, 0, blockBytes+blockBytes/4)
 		}
 		k.spare = append(k.spare, b)
 	}
@@ -195,15 +195,15 @@
 	<-k.done
 }
 
-// room gives how many buffers are free.
-func (k *Recorder) room() int { return len(k.spare) + len(k.free) }
+// freeBuffers gives how many buffers are free.
+func (k *Recorder) freeBuffers() int { return len(k.spare) + len(k.free) }
 
 // ready makes room for a record and tells whether there is any. What was left out before is told first.
 func (k *Recorder) ready(now logic.Nanos) bool {
 	if k.begun.open {
 		k.settle()
 	}
-	if k.cur != nil && len(k.cur.records) >= blockSize {
+	if k.cur != nil && len(k.cur.records) >= blockBytes {
 		k.ship()
 	}
 	if k.cur == nil && !k.next(now) {
@@ -253,7 +253,7 @@
 // gap tells what is missing, once there is room for txns again.
 func (k *Recorder) gap(now logic.Nanos) {
 	lost := k.lostBlock.Swap(0)
-	if lost > 0 || (k.skipped > 0 || k.torn > 0) && k.room() >= reserve {
+	if lost > 0 || (k.skipped > 0 || k.torn > 0) && k.freeBuffers() >= reservedBuffers {
 		since := k.since
 		if at := k.lostSince.Swap(0); at != 0 && (since == 0 || at < since) {
 			since = at
@@ -423,7 +423,7 @@
 // Take records a txn by its serial, and tells whether it did: the records that follow of one that was left out must be
 // left out too. high and low are the trace id that the client sent; zeros where it sent none.
 func (k *Recorder) Take(now logic.Nanos, t *logic.Txn, serial, high, low uint64) bool {
-	if len(k.spare) < reserve && k.room() < reserve || !k.ready(now) {
+	if len(k.spare) < reservedBuffers && k.freeBuffers() < reservedBuffers || !k.ready(now) {
 		if k.skipped == 0 && k.since == 0 {
 			k.since = int64(now)
 		}
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -17,20 +17,20 @@
 
 // Life is all segments of one sentry's life, in order.
 type Life struct {
-	ID      uint64
-	Edge    string
-	Sentry  uint32
-	Paths   []string
-	Headers []*tracepb.Header
-	Unsure  int64 // of a merged file: its times may be off by so much against the others'; negative: by any
-	origin  uint32
-	level   uint32 // of the file that a merged one was made of
+	ID               uint64
+	Edge             string
+	Sentry           uint32
+	Paths            []string
+	Headers          []*tracepb.Header
+	ClockUncertainty int64 // of a merged file: its times may be off by so much against the others'; negative: by any
+	origin           uint32
+	sourceLevel      uint32 // of the file that a merged one was made of
 }
 
 // Level is how much of the life is there.
 func (l *Life) Level() uint32 {
 	if l.origin != 0 {
-		return l.level
+		return l.sourceLevel
 	}
 	return l.Headers[0].Level
 }
@@ -66,7 +66,7 @@
 			continue
 		}
 		if len(h.Origins) > 0 {
-			out = append(out, origins(path, h)...)
+			out = append(out, splitMergedFile(path, h)...)
 			continue
 		}
 		l := byID[h.Life]
@@ -170,11 +170,11 @@
 // Each gives every record of a life, in order. Damage found on the way is given to hurt, if it is not nil, and is an error
 // otherwise.
 func (l *Life) Each(do func(r *Record, names []string) bool, hurt func(path string, d Damage)) error {
-	return l.each(do, hurt, nil)
+	return l.eachSkipping(do, hurt, nil)
 }
 
-// each passes over the blocks that pass says hold nothing of interest.
-func (l *Life) each(do func(r *Record, names []string) bool, hurt func(path string, d Damage), pass func(f *File, i int) bool) error {
+// eachSkipping passes over the blocks that pass says hold nothing of interest.
+func (l *Life) eachSkipping(do func(r *Record, names []string) bool, hurt func(path string, d Damage), pass func(f *File, i int) bool) error {
 	number := uint64(0)
 	for i, path := range l.Paths {
 		if i > 0 && l.Headers[i].Segment != l.Headers[i-1].Segment+1 {
@@ -211,7 +211,7 @@
 	}
 	more = true
 	for i := range f.Blocks {
-		if f.again(i, number) || pass != nil && pass(f, i) {
+		if f.isDuplicate(i, number) || pass != nil && pass(f, i) {
 			continue
 		}
 		err := f.Read(i, func(r *Record, names []string) bool {
@@ -271,33 +271,33 @@
 	return s + fmt.Sprintf(" number %d token %d span %d %q", a.number, a.token, a.span, a.text)
 }
 
-// player is the module's Sink in a replay.
-type player struct{ out []action }
+// actionCollector is the module's Sink in a replay.
+type actionCollector struct{ actions []action }
 
-func (p *player) put(a action) { p.out = append(p.out, a) }
+func (p *actionCollector) put(a action) { p.actions = append(p.actions, a) }
 
 // Submit is a part of logic.Sink, as are the methods below.
-func (p *player) Submit(t logic.TxnID, w logic.WorkerID, timeout logic.Nanos) {
+func (p *actionCollector) Submit(t logic.TxnID, w logic.WorkerID, timeout logic.Nanos) {
 	p.put(action{kind: tracepb.Kind_SUBMIT, txn: uint64(t), worker: string(w), span: uint64(timeout)})
 }
-func (p *player) Cancel(t logic.TxnID, number int) {
+func (p *actionCollector) Cancel(t logic.TxnID, number int) {
 	p.put(action{kind: tracepb.Kind_CANCEL, txn: uint64(t), number: uint32(number)})
 }
-func (p *player) Decline(t logic.TxnID, after logic.Nanos) {
+func (p *actionCollector) Decline(t logic.TxnID, after logic.Nanos) {
 	p.put(action{kind: tracepb.Kind_DECLINE, txn: uint64(t), span: uint64(after)})
 }
-func (p *player) Void(t logic.TxnID) { p.put(action{kind: tracepb.Kind_VOID, txn: uint64(t)}) }
-func (p *player) SetTimer(after logic.Nanos, token uint64) {
+func (p *actionCollector) Void(t logic.TxnID) { p.put(action{kind: tracepb.Kind_VOID, txn: uint64(t)}) }
+func (p *actionCollector) SetTimer(after logic.Nanos, token uint64) {
 	p.put(action{kind: tracepb.Kind_REMIND, token: token, span: uint64(after)})
 }
-func (p *player) Vote(v logic.Verdict, rel logic.RelID, stage int) {
+func (p *actionCollector) Vote(v logic.Verdict, rel logic.RelID, stage int) {
 	p.put(action{kind: tracepb.Kind_VOTE, number: uint32(v), token: uint64(rel), span: uint64(stage)})
 }
-func (p *player) WatchWorkers() { p.put(action{kind: tracepb.Kind_WATCH}) }
-func (p *player) SendToPeer(to int, data []byte) {
+func (p *actionCollector) WatchWorkers() { p.put(action{kind: tracepb.Kind_WATCH}) }
+func (p *actionCollector) SendToPeer(to int, data []byte) {
 	p.put(action{kind: tracepb.Kind_TELL, number: uint32(to), text: string(data)})
 }
-func (p *player) Log(text string) { p.put(action{kind: tracepb.Kind_LOG, text: text}) }
+func (p *actionCollector) Log(text string) { p.put(action{kind: tracepb.Kind_LOG, text: text}) }
 
 // isAction tells whether a record left the module.
 func isAction(k Kind) bool { return k >= tracepb.Kind_SUBMIT && k <= tracepb.Kind_LOG }
@@ -319,14 +319,14 @@
 		}
 	}
 	out := &Replayed{OtherVersion: l.Headers[0].Module != logic.Version()}
-	p := &player{}
+	p := &actionCollector{}
 	next := 0 // of p.out, not seen in the trace yet
 	var s *logic.Sentry
 	var fault error
 	differ := func(r *Record, want string) bool {
 		got := "nothing more"
-		if next < len(p.out) {
-			got = p.out[next].String()
+		if next < len(p.actions) {
+			got = p.actions[next].String()
 		}
 		out.Differs, out.At = fmt.Sprintf("recorded: %s; decided now: %s", want, got), r.At
 		return false
@@ -334,7 +334,7 @@
 	err := l.Each(func(r *Record, names []string) bool {
 		if isAction(r.Kind) {
 			want := action{kind: r.Kind, txn: r.Txn, worker: names[r.Worker], number: r.Number, token: r.Token, span: r.Span, text: r.Text + string(r.Body)}
-			if next >= len(p.out) || p.out[next] != want {
+			if next >= len(p.actions) || p.actions[next] != want {
 				return differ(r, want.String())
 			}
 			next++
@@ -348,17 +348,17 @@
 			fault = ErrGap
 			return false
 		}
-		if next < len(p.out) {
+		if next < len(p.actions) {
 			return differ(r, "the event "+r.Kind.String())
 		}
-		p.out, next = p.out[:0], 0
+		p.actions, next = p.actions[:0], 0
 		now := logic.Nanos(r.At)
 		if s == nil && r.Kind != tracepb.Kind_START {
 			fault = ErrNoStart
 			return false
 		}
 		out.Events++
-		if fault = out.event(&s, now, r, names, settings, p); fault != nil {
+		if fault = out.applyEvent(&s, now, r, names, settings, p); fault != nil {
 			return false
 		}
 		return true
@@ -369,8 +369,8 @@
 	return out, err
 }
 
-// event hands one recorded event to the module.
-func (out *Replayed) event(s **logic.Sentry, now logic.Nanos, r *Record, names []string, settings map[string]any, p *player) error {
+// applyEvent hands one recorded applyEvent to the module.
+func (out *Replayed) applyEvent(s **logic.Sentry, now logic.Nanos, r *Record, names []string, settings map[string]any, p *actionCollector) error {
 	switch r.Kind {
 	case tracepb.Kind_START:
 		*s = logic.New(now, int64(r.Token), settings, p)
--- a/trace/store.go
+++ b/trace/store.go
@@ -149,7 +149,7 @@
 		s.abandon()
 		return err
 	}
-	s.index.Blocks = append(s.index.Blocks, s.enc.entry(uint64(s.size), info))
+	s.index.Blocks = append(s.index.Blocks, s.enc.indexEntry(uint64(s.size), info))
 	s.size += int64(len(frame))
 	return nil
 }
--- a/trace/tail.go
+++ b/trace/tail.go
@@ -33,7 +33,7 @@
 const (
 	tailHead = 4096
 	slotHead = 64
-	slotSize = slotHead + blockSize + blockSize/4
+	slotSize = slotHead + blockBytes + blockBytes/4
 )
 
 var tailMarker = [8]byte{0xd6, 'D', 'G', 'T', 't', 'a', 'i', 'l'}
@@ -165,12 +165,12 @@
 	}
 	sort.Slice(parts, func(i, j int) bool { return parts[i].number < parts[j].number })
 	var out bytes.Buffer
-	p, err := newPacker(&out, h)
+	p, err := newFileWriter(&out, h)
 	if err != nil {
 		return nil, alive, err
 	}
 	for _, x := range parts {
-		frame, info, err := p.enc.block(x.first, x.records)
+		frame, info, err := p.enc.encodeBlock(x.first, x.records)
 		if err != nil {
 			return nil, alive, fmt.Errorf("%s: %w", path, err)
 		}
@@ -179,7 +179,7 @@
 		if frame, info, err = p.enc.pack(info, p.enc.keys, x.records); err != nil {
 			return nil, alive, err
 		}
-		p.index.Blocks = append(p.index.Blocks, p.enc.entry(p.size, info))
+		p.index.Blocks = append(p.index.Blocks, p.enc.indexEntry(p.size, info))
 		if err := p.write(frame); err != nil {
 			return nil, alive, err
 		}
@@ -257,7 +257,7 @@
 	h := proto.Clone(f.Header).(*tracepb.Header)
 	h.Segment = next
 	var out bytes.Buffer
-	p, err := newPacker(&out, h)
+	p, err := newFileWriter(&out, h)
 	if err != nil {
 		return err
 	}
--- a/trace/tail_test.go
+++ b/trace/tail_test.go
@@ -26,8 +26,8 @@
 // TestMain plays a sentry that is killed, where the test binary is started as one.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("TRACE_KILLED"); dir != "" {
-		rec, err := NewTailed(Disk(dir), filepath.Dir(dir), keep, &tracepb.Header{Edge: "e", Life: 77, Products: []string{"ask", "pay"}, Wall: began, Start: 1e12},
-			settings, zap.NewNop())
+		rec, err := NewTailed(Disk(dir), filepath.Dir(dir), testRetention, &tracepb.Header{Edge: "e", Life: 77, Products: []string{"ask", "pay"}, Wall: began, Start: 1e12},
+			testSettings, zap.NewNop())
 		if err != nil {
 			os.Exit(3)
 		}
@@ -45,7 +45,7 @@
 	for i := uint64(1); ; i++ {
 		now += 1000 * logic.Nanos(i%7)
 		x := logic.Txn{ID: logic.TxnID(i), Key: logic.KeyID(i | 1), Expiry: now + logic.Second}
-		for rec.room() <= reserve {
+		for rec.freeBuffers() <= reservedBuffers {
 			time.Sleep(time.Millisecond) // the writer is behind
 		}
 		rec.Take(now, &x, i, 0, 0)
@@ -118,7 +118,7 @@
 		if uint64(len(before)) < n || before[len(before)-1] != uint64(len(before)) {
 			t.Errorf("%d txns were handed over, %d are found", n, len(before))
 		}
-		rec, err := NewTailed(Disk(dir), parent, keep, &tracepb.Header{Edge: "e", Life: 78}, settings, zap.NewNop())
+		rec, err := NewTailed(Disk(dir), parent, testRetention, &tracepb.Header{Edge: "e", Life: 78}, testSettings, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -146,7 +146,7 @@
 			defer goleak.VerifyNone(t)
 			parent := t.TempDir()
 			dir := filepath.Join(parent, "trace")
-			first, err := NewTailed(Disk(dir), parent, keep, &tracepb.Header{Edge: c.edge, Sentry: c.sentry, Life: 77}, settings, zap.NewNop())
+			first, err := NewTailed(Disk(dir), parent, testRetention, &tracepb.Header{Edge: c.edge, Sentry: c.sentry, Life: 77}, testSettings, zap.NewNop())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -170,7 +170,7 @@
 				t.Fatal(err)
 			}
 			closing := time.AfterFunc(60*time.Millisecond, func() { held.Close() })
-			rec, err := NewTailed(Disk(dir), parent, keep, &tracepb.Header{Edge: "e", Sentry: 3, Life: 78}, settings, zap.NewNop())
+			rec, err := NewTailed(Disk(dir), parent, testRetention, &tracepb.Header{Edge: "e", Sentry: 3, Life: 78}, testSettings, zap.NewNop())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -199,7 +199,7 @@
 	h := func(life uint64) *tracepb.Header {
 		return &tracepb.Header{Edge: "e", Life: life, Products: []string{"ask", "pay"}}
 	}
-	first, err := NewTailed(Disk(dir), parent, keep, h(1), settings, zap.NewNop())
+	first, err := NewTailed(Disk(dir), parent, testRetention, h(1), testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -207,7 +207,7 @@
 	first.Start(1e9, 1)
 	first.Take(1e9, &x, 1, 0, 0)
 	first.Settle()
-	second, err := NewTailed(Disk(dir), parent, keep, h(2), settings, zap.NewNop())
+	second, err := NewTailed(Disk(dir), parent, testRetention, h(2), testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -256,7 +256,7 @@
 			if !errors.Is(err, c.want) || alive {
 				t.Errorf("it reads as %v, %v", f, err)
 			}
-			rec, err := NewTailed(Disk(filepath.Join(dir, "trace")), dir, keep, &tracepb.Header{Edge: "e", Life: 6}, settings, zap.NewNop())
+			rec, err := NewTailed(Disk(filepath.Join(dir, "trace")), dir, testRetention, &tracepb.Header{Edge: "e", Life: 6}, testSettings, zap.NewNop())
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/trace/tale.go
+++ b/trace/tale.go
@@ -126,7 +126,7 @@
 			tried++
 		}
 	}
-	p, out := &player{}, &Replayed{}
+	p, out := &actionCollector{}, &Replayed{}
 	var m *logic.Sentry
 	var fault error
 	found := false
@@ -145,8 +145,8 @@
 			fault = ErrNoStart
 			return false
 		}
-		p.out = p.out[:0]
-		fault = out.event(&m, logic.Nanos(r.At), r, names, settings, p)
+		p.actions = p.actions[:0]
+		fault = out.applyEvent(&m, logic.Nanos(r.At), r, names, settings, p)
 		return fault == nil
 	}, nil)
 	if err == nil {
--- a/trace/tools_test.go
+++ b/trace/tools_test.go
@@ -28,7 +28,7 @@
 	path := filepath.Join(t.TempDir(), fmt.Sprintf("s%d%s", h.Sentry, Suffix))
 	var buf bytes.Buffer
 	h.Version = Version
-	p, err := newPacker(&buf, h)
+	p, err := newFileWriter(&buf, h)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -329,7 +329,7 @@
 
 func TestSpansAreOpenTelemetrys(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, keep, 3000)
+	recordRun(t, dir, testRetention, 3000)
 	all, err := Lives([]string{dir})
 	if err != nil {
 		t.Fatal(err)
@@ -383,7 +383,7 @@
 	}{{"one in 10", LevelSampled, 10}, {"all that ended badly", LevelSampled, 1 << 30}, {"decisions", LevelDecisions, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
-			rec, err := NewRecorder(Disk(dir), keep, &tracepb.Header{Edge: "e", Life: 7, Level: c.level, OneIn: c.oneIn, Products: []string{"ask"}}, settings, zap.NewNop())
+			rec, err := NewRecorder(Disk(dir), testRetention, &tracepb.Header{Edge: "e", Life: 7, Level: c.level, OneIn: c.oneIn, Products: []string{"ask"}}, testSettings, zap.NewNop())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -396,7 +396,7 @@
 			for i := 1; i <= n; i++ {
 				now += logic.Millisecond
 				x := logic.Txn{ID: logic.TxnID(i<<20 | i%64), Key: logic.KeyID(rng.Uint64() | 1), Expiry: now + logic.Second}
-				for rec.room() <= reserve {
+				for rec.freeBuffers() <= reservedBuffers {
 					time.Sleep(time.Millisecond) // the writer is behind; nothing else is waited for
 				}
 				rec.Take(now, &x, uint64(i), 0, 0)
@@ -411,7 +411,7 @@
 					bad++
 					rec.Outcome(late, &logic.Outcome{Txn: x.ID, Ending: logic.ErrorResponse, Final: true}, 503)
 				default:
-					if Keeps(uint64(x.Key), c.oneIn) {
+					if InSample(uint64(x.Key), c.oneIn) {
 						chosen++
 					}
 					rec.Outcome(late, &logic.Outcome{Txn: x.ID, Final: true, Elapsed: 30 * logic.Millisecond}, 200)
@@ -553,11 +553,11 @@
 	}
 	for steps := 0; ; steps += every {
 		dir, left := t.TempDir(), steps
-		rec, err := NewRecorder(crashing{Disk(dir), &left}, small, &tracepb.Header{Edge: "e", Life: 7, Products: []string{"ask", "pay"}}, settings, zap.NewNop())
+		rec, err := NewRecorder(crashing{Disk(dir), &left}, small, &tracepb.Header{Edge: "e", Life: 7, Products: []string{"ask", "pay"}}, testSettings, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
-		play(t, rec, 5000, true)
+		recordTxns(t, rec, 5000, true)
 		alive := left >= 0
 		lives, err := Lives([]string{dir})
 		if err != nil && !errors.Is(err, ErrNoTrace) { // a header that was cut holds nothing yet
@@ -568,11 +568,11 @@
 				t.Fatalf("after %d steps: %v", steps, err)
 			}
 		}
-		rec, err = NewRecorder(Disk(dir), small, &tracepb.Header{Edge: "e", Life: 8, Products: []string{"ask", "pay"}}, settings, zap.NewNop())
+		rec, err = NewRecorder(Disk(dir), small, &tracepb.Header{Edge: "e", Life: 8, Products: []string{"ask", "pay"}}, testSettings, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
-		play(t, rec, 500, true)
+		recordTxns(t, rec, 500, true)
 		if data, err := os.ReadFile(filepath.Join(dir, manifestName)); err != nil || !bytes.Contains(data, []byte("0000000000000008")) {
 			t.Fatalf("after %d steps the manifest is %q, %v", steps, data, err)
 		}
@@ -587,7 +587,7 @@
 
 func TestRetention(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, Keep{SegmentBytes: 20 << 10, SegmentAge: time.Hour, TotalBytes: 60 << 10}, 30000)
+	recordRun(t, dir, Keep{SegmentBytes: 20 << 10, SegmentAge: time.Hour, TotalBytes: 60 << 10}, 30000)
 	list, err := Disk(dir).List()
 	sum := int64(0)
 	for _, s := range list {
@@ -608,7 +608,7 @@
 // A cut by product, time or key opens only the blocks that may hold what is asked for; what it finds is the same.
 func TestCutPassesOverBlocks(t *testing.T) {
 	dir := t.TempDir()
-	rec, err := NewRecorder(Disk(dir), keep, &tracepb.Header{Edge: "e", Life: 7, Wall: began, Start: began, Products: []string{"ask", "pay"}}, settings, zap.NewNop())
+	rec, err := NewRecorder(Disk(dir), testRetention, &tracepb.Header{Edge: "e", Life: 7, Wall: began, Start: began, Products: []string{"ask", "pay"}}, testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -620,7 +620,7 @@
 		if i > 15000 && i < 15010 {
 			x.Product = 1
 		}
-		for rec.room() <= reserve {
+		for rec.freeBuffers() <= reservedBuffers {
 			time.Sleep(time.Millisecond) // the writer is behind
 		}
 		rec.Take(now, &x, uint64(i), 0, 0)
@@ -649,7 +649,7 @@
 			if c.f.Query != nil {
 				q = *c.f.Query
 			}
-			err = l.each(func(*Record, []string) bool { return true }, nil, func(f *File, i int) bool {
+			err = l.eachSkipping(func(*Record, []string) bool { return true }, nil, func(f *File, i int) bool {
 				all++
 				may := c.f.may(l, q, f, i)
 				if may {
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -73,22 +73,22 @@
 func (m *memory) List() ([]Segment, error)               { return nil, nil }
 func (m *memory) Replace(name string, data []byte) error { return nil }
 
-var keep = Keep{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}
+var testRetention = Keep{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}
 
-var settings = map[string]any{"products.count": 2.0, "products.0.effect": "inquiry-like", "products.1.effect": "once-only",
+var testSettings = map[string]any{"products.count": 2.0, "products.0.effect": "inquiry-like", "products.1.effect": "once-only",
 	"products.0.sla": 3e8, "products.1.sla": 3e8, "allow.submissions": 4.0, "allow.copies": true, "allow.cancel": true, "sentries": 1.0,
 	"release.votes": "single", "release.caps.0": 0.1, "release.free": 3.0, "release.window": 4e9, "release.bake": 1e9,
 	"rules.cold": 3e9, "rules.cold-from": 0.3, "rules.fall-multiple": 2.0, "rules.fall-after": 1e9}
 
 // hosted is a sentry that is recorded as the edge does it; its workers answer by chance.
 type hosted struct {
-	*player // keeps nothing here
-	rec     *Recorder
-	now     logic.Nanos
-	subs    []action
-	timers  []logic.Nanos
-	tokens  []uint64
-	only    map[logic.TxnID]bool
+	*actionCollector // keeps nothing here
+	rec              *Recorder
+	now              logic.Nanos
+	subs             []action
+	timers           []logic.Nanos
+	tokens           []uint64
+	only             map[logic.TxnID]bool
 }
 
 func (h *hosted) Submit(t logic.TxnID, w logic.WorkerID, to logic.Nanos) {
@@ -116,13 +116,13 @@
 	h.timers, h.tokens = append(h.timers, h.now+after), append(h.tokens, token)
 }
 
-// play records n txns of a sentry with a build on trial that fails, and gives how many were recorded.
+// recordTxns records n txns of a sentry with a build on trial that fails, and gives how many were recorded.
 // pace waits for the writer, as txns come faster here than any edge takes them.
-func play(t *testing.T, rec *Recorder, n int, pace bool) int {
+func recordTxns(t *testing.T, rec *Recorder, n int, pace bool) int {
 	rng := rand.New(rand.NewSource(5))
-	h := &hosted{player: &player{}, rec: rec, now: 1e12, only: map[logic.TxnID]bool{}}
+	h := &hosted{actionCollector: &actionCollector{}, rec: rec, now: 1e12, only: map[logic.TxnID]bool{}}
 	rec.Start(h.now, 99)
-	s := logic.New(h.now, 99, settings, h)
+	s := logic.New(h.now, 99, testSettings, h)
 	var list []logic.Worker
 	for i := 0; i < 8; i++ {
 		list = append(list, logic.Worker{ID: logic.WorkerID(fmt.Sprintf("w%d", i)), Rel: logic.RelID(1 + i/6), Weight: 1})
@@ -145,7 +145,7 @@
 			}
 		}
 		rec.Flush(h.now)
-		for pace && rec.room() <= reserve {
+		for pace && rec.freeBuffers() <= reservedBuffers {
 			runtime.Gosched()
 		}
 		x := logic.Txn{ID: logic.TxnID(i), Product: logic.ProductID(rng.Intn(2)), Key: logic.KeyID(rng.Intn(50) + 1), Cost: 2e7, Expiry: h.now + logic.Second}
@@ -176,13 +176,13 @@
 	return count
 }
 
-// write records a life into a folder on disk and gives its segments.
-func write(t *testing.T, dir string, keep Keep, n int) []string {
-	rec, err := NewRecorder(Disk(dir), keep, &tracepb.Header{Edge: "e", Sentry: 1, Life: 77, Products: []string{"ask", "pay"}}, settings, zap.NewNop())
+// recordRun records a life into a folder on disk and gives its segments.
+func recordRun(t *testing.T, dir string, keep Keep, n int) []string {
+	rec, err := NewRecorder(Disk(dir), keep, &tracepb.Header{Edge: "e", Sentry: 1, Life: 77, Products: []string{"ask", "pay"}}, testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := play(t, rec, n, true); got != n {
+	if got := recordTxns(t, rec, n, true); got != n {
 		t.Fatalf("%d of %d txns recorded", got, n)
 	}
 	paths, _ := filepath.Glob(filepath.Join(dir, "*"+Suffix))
@@ -212,9 +212,9 @@
 }
 
 func TestReplayIsEqualAndFindsAPlantedChange(t *testing.T) {
-	write(t, t.TempDir(), keep, 10)
+	recordRun(t, t.TempDir(), testRetention, 10)
 	dir := t.TempDir()
-	write(t, dir, Keep{SegmentBytes: 64 << 10, SegmentAge: time.Hour, TotalBytes: 1 << 30}, 20000)
+	recordRun(t, dir, Keep{SegmentBytes: 64 << 10, SegmentAge: time.Hour, TotalBytes: 1 << 30}, 20000)
 	all, err := Lives([]string{dir})
 	if err != nil || len(all) != 1 || len(all[0].Paths) < 2 {
 		t.Fatalf("%v, %v", all, err)
@@ -224,7 +224,7 @@
 		t.Fatalf("%+v, %v", r, err)
 	}
 	other := map[string]any{}
-	for k, v := range settings {
+	for k, v := range testSettings {
 		other[k] = v
 	}
 	other["release.free"] = 4.0
@@ -233,7 +233,7 @@
 		t.Errorf("another setting replays as equal: %+v, %v", r, err)
 	}
 	// With fewer submissions allowed, txns that failed at the bad build are given up; with the same, nothing differs.
-	if d, err := WhatIf(all[0], settings); err != nil || d.Differ != 0 || d.Txns != 20000 || d.First != 0 {
+	if d, err := WhatIf(all[0], testSettings); err != nil || d.Differ != 0 || d.Txns != 20000 || d.First != 0 {
 		t.Errorf("the same settings differ: %+v, %v", d, err)
 	}
 	other["release.free"], other["allow.submissions"] = 3.0, 1.0
@@ -280,11 +280,11 @@
 			body = r.Append(body, at)
 			at = r.At
 		}
-		frame, info, err := enc.block(int64(b*1000), body)
+		frame, info, err := enc.encodeBlock(int64(b*1000), body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		index.Blocks = append(index.Blocks, enc.entry(uint64(len(data)), info))
+		index.Blocks = append(index.Blocks, enc.indexEntry(uint64(len(data)), info))
 		data = append(data, frame...)
 		ends, records = append(ends, len(data)), append(records, 20*(b+1))
 	}
@@ -364,7 +364,7 @@
 
 func TestFollow(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, keep, 3000)
+	recordRun(t, dir, testRetention, 3000)
 	all, err := Lives([]string{dir})
 	if err != nil {
 		t.Fatal(err)
@@ -387,7 +387,7 @@
 
 func TestSummary(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, keep, 3000)
+	recordRun(t, dir, testRetention, 3000)
 	all, err := Lives([]string{dir})
 	if err != nil {
 		t.Fatal(err)
@@ -416,7 +416,7 @@
 
 func TestCut(t *testing.T) {
 	dir := t.TempDir()
-	write(t, dir, Keep{SegmentBytes: 64 << 10, SegmentAge: time.Hour, TotalBytes: 1 << 30}, 6000)
+	recordRun(t, dir, Keep{SegmentBytes: 64 << 10, SegmentAge: time.Hour, TotalBytes: 1 << 30}, 6000)
 	all, err := Lives([]string{dir})
 	if err != nil {
 		t.Fatal(err)
@@ -474,11 +474,11 @@
 	before := goleak.IgnoreCurrent()
 	m := newMemory()
 	m.room = 20000
-	rec, err := NewRecorder(m, keep, &tracepb.Header{Edge: "e", Life: 5}, settings, zap.NewNop())
+	rec, err := NewRecorder(m, testRetention, &tracepb.Header{Edge: "e", Life: 5}, testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	play(t, rec, 20000, true)
+	recordTxns(t, rec, 20000, true)
 	if len(m.files) < 1 {
 		t.Error("nothing was written")
 	}
@@ -494,7 +494,7 @@
 func TestStallingDiskLeavesOutWholeTxns(t *testing.T) {
 	m := newMemory()
 	m.gate = make(chan struct{})
-	rec, err := NewRecorder(m, keep, &tracepb.Header{Edge: "e", Life: 5}, settings, zap.NewNop())
+	rec, err := NewRecorder(m, testRetention, &tracepb.Header{Edge: "e", Life: 5}, testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -505,7 +505,7 @@
 		close(m.gate)
 	}()
 	const n = 120000
-	got := play(t, rec, n, false)
+	got := recordTxns(t, rec, n, false)
 	if got == n {
 		t.Fatal("nothing was left out")
 	}
@@ -540,7 +540,7 @@
 }
 
 func TestRecordingAllocatesNothing(t *testing.T) {
-	rec, err := NewRecorder(newMemory(), keep, &tracepb.Header{}, settings, zap.NewNop())
+	rec, err := NewRecorder(newMemory(), testRetention, &tracepb.Header{}, testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/trace/whatif.go
+++ b/trace/whatif.go
@@ -34,7 +34,7 @@
 	out := &Different{Sums: map[string][2]int{}}
 	run := func(settings map[string]any) (map[uint64]fate, map[string]int, error) {
 		fates, sums, serials := map[uint64]fate{}, map[string]int{}, map[uint64]uint64{}
-		p, r := &player{}, &Replayed{}
+		p, r := &actionCollector{}, &Replayed{}
 		var s *logic.Sentry
 		var fault error
 		err := l.Each(func(x *Record, names []string) bool {
@@ -50,11 +50,11 @@
 			case x.Kind == tracepb.Kind_TAKE:
 				serials[x.Txn] = x.Serial
 			}
-			p.out = p.out[:0]
-			if fault = r.event(&s, logic.Nanos(x.At), x, names, settings, p); fault != nil {
+			p.actions = p.actions[:0]
+			if fault = r.applyEvent(&s, logic.Nanos(x.At), x, names, settings, p); fault != nil {
 				return false
 			}
-			for _, a := range p.out {
+			for _, a := range p.actions {
 				sums[a.kind.String()]++
 				if a.txn == 0 {
 					continue
