--- a/edge/admin.go
+++ b/edge/admin.go
@@ -20,7 +20,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, r *http.Request) { fmt.Fprintln(w, "ok") })
 	mux.HandleFunc("/readyz", func(w http.ResponseWriter, r *http.Request) {
-		if !p.listed.Load() {
+		if !p.listReceived.Load() {
 			http.Error(w, "no list of workers yet", http.StatusServiceUnavailable)
 			return
 		}
--- a/edge/call.go
+++ b/edge/call.go
@@ -12,11 +12,11 @@
 type subState uint8
 
 const (
-	subOver      subState = iota
-	subWaiting            // for a connection: nothing was sent
-	subSent               // it may run
-	subStopping           // we have ended our sending; what crosses that is heard yet
-	subStreaming          // its answer streams, a carrier has it
+	subEnded      subState = iota
+	subWaiting             // for a connection: nothing was sent
+	subSent                // it may run
+	subHalfClosed          // we have ended our sending; what crosses that is heard yet
+	subStreaming           // its answer streams, a carrier has it
 )
 
 type submission struct {
@@ -29,7 +29,7 @@
 // call is one txn in hand: the client's request and what was sent of it. A call lives from the end of its head
 // until it is answered, and all that was sent of it has ended.
 type call struct {
-	at                       int32
+	slot                     int32
 	gen                      uint32
 	client                   *clientConn // nil once answered, or left by its client
 	request                  []byte      // as it goes to workers, head and body
@@ -51,19 +51,19 @@
 	clientLeft               bool // by its client
 	subs                     [maxSubs]submission
 	n, outstanding           int // submissions made, and of them not ended
-	pending                  int // events queued for the module
+	pendingEvents            int // events queued for the module
 	freed                    bool
 	lastEnding               logic.Ending
 }
 
 // The id of a txn is its place in the slab below its generation: as small a number as can be.
-const placeBits = 20
+const slotBits = 20
 
-func (c *call) id() logic.TxnID { return logic.TxnID(uint64(c.gen)<<placeBits | uint64(c.at)) }
+func (c *call) id() logic.TxnID { return logic.TxnID(uint64(c.gen)<<slotBits | uint64(c.slot)) }
 
 // call finds a txn in hand by its id, or nil.
-func (l *loop) callOf(id logic.TxnID) *call {
-	at, gen := int32(id&(1<<placeBits-1)), uint32(id>>placeBits)
+func (l *loop) findCall(id logic.TxnID) *call {
+	at, gen := int32(id&(1<<slotBits-1)), uint32(id>>slotBits)
 	if int(at) >= len(l.calls.items) || at < 0 {
 		return nil
 	}
@@ -76,17 +76,17 @@
 func (l *loop) newCall() *call {
 	at, c := l.calls.get()
 	request := c.request
-	if cap(request) > keptBuffer { // one large request must not pin its memory for good
+	if cap(request) > maxReusedBuffer { // one large request must not pin its memory for good
 		request = nil
 	}
 	l.serial++
-	*c = call{at: at, gen: c.gen + 1, serial: l.serial, request: request[:0], lastEnding: logic.OK}
+	*c = call{slot: at, gen: c.gen + 1, serial: l.serial, request: request[:0], lastEnding: logic.OK}
 	return c
 }
 
 // releaseCall frees a call once nothing of it is out or queued and its client has had the answer, or was never owed one.
 func (l *loop) releaseCall(c *call) {
-	if c.freed || c.outstanding > 0 || c.pending > 0 || c.admitted && !c.answered && !c.clientLeft {
+	if c.freed || c.outstanding > 0 || c.pendingEvents > 0 || c.admitted && !c.answered && !c.clientLeft {
 		return
 	}
 	c.freed = true
@@ -94,7 +94,7 @@
 		delete(l.externalIDs, c.externalID)
 	}
 	if c.traced {
-		l.rec.Done(l.now, c.id())
+		l.recorder.Done(l.now, c.id())
 	}
 	if c.client != nil {
 		if c.client.call == c {
@@ -103,26 +103,26 @@
 		c.client = nil
 	}
 	c.gen++ // timers and late endings find nothing
-	l.calls.put(c.at)
+	l.calls.put(c.slot)
 }
 
 // endSubmission books the end of submission n and queues the outcome for the module.
 func (l *loop) endSubmission(c *call, n int, e logic.Ending, load *logic.Load) {
 	s := &c.subs[n]
-	if s.state == subOver {
+	if s.state == subEnded {
 		return
 	}
 	// Danger: a link that is slow, or falls silent, may hold an answer that was given.
 	given := l.p.platform != nil && s.state >= subSent &&
 		(e == logic.Cancelled || e == logic.TimedOut || e == logic.Disconnected || e == logic.MalformedResponse)
-	s.state = subOver
+	s.state = subEnded
 	s.conn = nil
 	c.outstanding--
 	c.lastEnding = e
 	ev := event{kind: evOutcome, call: c, outcome: logic.Outcome{Txn: c.id(), Number: n, Ending: e,
 		Elapsed: l.now - s.since, Final: c.answered || c.clientLeft, MaybeAnswered: given}}
 	if load != nil {
-		ev.load, ev.loaded = *load, true
+		ev.load, ev.hasLoad = *load, true
 	}
 	l.stats.endings[e]++
 	l.enqueue(ev)
@@ -130,13 +130,13 @@
 
 // pool holds the connections to one worker.
 type pool struct {
-	id      logic.WorkerID
-	address string
-	gone    bool
-	idle    []*workerConn
-	waiting []waiter // submissions that need a connection, oldest first
-	conns   int      // open or being opened
-	dialing int
+	id         logic.WorkerID
+	address    string
+	removed    bool
+	idle       []*workerConn
+	waiting    []waiter // submissions that need a connection, oldest first
+	numConns   int      // open or being opened
+	numDialing int
 }
 
 type waiter struct {
@@ -159,8 +159,8 @@
 	}
 }
 
-// send starts submission n of a call at a worker.
-func (l *loop) send(c *call, w logic.WorkerID, timeout logic.Nanos) {
+// startSubmission starts submission n of a call at a worker.
+func (l *loop) startSubmission(c *call, w logic.WorkerID, timeout logic.Nanos) {
 	if c.n >= maxSubs { // the module holds no more either
 		return
 	}
@@ -174,11 +174,11 @@
 		return
 	}
 	if timeout > 0 && l.now+timeout < c.txn.Expiry {
-		l.timers.push(timer{at: l.now + timeout, token: uint64(c.id()), kind: subEnd, n: uint8(n)})
+		l.timers.push(timer{at: l.now + timeout, token: uint64(c.id()), kind: timerSubTimeout, n: uint8(n)})
 	}
 	for i := len(p.idle) - 1; i >= 0; i-- { // the one used last, as the others may be closing
 		wc := p.idle[i]
-		if l.now-wc.since > l.reuse.upTo {
+		if l.now-wc.since > l.reuseLimit.idleLimit {
 			l.closeWorkerConn(wc, false)
 			continue
 		}
@@ -192,37 +192,37 @@
 			continue
 		}
 		p.idle = append(p.idle[:i], p.idle[i+1:]...)
-		l.write(wc, c, n)
+		l.assignConn(wc, c, n)
 		return
 	}
 	p.waiting = append(p.waiting, waiter{c, c.gen, n})
-	l.timers.push(timer{at: l.now + l.connectTimeout, token: uint64(c.id()), kind: connWait, n: uint8(n)})
-	l.open(p)
+	l.timers.push(timer{at: l.now + l.connectTimeout, token: uint64(c.id()), kind: timerConnWait, n: uint8(n)})
+	l.dialForWaiters(p)
 }
 
-// open dials where a submission waits and no connection is on its way for it.
-func (l *loop) open(p *pool) {
+// dialForWaiters dials where a submission waits and no connection is on its way for it.
+func (l *loop) dialForWaiters(p *pool) {
 	if len(p.waiting) == 0 {
 		return
 	}
 	p.waiting = slices.DeleteFunc(p.waiting, func(w waiter) bool { return !w.valid() })
-	for p.dialing < len(p.waiting) && p.conns < l.p.cfg.WorkerLimits.MaxConnections &&
-		l.dialing < l.p.cfg.WorkerLimits.MaxDialing && !l.stopping {
-		if total := l.p.cfg.WorkerLimits.MaxTotalConnections; total > 0 && l.conns >= total && !l.spareOne(p) {
-			l.starved = append(l.starved, p)
+	for p.numDialing < len(p.waiting) && p.numConns < l.p.cfg.WorkerLimits.MaxConnections &&
+		l.numDialing < l.p.cfg.WorkerLimits.MaxDialing && !l.stopping {
+		if total := l.p.cfg.WorkerLimits.MaxTotalConnections; total > 0 && l.numConns >= total && !l.closeLongestIdle(p) {
+			l.starvedPools = append(l.starvedPools, p)
 			return
 		}
-		l.conns++
-		p.dialing++
-		p.conns++
-		l.dialing++
+		l.numConns++
+		p.numDialing++
+		p.numConns++
+		l.numDialing++
 		l.stats.dials++
 		l.dial(p)
 	}
 }
 
-// spareOne ends the connection of another pool that has been idle for longest, and tells whether there was one.
-func (l *loop) spareOne(but *pool) bool {
+// closeLongestIdle ends the connection of another pool that has been idle for longest, and tells whether there was one.
+func (l *loop) closeLongestIdle(but *pool) bool {
 	var best *workerConn
 	for _, wc := range l.workerConns.items {
 		if !wc.closed && wc.pool != nil && wc.pool != but && wc.call == nil && !wc.handshaking &&
@@ -236,28 +236,28 @@
 	return best != nil
 }
 
-// feed opens connections for pools that found none to be had.
-func (l *loop) feed() {
-	for len(l.starved) > 0 && l.conns < l.p.cfg.WorkerLimits.MaxTotalConnections {
-		p := l.starved[0]
-		l.starved = l.starved[1:]
-		l.open(p)
+// dialStarvedPools opens connections for pools that found none to be had.
+func (l *loop) dialStarvedPools() {
+	for len(l.starvedPools) > 0 && l.numConns < l.p.cfg.WorkerLimits.MaxTotalConnections {
+		p := l.starvedPools[0]
+		l.starvedPools = l.starvedPools[1:]
+		l.dialForWaiters(p)
 	}
 }
 
 // dialed takes the end of a dial that failed.
 func (l *loop) dialFailed(p *pool) {
-	p.dialing--
-	p.conns--
-	l.conns--
-	l.dialing--
+	p.numDialing--
+	p.numConns--
+	l.numConns--
+	l.numDialing--
 	l.stats.dialsFailed++
-	l.noneFor(p)
-	l.open(p)
+	l.failOldestWaiter(p)
+	l.dialForWaiters(p)
 }
 
-// noneFor tells the submission that has waited longest that there is no connection for it.
-func (l *loop) noneFor(p *pool) {
+// failOldestWaiter tells the submission that has waited longest that there is no connection for it.
+func (l *loop) failOldestWaiter(p *pool) {
 	for len(p.waiting) > 0 {
 		w := p.waiting[0]
 		p.waiting = p.waiting[1:]
@@ -268,8 +268,8 @@
 	}
 }
 
-// dropWaiting ends what waits for a connection to a worker that is wanted no more; it was never sent.
-func (l *loop) dropWaiting(p *pool) {
+// endPoolWaiters ends what waits for a connection to a worker that is wanted no more; it was never sent.
+func (l *loop) endPoolWaiters(p *pool) {
 	waiting := p.waiting
 	p.waiting = nil
 	for _, w := range waiting {
@@ -279,17 +279,17 @@
 	}
 }
 
-// offer gives a free connection to the submission that has waited longest, or keeps it. One that has just answered
+// offerConn gives a free connection to the submission that has waited longest, or keeps it. One that has just answered
 // rests first, where workers are known to send more than belongs to an answer.
-func (l *loop) offer(wc *workerConn) {
+func (l *loop) offerConn(wc *workerConn) {
 	p := wc.pool
 	rest := logic.Nanos(l.p.cfg.WorkerLimits.ReuseDelay)
-	if wc.used == 0 || rest == 0 {
-		if l.serveWaiting(wc) {
+	if wc.numUses == 0 || rest == 0 {
+		if l.serveOldestWaiter(wc) {
 			return
 		}
 	}
-	if p.gone || l.stopping {
+	if p.removed || l.stopping {
 		l.closeWorkerConn(wc, false)
 		return
 	}
@@ -299,12 +299,12 @@
 		l.armWorker(wc, l.now+rest)
 		return
 	}
-	l.armWorker(wc, l.now+l.workerIdle)
+	l.armWorker(wc, l.now+l.workerIdleTimeout)
 }
 
-// serveWaiting writes the submission that has waited longest for one of the pool's connections, and tells whether there
+// serveOldestWaiter writes the submission that has waited longest for one of the pool's connections, and tells whether there
 // was one.
-func (l *loop) serveWaiting(wc *workerConn) bool {
+func (l *loop) serveOldestWaiter(wc *workerConn) bool {
 	p := wc.pool
 	for len(p.waiting) > 0 {
 		w := p.waiting[0]
@@ -313,7 +313,7 @@
 			continue
 		}
 		if l.sentry.StillAllowed(l.now, w.call.id(), w.n) {
-			l.write(wc, w.call, w.n)
+			l.assignConn(wc, w.call, w.n)
 			return true
 		}
 		l.endSubmission(w.call, w.n, logic.Skipped, nil)
@@ -321,16 +321,16 @@
 	return false
 }
 
-// write puts a call's request on a connection.
-func (l *loop) write(wc *workerConn, c *call, n int) {
+// assignConn puts a call's request on a connection.
+func (l *loop) assignConn(wc *workerConn, c *call, n int) {
 	s := &c.subs[n]
 	s.state, s.conn = subSent, wc
 	wc.call, wc.gen, wc.n = c, c.gen, n
-	wc.hasLoad, wc.idled = false, l.now-wc.since
-	if wc.used == 0 {
-		wc.idled = 0
+	wc.hasLoad, wc.idledFor = false, l.now-wc.since
+	if wc.numUses == 0 {
+		wc.idledFor = 0
 	}
-	wc.used++
+	wc.numUses++
 	l.stats.sent++
 	if err := wc.protocol.writeSubmission(c, n); err != nil && !wc.closed {
 		l.closeWorkerConn(wc, true)
@@ -338,50 +338,50 @@
 	}
 }
 
-// reuse learns how long an idle connection is good for. Danger: what stands between may drop idle connections without a
+// reuseLimit learns how long an idle connection is good for. Danger: what stands between may drop idle connections without a
 // sign, sooner than is told; then each that is used again costs a submission that may have run.
-type reuse struct {
-	dies [spans]float64 // share that is reset at once, by how long they had been idle; the first: hardly
-	upTo logic.Nanos    // how long one may have been idle
-	most logic.Nanos
-	aged logic.Nanos // when old experience was last made less of
+type reuseLimit struct {
+	resetRates [idleBuckets]float64 // share that is reset at once, by how long they had been idle; the first: hardly
+	idleLimit  logic.Nanos          // how long one may have been idle
+	maxIdle    logic.Nanos
+	decayedAt  logic.Nanos // when old experience was last made less of
 }
 
 const (
-	spans     = 9 // each twice as long as the one before
-	firstSpan = 20 * logic.Millisecond
-	atOnce    = 3 * logic.Millisecond // a reset so soon speaks against the connection
-	learns    = 0.03
-	worse     = 0.08 // than a connection in steady use, by so much, and a span is not used
+	idleBuckets        = 9 // each twice as long as the one before
+	firstIdleBucket    = 20 * logic.Millisecond
+	promptReset        = 3 * logic.Millisecond // a reset so soon speaks against the connection
+	resetRateGain      = 0.03
+	maxExcessResetRate = 0.08 // than a connection in steady use, by so much, and a span is not used
 )
 
-// used notes how a connection fared that had been idle for so long.
-func (r *reuse) used(now, idled logic.Nanos, died bool) {
-	if now-r.aged > logic.Second { // what is not used any more is tried again in time
-		r.aged = now
-		for i := range r.dies {
-			r.dies[i] *= 0.95
+// observe notes how a connection fared that had been idle for so long.
+func (r *reuseLimit) observe(now, idled logic.Nanos, died bool) {
+	if now-r.decayedAt > logic.Second { // what is not used any more is tried again in time
+		r.decayedAt = now
+		for i := range r.resetRates {
+			r.resetRates[i] *= 0.95
 		}
 	}
 	at, hit := 0, 0.0
-	for end := firstSpan; idled > end && at < spans-1; end *= 2 {
+	for end := firstIdleBucket; idled > end && at < idleBuckets-1; end *= 2 {
 		at++
 	}
 	if died {
 		hit = 1
 	}
-	r.dies[at] += learns * (hit - r.dies[at])
-	r.upTo = r.most
-	for i, end := 1, firstSpan; i < spans; i, end = i+1, end*2 {
-		if r.dies[i] > r.dies[0]+worse {
-			r.upTo = min(r.upTo, end)
+	r.resetRates[at] += resetRateGain * (hit - r.resetRates[at])
+	r.idleLimit = r.maxIdle
+	for i, end := 1, firstIdleBucket; i < idleBuckets; i, end = i+1, end*2 {
+		if r.resetRates[i] > r.resetRates[0]+maxExcessResetRate {
+			r.idleLimit = min(r.idleLimit, end)
 			break
 		}
 	}
 }
 
-// stop ends a submission from our side.
-func (l *loop) stop(c *call, n int, e logic.Ending) {
+// stopSubmission ends a submission from our side.
+func (l *loop) stopSubmission(c *call, n int, e logic.Ending) {
 	s := &c.subs[n]
 	switch s.state {
 	case subWaiting:
@@ -396,19 +396,19 @@
 		if s.conn.protocol.hasUnsent() { // what never left this host whole cannot have run
 			e = logic.ConnectFailed
 		} else if e == logic.Cancelled && s.conn.protocol.halfClose() {
-			l.giveUp(s)
+			l.startHalfClose(s)
 			return
 		}
-		l.cut(s.conn, e)
-	case subStopping:
+		l.abortSubmission(s.conn, e)
+	case subHalfClosed:
 		if e == logic.TimedOut {
-			l.cut(s.conn, e)
+			l.abortSubmission(s.conn, e)
 		}
 	}
 }
 
-// cut ends a submission with its connection. Danger: one whose answer had begun has run, and counts as answered.
-func (l *loop) cut(wc *workerConn, e logic.Ending) {
+// abortSubmission ends a submission with its connection. Danger: one whose answer had begun has run, and counts as answered.
+func (l *loop) abortSubmission(wc *workerConn, e logic.Ending) {
 	c, n := wc.call, wc.n
 	if (e == logic.TimedOut || e == logic.Cancelled) && wc.protocol.answerStarted() {
 		e = logic.MalformedResponse
@@ -417,22 +417,22 @@
 	l.endSubmission(c, n, e, nil)
 }
 
-// crossing is how long an answer that crosses our giving up is waited for.
-const crossing = 20 * logic.Millisecond
+// halfCloseWait is how long an answer that crosses our giving up is waited for.
+const halfCloseWait = 20 * logic.Millisecond
 
-// giveUp ends our sending on a submission's connection. Danger: an answer that crosses this has been given, and the module
+// startHalfClose ends our sending on a submission's connection. Danger: an answer that crosses this has been given, and the module
 // must hear of it: the key counts as answered by its build.
-func (l *loop) giveUp(s *submission) {
-	s.state = subStopping
-	s.conn.stops = l.now
-	l.armWorker(s.conn, l.now+crossing)
+func (l *loop) startHalfClose(s *submission) {
+	s.state = subHalfClosed
+	s.conn.halfClosedAt = l.now
+	l.armWorker(s.conn, l.now+halfCloseWait)
 }
 
-// lastCall gives up what is out of a call so shortly before its expiry that what crosses is still heard.
-func (l *loop) lastCall(c *call) {
+// halfCloseOutstanding gives up what is out of a call so shortly before its expiry that what crosses is still heard.
+func (l *loop) halfCloseOutstanding(c *call) {
 	for n := 0; n < c.n; n++ {
 		if s := &c.subs[n]; s.state == subSent && !s.conn.protocol.hasUnsent() && s.conn.protocol.halfClose() {
-			l.giveUp(s)
+			l.startHalfClose(s)
 		}
 	}
 }
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -22,23 +22,23 @@
 	"dunegrade/config"
 )
 
-// stub is a worker that does what a test scripts, with raw bytes.
-type stub struct {
+// stubWorker is a worker that does what a test scripts, with raw bytes.
+type stubWorker struct {
 	net.Listener
-	seen  atomic.Int64 // requests read
-	hung  atomic.Int64 // connections that ended under it
-	group sync.WaitGroup
+	requests atomic.Int64 // requests read
+	ended    atomic.Int64 // connections that ended under it
+	group    sync.WaitGroup
 }
 
-// script answers one request on its connection, and tells whether the connection goes on.
-type script func(c net.Conn, r *http.Request, body []byte) bool
+// handler answers one request on its connection, and tells whether the connection goes on.
+type handler func(c net.Conn, r *http.Request, body []byte) bool
 
-func newStubWorker(t *testing.T, do script) *stub {
+func newStubWorker(t *testing.T, do handler) *stubWorker {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &stub{Listener: ln}
+	s := &stubWorker{Listener: ln}
 	s.group.Go(func() {
 		for {
 			c, err := ln.Accept()
@@ -51,11 +51,11 @@
 				for {
 					r, err := http.ReadRequest(in)
 					if err != nil {
-						s.hung.Add(1)
+						s.ended.Add(1)
 						return
 					}
 					body, _ := io.ReadAll(r.Body)
-					s.seen.Add(1)
+					s.requests.Add(1)
 					if !do(c, r, body) {
 						return
 					}
@@ -66,7 +66,7 @@
 	return s
 }
 
-func say(text string) script {
+func respond(text string) handler {
 	return func(c net.Conn, r *http.Request, body []byte) bool { io.WriteString(c, text); return true }
 }
 
@@ -81,17 +81,17 @@
 	return false
 }
 
-func reset(c net.Conn, r *http.Request, body []byte) bool {
+func resetConn(c net.Conn, r *http.Request, body []byte) bool {
 	c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-// silentSource tells nothing: tests hand the process its news.
-type silentSource struct{}
+// idleSource tells nothing: tests hand the process its news.
+type idleSource struct{}
 
-func (silentSource) Run(ctx context.Context, _ EventHandler) { <-ctx.Done() }
-func (silentSource) Refresh()                                {}
-func (silentSource) Vote(context.Context, api.Vote) (api.ReleaseEvent, error) {
+func (idleSource) Run(ctx context.Context, _ EventHandler) { <-ctx.Done() }
+func (idleSource) Refresh()                                {}
+func (idleSource) Vote(context.Context, api.Vote) (api.ReleaseEvent, error) {
 	return api.ReleaseEvent{}, api.ErrStaleVote
 }
 
@@ -111,12 +111,12 @@
   (release (caps 0.1 1) (shares 0.1 1) (window 6s)))`
 
 // startEdge runs an edge in this process with workers, and ends it with the test.
-func startEdge(t *testing.T, extra string, workers ...*stub) *testEdge {
+func startEdge(t *testing.T, extra string, workers ...*stubWorker) *testEdge {
 	t.Helper()
 	return startLogged(t, zap.NewNop(), extra, workers...)
 }
 
-func startLogged(t *testing.T, log *zap.Logger, extra string, workers ...*stub) *testEdge {
+func startLogged(t *testing.T, log *zap.Logger, extra string, workers ...*stubWorker) *testEdge {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
 	plan, err := config.ParseEdge("t.sexp", fmt.Sprintf(configTemplate, extra))
@@ -124,7 +124,7 @@
 		t.Fatal(err)
 	}
 	r := &testEdge{t: t, p: New(plan, log), done: make(chan error, 1)}
-	r.p.source = silentSource{}
+	r.p.source = idleSource{}
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
 	listening := make(chan net.Addr, 1)
@@ -142,7 +142,7 @@
 		}
 		r.p.Workers(e)
 		r.p.Release(api.ReleaseEvent{Release: api.Release{Build: 1, Phase: api.Released, Cap: 1}})
-		r.settle()
+		r.waitForLoops()
 	}
 	t.Cleanup(func() {
 		stop()
@@ -160,8 +160,8 @@
 	return r
 }
 
-// settle waits until the loops have done what was posted.
-func (r *testEdge) settle() {
+// waitForLoops waits until the loops have done what was posted.
+func (r *testEdge) waitForLoops() {
 	for _, l := range r.p.loops {
 		done := make(chan struct{})
 		l.post(func() { close(done) })
@@ -217,37 +217,37 @@
 	big := strings.Repeat("0123456789abcdef", 1<<17) // 2 MiB: a carrier's
 	cases := []struct {
 		name   string
-		worker script
+		worker handler
 		raw    string
 		method string
 		status int
 		body   string
 	}{
-		{"with a length", say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), get("/ask"), "GET", 200, "hi"},
-		{"chunked", say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), get("/ask"), "GET", 200, "hi"},
+		{"with a length", respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), get("/ask"), "GET", 200, "hi"},
+		{"chunked", respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), get("/ask"), "GET", 200, "hi"},
 		{"until close", func(c net.Conn, r *http.Request, b []byte) bool {
 			io.WriteString(c, "HTTP/1.0 200 OK\r\n\r\nhi")
 			return false
 		},
 			get("/ask"), "GET", 200, "hi"},
-		{"to HEAD", say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"), "HEAD /ask HTTP/1.1\r\nHost: t\r\n\r\n", "HEAD", 200, ""},
-		{"without body", say("HTTP/1.1 204 No\r\n\r\n"), get("/ask"), "GET", 204, ""},
-		{"after a hint", say("HTTP/1.1 103 Hint\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), get("/ask"), "GET", 200, "hi"},
-		{"large", say("HTTP/1.1 200 OK\r\nContent-Length: 2097152\r\n\r\n" + big), get("/ask"), "GET", 200, big},
-		{"large, chunked", say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n200000\r\n" + big + "\r\n0\r\n\r\n"), get("/ask"), "GET", 200, big},
+		{"to HEAD", respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"), "HEAD /ask HTTP/1.1\r\nHost: t\r\n\r\n", "HEAD", 200, ""},
+		{"without body", respond("HTTP/1.1 204 No\r\n\r\n"), get("/ask"), "GET", 204, ""},
+		{"after a hint", respond("HTTP/1.1 103 Hint\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), get("/ask"), "GET", 200, "hi"},
+		{"large", respond("HTTP/1.1 200 OK\r\nContent-Length: 2097152\r\n\r\n" + big), get("/ask"), "GET", 200, big},
+		{"large, chunked", respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n200000\r\n" + big + "\r\n0\r\n\r\n"), get("/ask"), "GET", 200, big},
 		{"large, until close", func(c net.Conn, r *http.Request, b []byte) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+big)
 			return false
 		},
 			get("/ask"), "GET", 200, big},
-		{"a client's fault", say("HTTP/1.1 422 No\r\nContent-Length: 2\r\n\r\nno"), get("/ask"), "GET", 422, "no"},
-		{"an error", say("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
-		{"garbage", say("\x00\x01\r\n\r\n"), post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
+		{"a client's fault", respond("HTTP/1.1 422 No\r\nContent-Length: 2\r\n\r\nno"), get("/ask"), "GET", 422, "no"},
+		{"an error", respond("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
+		{"garbage", respond("\x00\x01\r\n\r\n"), post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
 		{"too little", func(c net.Conn, r *http.Request, b []byte) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi")
 			return false
 		}, post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
-		{"turned away unseen", say("HTTP/1.1 503 No\r\nDunegrade-Unseen: 1\r\nContent-Length: 0\r\n\r\n"), post("/pay"), "POST", 503, declinedBody},
+		{"turned away unseen", respond("HTTP/1.1 503 No\r\nDunegrade-Unseen: 1\r\nContent-Length: 0\r\n\r\n"), post("/pay"), "POST", 503, declinedBody},
 		{"nothing", hang, post("/pay"), "POST", 504, "voided: no answer in time; it may have had its effect\n"},
 		{"no route", echo, get("/other"), "GET", 404, "no route fits this request\n"},
 		{"a body", echo, "POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 3\r\n\r\nabc", "POST", 200, "/payabc"},
@@ -273,16 +273,16 @@
 func TestSecondSubmissions(t *testing.T) {
 	for _, c := range []struct {
 		name, raw string
-		first     script
+		first     handler
 		status    int
 		seen      int64
 	}{
-		{"inquiry, reset", get("/ask"), reset, 200, 2},
-		{"referenced, reset", post("/book"), reset, 200, 2},
-		{"once-only, reset", post("/pay"), reset, 502, 1},
-		{"once-only, error", post("/pay"), say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
-		{"once-only, unseen", post("/pay"), say("HTTP/1.1 503 No\r\nDunegrade-Unseen: 1\r\nContent-Length: 0\r\n\r\n"), 200, 2},
-		{"once-only, 503 that may have run", post("/pay"), say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
+		{"inquiry, reset", get("/ask"), resetConn, 200, 2},
+		{"referenced, reset", post("/book"), resetConn, 200, 2},
+		{"once-only, reset", post("/pay"), resetConn, 502, 1},
+		{"once-only, error", post("/pay"), respond("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
+		{"once-only, unseen", post("/pay"), respond("HTTP/1.1 503 No\r\nDunegrade-Unseen: 1\r\nContent-Length: 0\r\n\r\n"), 200, 2},
+		{"once-only, 503 that may have run", post("/pay"), respond("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
 		{"inquiry, silence: a second copy", get("/ask"), hang, 200, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -340,7 +340,7 @@
 	n := 0
 	r := startEdge(t, "(door (answer-buffer 1KiB))", newStubWorker(t, func(c net.Conn, r *http.Request, b []byte) bool {
 		if n++; n == 1 {
-			return say("HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n"+strings.Repeat("x", 4000))(c, r, b)
+			return respond("HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n"+strings.Repeat("x", 4000))(c, r, b)
 		}
 		return echo(c, r, b)
 	}))
@@ -391,7 +391,7 @@
 			if err != nil && c.status == 0 || c.status > 0 && !strings.HasPrefix(string(got), fmt.Sprintf("HTTP/1.1 %d ", c.status)) {
 				t.Errorf("got %q, %v", got, err)
 			}
-			if w.seen.Load() != 0 {
+			if w.requests.Load() != 0 {
 				t.Error("a worker saw it")
 			}
 			if answers, _ := r.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
@@ -559,16 +559,16 @@
 	r := startEdge(t, "", a, b)
 	r.roundTrip(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
 	r.p.Workers(api.WorkersEvent{Type: api.Change, Revision: 2, Workers: []api.Worker{{ID: "w0", Address: a.Addr().String(), State: api.Draining, Build: 1}}})
-	r.settle()
-	before := a.seen.Load()
+	r.waitForLoops()
+	before := a.requests.Load()
 	r.roundTrip(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
-	if a.seen.Load() != before || before == 0 {
-		t.Errorf("a draining worker went from %d to %d", before, a.seen.Load())
+	if a.requests.Load() != before || before == 0 {
+		t.Errorf("a draining worker went from %d to %d", before, a.requests.Load())
 	}
 }
 
-// pump is a worker that answers without allocating, and drive a client of the same kind.
-func pump(c net.Conn) {
+// serveFixedAnswer is a worker that answers without allocating, and drive a client of the same kind.
+func serveFixedAnswer(c net.Conn) {
 	buf := make([]byte, 4096)
 	out := []byte("HTTP/1.1 200 OK\r\nContent-Length: 64\r\nendpoint-load-metrics: TEXT cpu_utilization=0.2, named_metrics.queue=0\r\n\r\n" + strings.Repeat("x", 64))
 	for {
@@ -594,11 +594,11 @@
 			if err != nil {
 				return
 			}
-			group.Go(func() { defer c.Close(); pump(c) })
+			group.Go(func() { defer c.Close(); serveFixedAnswer(c) })
 		}
 	})
 	t.Cleanup(group.Wait)
-	r := startEdge(t, "", &stub{Listener: ln})
+	r := startEdge(t, "", &stubWorker{Listener: ln})
 	c := r.dial()
 	raw, buf := []byte(post("/pay/1")), make([]byte, 4096) // no second copies of these
 	one := func() {
--- a/edge/kept_list.go
+++ b/edge/kept_list.go
@@ -16,28 +16,28 @@
 	"go.uber.org/zap"
 )
 
-// saveSoon writes what is to outlive a restart; a storm of changes is written once.
-func (p *Process) saveSoon() {
+// scheduleSave writes what is to outlive a restart; a storm of changes is written once.
+func (p *Process) scheduleSave() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.saving == nil && !p.closed && p.cfg.StateDir != "" {
-		p.saving = time.AfterFunc(100*time.Millisecond, func() { p.saveState(false) }) // of no effect after lastSave
+	if p.saveTimer == nil && !p.saveClosed && p.cfg.StateDir != "" {
+		p.saveTimer = time.AfterFunc(100*time.Millisecond, func() { p.saveState(false) }) // of no effect after lastSave
 	}
 }
 
 // saveFinal writes what is kept at the end of the process, and lets nothing be written after.
 func (p *Process) saveFinal() {
 	p.mu.Lock()
-	p.closed = true
-	if p.saving != nil {
-		p.saving.Stop()
+	p.saveClosed = true
+	if p.saveTimer != nil {
+		p.saveTimer.Stop()
 	}
 	p.mu.Unlock()
 	p.saveState(true)
 }
 
-// keptList is the file of the last list.
-type keptList struct {
+// savedState is the file of the last list.
+type savedState struct {
 	Version int          `json:"version"`
 	Saved   int64        `json:"saved"`           // by this host's clock
 	Clock   int64        `json:"clock,omitempty"` // the platform's at that moment: starts are told by it
@@ -45,8 +45,8 @@
 	Release api.Release  `json:"release"`
 }
 
-// check gives what no list can hold.
-func (k *keptList) check() error {
+// validate gives what no list can hold.
+func (k *savedState) validate() error {
 	if k.Version != 1 {
 		return fmt.Errorf("version: found %d, wanted 1", k.Version)
 	}
@@ -71,15 +71,15 @@
 
 // saveState writes the last list beside its place and moves it there, so that a crash leaves the old one or the new.
 func (p *Process) saveState(last bool) {
-	p.disk.Lock() // Danger: two writers of one file would leave a mixture of both
-	defer p.disk.Unlock()
+	p.saveMu.Lock() // Danger: two writers of one file would leave a mixture of both
+	defer p.saveMu.Unlock()
 	p.mu.Lock()
-	if p.saving = nil; p.closed && !last {
+	if p.saveTimer = nil; p.saveClosed && !last {
 		p.mu.Unlock()
 		return
 	}
 	now := time.Now().UnixNano()
-	k := keptList{Version: 1, Saved: now, Clock: now + p.ahead, Release: p.release}
+	k := savedState{Version: 1, Saved: now, Clock: now + p.clockOffset, Release: p.release}
 	for _, w := range p.workers {
 		k.Workers = append(k.Workers, w)
 	}
@@ -95,13 +95,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	failed := err != nil
-	if failed && !p.closed && p.saving == nil { // Danger: else the next start would not know of it until something else changes
-		p.saving = time.AfterFunc(time.Second, func() { p.saveState(false) })
+	if failed && !p.saveClosed && p.saveTimer == nil { // Danger: else the next start would not know of it until something else changes
+		p.saveTimer = time.AfterFunc(time.Second, func() { p.saveState(false) })
 	}
-	if failed == p.unkept {
+	if failed == p.saveFailed {
 		return
 	}
-	if p.unkept = failed; failed {
+	if p.saveFailed = failed; failed {
 		p.log.Warn("the last list could not be kept", zap.Error(err))
 	} else {
 		p.log.Info("the last list is kept again", zap.Int("workers", len(k.Workers)))
@@ -141,12 +141,12 @@
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
-	var k keptList
+	var k savedState
 	if err == nil {
 		err = json.Unmarshal(data, &k)
 	}
 	if err == nil {
-		err = k.check()
+		err = k.validate()
 	}
 	if err != nil {
 		p.log.Warn("the kept list is refused", zap.String("file", p.statePath()), zap.Error(err))
@@ -158,7 +158,7 @@
 	if k.Clock != 0 {
 		list.Now = k.Clock + age
 	}
-	p.ahead = list.Now - now
+	p.clockOffset = list.Now - now
 	for _, w := range k.Workers {
 		p.workers[w.ID] = w
 	}
@@ -167,7 +167,7 @@
 	// so it gets nothing until then.
 	if k.Release != (api.Release{}) {
 		p.release = k.Release
-		n := newsOf(api.ReleaseEvent{Release: k.Release}, false)
+		n := toReleaseUpdate(api.ReleaseEvent{Release: k.Release}, false)
 		if n.Phase != logic.Released {
 			n.Cap = 0
 		}
--- a/edge/live.go
+++ b/edge/live.go
@@ -29,16 +29,16 @@
 	return p
 }
 
-// told gives what a live edge was told at its start, as its loops take it.
-func (l *PlatformOptions) told() (*api.WorkersEvent, *logic.ReleaseUpdate) {
-	n := newsOf(l.Release, false)
+// initialState gives what a live edge was initialState at its start, as its loops take it.
+func (l *PlatformOptions) initialState() (*api.WorkersEvent, *logic.ReleaseUpdate) {
+	n := toReleaseUpdate(l.Release, false)
 	return &l.Known, &n
 }
 
-// patientStart is how long a new edge waits for the list of the moment before it serves by the one it was started with.
-const patientStart = 1500 * time.Millisecond
+// freshListWait is how long a new edge waits for the list of the moment before it serves by the one it was started with.
+const freshListWait = 1500 * time.Millisecond
 
 // canServe tells whether this edge knows enough to serve: the list of the moment, or after a while the one known before.
 func (l *loop) canServe() bool {
-	return l.listed || len(l.p.platform.Known.Workers) > 0 && time.Since(l.p.began) > patientStart
+	return l.listCurrent || len(l.p.platform.Known.Workers) > 0 && time.Since(l.p.startedAt) > freshListWait
 }
--- a/edge/loop.go
+++ b/edge/loop.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	keptBuffer = 64 << 10         // a buffer larger than that is not kept for reuse
-	wakeGap    = time.Millisecond // wakes come no closer than that
+	maxReusedBuffer = 64 << 10         // a buffer larger than that is not kept for reuse
+	minWakeInterval = time.Millisecond // wakes come no closer than that
 )
 
 // eventKind says which of the module's methods an event is for.
@@ -36,7 +36,7 @@
 	evStreaming
 	evAnswerBegun
 	evTimer
-	evCall // anything rare, as a function
+	evFunc // anything rare, as a function
 )
 
 type event struct {
@@ -44,103 +44,103 @@
 	call    *call
 	outcome logic.Outcome
 	load    logic.Load
-	loaded  bool
+	hasLoad bool
 	token   uint64
-	do      func(now logic.Nanos)
+	run     func(now logic.Nanos)
 }
 
-// actKind says what the module wants done.
-type actKind uint8
+// actionKind says what the module wants done.
+type actionKind uint8
 
 const (
-	actSubmit actKind = iota
-	actCancel
-	actDecline
-	actVoid
-	actRemind
+	actionSubmit actionKind = iota
+	actionCancel
+	actionDecline
+	actionVoid
+	actionSetTimer
 )
 
-type act struct {
-	kind   actKind
-	txn    logic.TxnID
-	worker logic.WorkerID
-	span   logic.Nanos
-	n      int
-	token  uint64
+type action struct {
+	kind     actionKind
+	txn      logic.TxnID
+	worker   logic.WorkerID
+	duration logic.Nanos
+	n        int
+	token    uint64
 }
 
 // loop is one event loop with the sentry that lives on it. Everything here is touched on that loop's goroutine
 // alone, but for what is marked otherwise.
 type loop struct {
 	gnet.BuiltinEventEngine
-	p         *Process
-	number    int // of the sentry among all
-	client    *gnet.Client
-	eventLoop gnet.EventLoop
-	log       *zap.Logger
-	rng       *rand.Rand
-	now       logic.Nanos
-	sentry    *logic.Sentry
-	rec       *trace.Recorder // nil: nothing is recorded
-	taking    logic.TxnID     // the txn that the module is being handed; 0: none
-	runID     uint64          // drawn at the start
-	serial    uint64          // of the last txn
-
-	calls        slab[call]
-	externalIDs  map[uint64]struct{} // ids of the calls in hand, where clients give them
-	clientConns  slab[clientConn]
-	workerConns  slab[workerConn]
-	pools        map[logic.WorkerID]*pool
-	workerStarts map[logic.WorkerID]workerStart
-	listSeen     bool // of a first list
-	startsTold   bool // by the source, for each worker; 0: long past
-	dialing      int
-	reuse        reuse
-	conns        int     // to workers, open or being opened
-	starved      []*pool // that wait for one of them to end
-	heldBytes    int     // bytes that came from clients and were not used yet
-	timers       timerHeap
-
-	events      []event
-	acts        []act
-	resumeReads []*clientConn // answered; their next request may be in hand
-	pumping     bool
-	depth       int // of calls from gnet within one another
-	load        logic.Load
+	p           *Process
+	sentryIndex int // of the sentry among all
+	client      *gnet.Client
+	eventLoop   gnet.EventLoop
+	log         *zap.Logger
+	rng         *rand.Rand
+	now         logic.Nanos
+	sentry      *logic.Sentry
+	recorder    *trace.Recorder // nil: nothing is recorded
+	admitting   logic.TxnID     // the txn that the module is being handed; 0: none
+	runID       uint64          // drawn at the start
+	serial      uint64          // of the last txn
+
+	calls              slab[call]
+	externalIDs        map[uint64]struct{} // ids of the calls in hand, where clients give them
+	clientConns        slab[clientConn]
+	workerConns        slab[workerConn]
+	pools              map[logic.WorkerID]*pool
+	workerStarts       map[logic.WorkerID]workerStart
+	listSeen           bool // of a first list
+	startTimesReported bool // by the source, for each worker; 0: long past
+	numDialing         int
+	reuseLimit         reuseLimit
+	numConns           int     // to workers, open or being opened
+	starvedPools       []*pool // that wait for one of them to end
+	heldBytes          int     // bytes that came from clients and were not used yet
+	timers             timerHeap
+
+	events        []event
+	actions       []action
+	resumeReads   []*clientConn // answered; their next request may be in hand
+	processing    bool
+	callbackDepth int // of calls from gnet within one another
+	load          logic.Load
 
 	req     http1.Request // of the moment
 	resp    http1.Response
 	scratch []byte
 	fields  []byte
 
-	connectTimeout, workerIdle logic.Nanos
-	draining, stopping         bool
-	answerDeadline             logic.Nanos   // in a drain: when what is in hand is answered at the latest
-	drained                    chan struct{} // closed when no request can be read any more
-	drainSignaled              bool
-	closingConns               []closingConn
-	closingTimerSet            bool
-	spareFD                    int  // a descriptor held for when none is left; -1: none
-	listed                     bool // the list of the moment has come
-	voting                     bool
-	stats                      stats
-	shown                      atomic.Pointer[stats] // for whoever asks; any goroutine
-	clientCount                atomic.Int64          // open connections of clients; any goroutine
+	connectTimeout, workerIdleTimeout logic.Nanos
+	draining, stopping                bool
+	answerDeadline                    logic.Nanos   // in a drain: when what is in hand is answered at the latest
+	drained                           chan struct{} // closed when no request can be read any more
+	drainSignaled                     bool
+	closingConns                      []closingConn
+	closingTimerSet                   bool
+	spareFD                           int  // a descriptor held for when none is left; -1: none
+	listCurrent                       bool // the list of the moment has come
+	voteInFlight                      bool
+	stats                             stats
+	statsSnapshot                     atomic.Pointer[stats] // for whoever asks; any goroutine
+	clientCount                       atomic.Int64          // open connections of clients; any goroutine
 
 	// Work from other goroutines, and what wakes the loop for it.
-	mu     sync.Mutex
-	posted []func()
-	waker  net.Conn
-	armed  atomic.Int64 // when the alarm goes off; 0: it does not
-	rearm  chan struct{}
-	lastWk logic.Nanos
-	group  sync.WaitGroup // dials, votes, carriers, the alarm
-	quit   chan struct{}
+	mu           sync.Mutex
+	postedFuncs  []func()
+	wakeConn     net.Conn
+	alarmAt      atomic.Int64 // when the alarm goes off; 0: it does not
+	alarmChanged chan struct{}
+	lastWake     logic.Nanos
+	group        sync.WaitGroup // dials, votes, carriers, the alarm
+	quit         chan struct{}
 }
 
 // workerStart is what tells one process from the next under its id, with its start by this host's clock.
 type workerStart struct {
-	stamp     int64
+	reported  int64
 	address   string
 	build     int
 	startedAt logic.Nanos
@@ -151,10 +151,10 @@
 	// One seed for each sentry, and nothing that two sentries share.
 	seed := int64(xxhash.Sum64(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil,
 		uint64(p.cfg.Seed)), uint64(number))) >> 1)
-	l := &loop{p: p, number: number, log: p.log.With(zap.Int("sentry", number)), rng: rand.New(rand.NewSource(seed)),
-		externalIDs: map[uint64]struct{}{}, pools: map[logic.WorkerID]*pool{}, workerStarts: map[logic.WorkerID]workerStart{}, rearm: make(chan struct{}, 1), drained: make(chan struct{}), spareFD: -1,
-		startsTold: p.platform != nil, quit: make(chan struct{}), connectTimeout: logic.Nanos(p.cfg.WorkerLimits.ConnectTimeout),
-		workerIdle: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout), reuse: reuse{upTo: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout), most: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout)}}
+	l := &loop{p: p, sentryIndex: number, log: p.log.With(zap.Int("sentry", number)), rng: rand.New(rand.NewSource(seed)),
+		externalIDs: map[uint64]struct{}{}, pools: map[logic.WorkerID]*pool{}, workerStarts: map[logic.WorkerID]workerStart{}, alarmChanged: make(chan struct{}, 1), drained: make(chan struct{}), spareFD: -1,
+		startTimesReported: p.platform != nil, quit: make(chan struct{}), connectTimeout: logic.Nanos(p.cfg.WorkerLimits.ConnectTimeout),
+		workerIdleTimeout: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout), reuseLimit: reuseLimit{idleLimit: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout), maxIdle: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout)}}
 	l.runID = xxhash.Sum64(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64([]byte(p.cfg.Name), uint64(p.epoch)), uint64(number)))
 	return l
 }
@@ -162,7 +162,7 @@
 // start brings up the event loop and its sentry; list and news are what was known before a restart.
 func (l *loop) start(list *api.WorkersEvent, news *logic.ReleaseUpdate) error {
 	var err error
-	l.client, err = gnet.NewClient(l, gnet.WithLogger(quiet{l.p.log}), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
+	l.client, err = gnet.NewClient(l, gnet.WithLogger(gnetLogger{l.p.log}), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
 		gnet.WithReadBufferCap(64<<10), gnet.WithNumEventLoop(1))
 	if err != nil {
 		return err
@@ -170,33 +170,33 @@
 	if err := l.client.Start(); err != nil {
 		return err
 	}
-	ours, theirs, err := wakePair()
+	ours, theirs, err := newWakePair()
 	if err != nil {
 		return err
 	}
-	l.waker = ours
+	l.wakeConn = ours
 	l.reserveFD()
-	c, err := l.client.EnrollContext(theirs, wakeMark{})
+	c, err := l.client.EnrollContext(theirs, wakeContext{})
 	if err != nil {
 		return err
 	}
 	l.eventLoop = c.EventLoop()
 	l.group.Add(1)
-	go l.alarm()
+	go l.runAlarm()
 	ready := make(chan struct{})
 	l.post(func() {
-		l.hand(event{kind: evCall, do: func(now logic.Nanos) {
+		l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
 			settings := map[string]any{}
 			for k, v := range l.p.cfg.Module {
 				settings[k] = v
 			}
-			settings["index"] = float64(l.number)
+			settings["index"] = float64(l.sentryIndex)
 			seed := l.rng.Int63()
-			if err = l.record(settings); err != nil {
+			if err = l.openRecorder(settings); err != nil {
 				return
 			}
-			if l.rec != nil {
-				l.rec.Start(now, seed)
+			if l.recorder != nil {
+				l.recorder.Start(now, seed)
 			}
 			l.sentry = logic.New(now, seed, settings, l)
 		}})
@@ -205,10 +205,10 @@
 			return
 		}
 		if list != nil {
-			l.list(logic.Restored, *list)
+			l.applyWorkerList(logic.Restored, *list)
 		}
 		if news != nil {
-			l.tellNews(*news)
+			l.deliverRelease(*news)
 		}
 		close(ready)
 	})
@@ -216,13 +216,13 @@
 	return err
 }
 
-// record opens the recorder where the plan wants one.
-func (l *loop) record(settings map[string]any) (err error) {
+// openRecorder opens the recorder where the plan wants one.
+func (l *loop) openRecorder(settings map[string]any) (err error) {
 	t := &l.p.cfg.Trace
 	if t.Dir == "" {
 		return nil
 	}
-	h := &tracepb.Header{Edge: l.p.cfg.Name, Sentry: uint32(l.number), Customers: l.p.cfg.Customers, Life: l.runID,
+	h := &tracepb.Header{Edge: l.p.cfg.Name, Sentry: uint32(l.sentryIndex), Customers: l.p.cfg.Customers, Life: l.runID,
 		Wall: time.Now().UnixNano(), Start: int64(l.p.clock())}
 	switch t.Level {
 	case "sampled":
@@ -233,80 +233,80 @@
 	for i := range l.p.cfg.Products {
 		h.Products = append(h.Products, l.p.cfg.Products[i].Name)
 	}
-	l.rec, err = trace.NewTailed(trace.Disk(t.Dir), t.TailDir, trace.Keep{SegmentBytes: t.SegmentBytes, SegmentAge: t.SegmentAge,
+	l.recorder, err = trace.NewTailed(trace.Disk(t.Dir), t.TailDir, trace.Keep{SegmentBytes: t.SegmentBytes, SegmentAge: t.SegmentAge,
 		TotalBytes: t.TotalBytes}, h, settings, l.log)
 	return err
 }
 
-// tellList and the methods below hand rare events to the module, and record them first.
-func (l *loop) tellList(mode logic.ListMode, list []logic.Worker) {
-	l.hand(event{kind: evCall, do: func(now logic.Nanos) {
-		if l.rec != nil {
-			l.rec.List(now, mode, list)
+// deliverWorkers and the methods below hand rare events to the module, and record them first.
+func (l *loop) deliverWorkers(mode logic.ListMode, list []logic.Worker) {
+	l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
+		if l.recorder != nil {
+			l.recorder.List(now, mode, list)
 		}
 		l.sentry.UpdateWorkers(now, mode, list)
 	}})
 }
 
-func (l *loop) tellNews(n logic.ReleaseUpdate) {
-	l.hand(event{kind: evCall, do: func(now logic.Nanos) {
-		if l.rec != nil {
-			l.rec.News(now, n)
+func (l *loop) deliverRelease(n logic.ReleaseUpdate) {
+	l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
+		if l.recorder != nil {
+			l.recorder.News(now, n)
 		}
 		l.sentry.ReleaseUpdate(now, n)
 	}})
 }
 
-func (l *loop) tellTally(t logic.Tally) {
-	l.hand(event{kind: evCall, do: func(now logic.Nanos) {
-		if l.rec != nil {
-			l.rec.Tally(now, t)
+func (l *loop) deliverTally(t logic.Tally) {
+	l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
+		if l.recorder != nil {
+			l.recorder.Tally(now, t)
 		}
 		l.sentry.Tally(now, t)
 	}})
 }
 
-func (l *loop) tellContested(p logic.ProductID, w logic.WorkerID, age logic.Nanos) {
-	l.hand(event{kind: evCall, do: func(now logic.Nanos) {
-		if l.rec != nil {
-			l.rec.Contested(now, p, w, age)
+func (l *loop) deliverContested(p logic.ProductID, w logic.WorkerID, age logic.Nanos) {
+	l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
+		if l.recorder != nil {
+			l.recorder.Contested(now, p, w, age)
 		}
 		l.sentry.Contested(now, p, w, age)
 	}})
 }
 
-func (l *loop) tellTold(from int, data []byte) {
-	l.hand(event{kind: evCall, do: func(now logic.Nanos) {
-		if l.rec != nil {
-			l.rec.Told(now, from, data)
+func (l *loop) deliverPeerMessage(from int, data []byte) {
+	l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
+		if l.recorder != nil {
+			l.recorder.Told(now, from, data)
 		}
 		l.sentry.PeerMessage(now, from, data)
 	}})
 }
 
-type wakeMark struct{}
+type wakeContext struct{}
 
 // post runs a function on the loop. Any goroutine may call it.
 func (l *loop) post(do func()) {
 	l.mu.Lock()
-	first := len(l.posted) == 0
-	l.posted = append(l.posted, do)
+	first := len(l.postedFuncs) == 0
+	l.postedFuncs = append(l.postedFuncs, do)
 	l.mu.Unlock()
 	if first {
 		l.wake()
 	}
 }
 
-var oneByte = []byte{1}
+var wakeByte = []byte{1}
 
 func (l *loop) wake() {
 	// Danger: a full pipe would block whoever posts; but then the loop has a wake to read already.
-	l.waker.SetWriteDeadline(time.Now().Add(time.Second))
-	l.waker.Write(oneByte)
+	l.wakeConn.SetWriteDeadline(time.Now().Add(time.Second))
+	l.wakeConn.Write(wakeByte)
 }
 
-// wakePair gives two ends of a pipe for waking a loop: ours to write, and the loop's.
-func wakePair() (ours, theirs net.Conn, err error) {
+// newWakePair gives two ends of a pipe for waking a loop: ours to write, and the loop's.
+func newWakePair() (ours, theirs net.Conn, err error) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
 		return nil, nil, fmt.Errorf("socketpair: %w", err)
@@ -318,8 +318,8 @@
 	return ours, theirs, err
 }
 
-// alarm wakes the loop when its next timer is due. One a loop, ended by quit.
-func (l *loop) alarm() {
+// runAlarm wakes the loop when its next timer is due. One a loop, ended by quit.
+func (l *loop) runAlarm() {
 	defer l.group.Done()
 	t := time.NewTimer(time.Hour)
 	defer t.Stop()
@@ -327,88 +327,88 @@
 		select {
 		case <-l.quit:
 			return
-		case <-l.rearm:
-			if at := l.armed.Load(); at != 0 {
+		case <-l.alarmChanged:
+			if at := l.alarmAt.Load(); at != 0 {
 				t.Reset(max(0, time.Duration(at-int64(l.p.clock()))))
 			}
 		case <-t.C:
-			if l.armed.Swap(0) != 0 {
+			if l.alarmAt.Swap(0) != 0 {
 				l.wake()
 			}
 		}
 	}
 }
 
-// enter notes the time; every call from gnet begins with it.
-func (l *loop) enter() {
+// beginCallback notes the time; every call from gnet begins with it.
+func (l *loop) beginCallback() {
 	l.now = l.p.clock()
-	l.depth++
+	l.callbackDepth++
 }
 
-// leave runs what is due and sets the alarm for what comes next; every call from gnet ends with it.
-func (l *loop) leave() {
-	l.due()
+// endCallback runs what is due and sets the alarm for what comes next; every call from gnet ends with it.
+func (l *loop) endCallback() {
+	l.runDueTimers()
 	l.checkDrained()
-	l.depth--
+	l.callbackDepth--
 	if len(l.timers) == 0 {
 		return
 	}
-	at := int64(max(l.timers[0].at, l.lastWk+logic.Nanos(wakeGap)))
-	if armed := l.armed.Load(); armed == 0 || at < armed {
-		l.armed.Store(at)
+	at := int64(max(l.timers[0].at, l.lastWake+logic.Nanos(minWakeInterval)))
+	if armed := l.alarmAt.Load(); armed == 0 || at < armed {
+		l.alarmAt.Store(at)
 		select {
-		case l.rearm <- struct{}{}:
+		case l.alarmChanged <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// due runs the timers whose time has come, and drops those that no longer matter.
-func (l *loop) due() {
+// runDueTimers runs the timers whose time has come, and drops those that no longer matter.
+func (l *loop) runDueTimers() {
 	for len(l.timers) > 0 {
 		t := l.timers[0]
-		if t.at > l.now && !l.stale(t) {
+		if t.at > l.now && !l.timerObsolete(t) {
 			return
 		}
 		l.timers.pop()
-		if t.at > l.now || l.stale(t) {
+		if t.at > l.now || l.timerObsolete(t) {
 			continue
 		}
-		l.fire(t)
+		l.fireTimer(t)
 		l.processEvents()
 	}
 }
 
-// stale tells whether what a timer was set for has ended.
-func (l *loop) stale(t timer) bool {
+// timerObsolete tells whether what a timer was set for has ended.
+func (l *loop) timerObsolete(t timer) bool {
 	switch t.kind {
-	case timerExpiry, timerHalfClose, subEnd, connWait:
-		c := l.callOf(logic.TxnID(t.token))
-		return c == nil || t.kind != timerExpiry && t.kind != timerHalfClose && c.subs[t.n].state == subOver
-	case remind: // about a txn that is over: the module has nothing to do
-		return t.of != 0 && l.callOf(t.of) == nil
+	case timerExpiry, timerHalfClose, timerSubTimeout, timerConnWait:
+		c := l.findCall(logic.TxnID(t.token))
+		return c == nil || t.kind != timerExpiry && t.kind != timerHalfClose && c.subs[t.n].state == subEnded
+	case timerModule: // about a txn that is over: the module has nothing to do
+		return t.txnID != 0 && l.findCall(t.txnID) == nil
 	}
 	return false
 }
 
-func (l *loop) fire(t timer) {
+func (l *loop) fireTimer(t timer) {
 	switch t.kind {
-	case remind:
+	case timerModule:
 		if t.token == 0 { // the module's beat
-			l.show()
-			if l.rec != nil {
-				l.rec.Flush(l.now)
+			l.publishStats()
+			if l.recorder != nil {
+				l.recorder.Flush(l.now)
 			}
 		}
 		l.enqueue(event{kind: evTimer, token: t.token})
 	case timerExpiry:
-		l.expired(l.callOf(logic.TxnID(t.token)))
+		l.expireCall(l.findCall(logic.TxnID(t.token)))
 	case timerHalfClose:
-		l.lastCall(l.callOf(logic.TxnID(t.token)))
-	case subEnd:
-		l.stop(l.callOf(logic.TxnID(t.token)), int(t.n), logic.TimedOut)
-	case connWait:
-		if c := l.callOf(logic.TxnID(t.token)); c.subs[t.n].state == subWaiting {
+		l.halfCloseOutstanding(l.findCall(logic.TxnID(t.token)))
+	case timerSubTimeout:
+		l.stopSubmission(l.findCall(logic.TxnID(t.token)), int(t.n), logic.TimedOut)
+	case timerConnWait:
+		if c := l.findCall(logic.TxnID(t.token)); c.subs[t.n].state == subWaiting {
 			l.endSubmission(c, int(t.n), logic.ConnectFailed, nil)
 		}
 	case timerClientConn:
@@ -420,22 +420,22 @@
 		l.checkClosing()
 	case timerDrainEnd:
 		l.endDrain()
-	case workerAt:
-		if wc := l.workerOf(t.token); wc != nil {
+	case timerWorkerConn:
+		if wc := l.workerByToken(t.token); wc != nil {
 			wc.armed = 0
-			l.lookAtWorker(wc)
+			l.checkWorkerConn(wc)
 		}
 	}
 }
 
-// expired ends what is out of a call whose client gives up, so that the module answers at once.
-func (l *loop) expired(c *call) {
+// expireCall ends what is out of a call whose client gives up, so that the module answers at once.
+func (l *loop) expireCall(c *call) {
 	id := c.id()
 	for n := 0; n < c.n; n++ {
-		l.stop(c, n, logic.TimedOut)
+		l.stopSubmission(c, n, logic.TimedOut)
 	}
 	l.processEvents()
-	if c = l.callOf(id); c != nil && c.admitted && !c.answered && !c.clientLeft {
+	if c = l.findCall(id); c != nil && c.admitted && !c.answered && !c.clientLeft {
 		// Danger: a txn that the module holds with nothing out would never be answered.
 		l.stats.hostVoided++
 		l.log.Error("txn held past its expiry, voided by the host", zap.Uint64("txn", uint64(c.id())))
@@ -448,7 +448,7 @@
 // enqueue lines up an event for the module; pump hands it over.
 func (l *loop) enqueue(e event) {
 	if e.call != nil {
-		e.call.pending++
+		e.call.pendingEvents++
 	}
 	l.events = append(l.events, e)
 }
@@ -456,13 +456,13 @@
 // processEvents hands queued events to the module, one by one, and does what it decides before the next.
 // Danger: doing what was decided can end connections, and so bring events, in the middle of a decision; they wait here.
 func (l *loop) processEvents() {
-	if l.pumping {
+	if l.processing {
 		return
 	}
-	l.pumping = true
+	l.processing = true
 	for len(l.events) > 0 || len(l.resumeReads) > 0 {
 		for i := 0; i < len(l.events); i++ {
-			l.hand(l.events[i])
+			l.dispatch(l.events[i])
 		}
 		l.events = l.events[:0]
 		for i := 0; i < len(l.resumeReads); i++ {
@@ -472,83 +472,83 @@
 		}
 		l.resumeReads = l.resumeReads[:0]
 	}
-	if l.rec != nil {
-		l.rec.Settle()
+	if l.recorder != nil {
+		l.recorder.Settle()
 	}
-	l.pumping = false
+	l.processing = false
 }
 
-// hand gives one event to the module and does what it decides.
-func (l *loop) hand(e event) {
+// dispatch gives one event to the module and does what it decides.
+func (l *loop) dispatch(e event) {
 	c := e.call
 	switch e.kind {
 	case evAdmit:
-		if l.rec != nil {
-			c.traced = l.rec.Take(l.now, &c.txn, c.serial, c.traceID[0], c.traceID[1])
+		if l.recorder != nil {
+			c.traced = l.recorder.Take(l.now, &c.txn, c.serial, c.traceID[0], c.traceID[1])
 		}
-		l.taking = c.id() // what it wants to be reminded of now is this txn
+		l.admitting = c.id() // what it wants to be reminded of now is this txn
 		l.sentry.Take(l.now, c.txn)
-		l.taking = 0
+		l.admitting = 0
 	case evOutcome:
-		if e.loaded {
+		if e.hasLoad {
 			l.load = e.load
 			e.outcome.Load = &l.load
 		}
 		if c.traced {
-			l.rec.Outcome(l.now, &e.outcome, c.status)
+			l.recorder.Outcome(l.now, &e.outcome, c.status)
 			c.status = 0
 		}
 		l.sentry.Outcome(l.now, e.outcome)
 	case evClientLeft:
 		if c.traced {
-			l.rec.Event(l.now, tracepb.Kind_LEFT, c.id(), 0, 0, 0)
+			l.recorder.Event(l.now, tracepb.Kind_LEFT, c.id(), 0, 0, 0)
 		}
 		l.sentry.ClientLeft(l.now, c.id())
 	case evStreaming:
 		if c.traced {
-			l.rec.Event(l.now, tracepb.Kind_STREAMING, c.id(), e.outcome.Number, 0, 0)
+			l.recorder.Event(l.now, tracepb.Kind_STREAMING, c.id(), e.outcome.Number, 0, 0)
 		}
 		l.sentry.StreamStarted(l.now, c.id(), e.outcome.Number)
 	case evAnswerBegun: // not recorded: no protocol that is has it
 		l.sentry.ResponseStarted(l.now, c.id(), e.outcome.Number)
 	case evTimer:
-		if l.rec != nil {
-			l.rec.Event(l.now, tracepb.Kind_TIMER, 0, 0, e.token, 0)
+		if l.recorder != nil {
+			l.recorder.Event(l.now, tracepb.Kind_TIMER, 0, 0, e.token, 0)
 		}
 		l.sentry.TimerFired(l.now, e.token)
-	case evCall:
-		e.do(l.now)
+	case evFunc:
+		e.run(l.now)
 	}
-	for i := 0; i < len(l.acts); i++ {
-		l.perform(l.acts[i])
+	for i := 0; i < len(l.actions); i++ {
+		l.execute(l.actions[i])
 	}
-	l.acts = l.acts[:0]
+	l.actions = l.actions[:0]
 	if c != nil {
-		c.pending--
+		c.pendingEvents--
 		l.releaseCall(c)
 	}
 }
 
-// perform does one thing that the module decided.
-func (l *loop) perform(a act) {
-	if a.kind == actRemind {
-		l.timers.push(timer{at: l.now + a.span, token: a.token, kind: remind, of: a.txn})
+// execute does one thing that the module decided.
+func (l *loop) execute(a action) {
+	if a.kind == actionSetTimer {
+		l.timers.push(timer{at: l.now + a.duration, token: a.token, kind: timerModule, txnID: a.txn})
 		return
 	}
-	c := l.callOf(a.txn)
+	c := l.findCall(a.txn)
 	if c == nil {
 		return
 	}
 	switch a.kind {
-	case actSubmit:
-		l.send(c, a.worker, a.span)
-	case actCancel:
+	case actionSubmit:
+		l.startSubmission(c, a.worker, a.duration)
+	case actionCancel:
 		if a.n >= 0 && a.n < c.n {
-			l.stop(c, a.n, logic.Cancelled)
+			l.stopSubmission(c, a.n, logic.Cancelled)
 		}
-	case actDecline:
-		l.respondDeclined(c, a.span)
-	case actVoid:
+	case actionDecline:
+		l.respondDeclined(c, a.duration)
+	case actionVoid:
 		l.respondVoided(c)
 	}
 }
@@ -558,69 +558,69 @@
 // Submit is a part of logic.Sink, as are the methods below.
 func (l *loop) Submit(t logic.TxnID, w logic.WorkerID, timeout logic.Nanos) {
 	if l.traced(t) {
-		l.rec.Submit(l.now, t, w, timeout)
+		l.recorder.Submit(l.now, t, w, timeout)
 	}
-	l.acts = append(l.acts, act{kind: actSubmit, txn: t, worker: w, span: timeout})
+	l.actions = append(l.actions, action{kind: actionSubmit, txn: t, worker: w, duration: timeout})
 }
 func (l *loop) Cancel(t logic.TxnID, number int) {
 	if l.traced(t) {
-		l.rec.Event(l.now, tracepb.Kind_CANCEL, t, number, 0, 0)
+		l.recorder.Event(l.now, tracepb.Kind_CANCEL, t, number, 0, 0)
 	}
-	l.acts = append(l.acts, act{kind: actCancel, txn: t, n: number})
+	l.actions = append(l.actions, action{kind: actionCancel, txn: t, n: number})
 }
 func (l *loop) Decline(t logic.TxnID, retryAfter logic.Nanos) {
 	if l.traced(t) {
-		l.rec.Event(l.now, tracepb.Kind_DECLINE, t, 0, 0, uint64(retryAfter))
+		l.recorder.Event(l.now, tracepb.Kind_DECLINE, t, 0, 0, uint64(retryAfter))
 	}
-	l.acts = append(l.acts, act{kind: actDecline, txn: t, span: retryAfter})
+	l.actions = append(l.actions, action{kind: actionDecline, txn: t, duration: retryAfter})
 }
 func (l *loop) Void(t logic.TxnID) {
 	if l.traced(t) {
-		l.rec.Event(l.now, tracepb.Kind_VOID, t, 0, 0, 0)
+		l.recorder.Event(l.now, tracepb.Kind_VOID, t, 0, 0, 0)
 	}
-	l.acts = append(l.acts, act{kind: actVoid, txn: t})
+	l.actions = append(l.actions, action{kind: actionVoid, txn: t})
 }
 func (l *loop) SetTimer(after logic.Nanos, token uint64) {
-	if l.rec != nil {
-		l.rec.Event(l.now, tracepb.Kind_REMIND, 0, 0, token, uint64(after))
+	if l.recorder != nil {
+		l.recorder.Event(l.now, tracepb.Kind_REMIND, 0, 0, token, uint64(after))
 	}
-	of := l.taking
+	of := l.admitting
 	if token == 0 { // the beat is about no txn
 		of = 0
 	}
-	l.acts = append(l.acts, act{kind: actRemind, span: after, token: token, txn: of})
+	l.actions = append(l.actions, action{kind: actionSetTimer, duration: after, token: token, txn: of})
 }
 func (l *loop) Vote(v logic.Verdict, rel logic.RelID, stage int) {
-	if l.rec != nil {
-		l.rec.Event(l.now, tracepb.Kind_VOTE, 0, int(v), uint64(rel), uint64(stage))
+	if l.recorder != nil {
+		l.recorder.Event(l.now, tracepb.Kind_VOTE, 0, int(v), uint64(rel), uint64(stage))
 	}
-	l.vote(v, rel, stage)
+	l.castVote(v, rel, stage)
 }
 func (l *loop) WatchWorkers() {
-	if l.rec != nil {
-		l.rec.Event(l.now, tracepb.Kind_WATCH, 0, 0, 0, 0)
+	if l.recorder != nil {
+		l.recorder.Event(l.now, tracepb.Kind_WATCH, 0, 0, 0, 0)
 	}
 	l.p.source.Refresh()
 }
 func (l *loop) SendToPeer(to int, data []byte) {
-	if l.rec != nil {
-		l.rec.Tell(l.now, to, data)
+	if l.recorder != nil {
+		l.recorder.Tell(l.now, to, data)
 	}
-	l.p.tell(l.number, to, data)
+	l.p.sendToPeer(l.sentryIndex, to, data)
 }
 func (l *loop) Log(text string) {
-	if l.rec != nil {
-		l.rec.Log(l.now, text)
+	if l.recorder != nil {
+		l.recorder.Log(l.now, text)
 	}
 	l.log.Info(text)
 }
 
 // traced tells whether a txn is recorded.
 func (l *loop) traced(t logic.TxnID) bool {
-	if l.rec == nil {
+	if l.recorder == nil {
 		return false
 	}
-	c := l.callOf(t)
+	c := l.findCall(t)
 	return c != nil && c.traced
 }
 
@@ -628,39 +628,39 @@
 
 // OnOpen takes a new connection, of a client or to a worker.
 func (l *loop) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
-	l.enter()
+	l.beginCallback()
 	switch ctx := c.Context().(type) {
 	case *acceptedClient:
 		l.openClient(c, ctx)
 	case *pool:
-		l.openWorker(c, ctx)
+		l.openWorkerConn(c, ctx)
 	case *returnedWorker:
-		ctx.pool.conns++
-		l.conns++
-		ctx.pool.dialing++
-		l.dialing++
-		l.openWorker(c, ctx.pool)
+		ctx.pool.numConns++
+		l.numConns++
+		ctx.pool.numDialing++
+		l.numDialing++
+		l.openWorkerConn(c, ctx.pool)
 	}
 	l.processEvents()
-	l.leave()
+	l.endCallback()
 	return nil, gnet.None
 }
 
 // OnTraffic takes bytes.
 func (l *loop) OnTraffic(c gnet.Conn) gnet.Action {
-	l.enter()
+	l.beginCallback()
 	switch ctx := c.Context().(type) {
 	case *clientConn:
 		ctx.recordArrival()
 		ctx.read()
 	case *workerConn:
 		ctx.read()
-	case wakeMark:
+	case wakeContext:
 		c.Discard(-1)
-		l.lastWk = l.now
+		l.lastWake = l.now
 		l.mu.Lock()
-		todo := l.posted
-		l.posted = nil
+		todo := l.postedFuncs
+		l.postedFuncs = nil
 		l.mu.Unlock()
 		for _, do := range todo {
 			do()
@@ -668,15 +668,15 @@
 		}
 	}
 	l.processEvents()
-	l.leave()
+	l.endCallback()
 	return gnet.None
 }
 
 // OnClose takes the end of a connection.
 func (l *loop) OnClose(c gnet.Conn, err error) gnet.Action {
-	outer := l.depth == 0
+	outer := l.callbackDepth == 0
 	if outer {
-		l.enter()
+		l.beginCallback()
 	}
 	switch ctx := c.Context().(type) {
 	case *clientConn:
@@ -685,14 +685,14 @@
 		}
 	case *workerConn:
 		if !ctx.closed {
-			ctx.gone(err)
+			ctx.handleClose(err)
 		}
 	}
 	// Danger: a write that fails closes its connection in the middle of whatever wrote; what follows waits till that
 	// is through.
 	if outer {
 		l.processEvents()
-		l.leave()
+		l.endCallback()
 	}
 	return gnet.None
 }
@@ -706,19 +706,19 @@
 	l.group.Wait() // dials and carriers come back to a loop that still runs
 	l.client.Stop()
 	l.closeAllClosing()
-	l.waker.Close()
-	if l.rec != nil {
-		l.rec.Close(l.p.clock())
+	l.wakeConn.Close()
+	if l.recorder != nil {
+		l.recorder.Close(l.p.clock())
 	}
 }
 
-// quiet passes gnet's own lines on as debug: what matters is logged by whoever decides on it.
-type quiet struct{ log *zap.Logger }
+// gnetLogger passes gnet's own lines on as debug: what matters is logged by whoever decides on it.
+type gnetLogger struct{ log *zap.Logger }
 
-func (q quiet) Debugf(format string, args ...any) { q.log.Sugar().Debugf(format, args...) }
-func (q quiet) Infof(format string, args ...any)  { q.log.Sugar().Debugf(format, args...) }
-func (q quiet) Warnf(format string, args ...any)  { q.log.Sugar().Debugf(format, args...) }
-func (q quiet) Errorf(format string, args ...any) { q.log.Sugar().Debugf(format, args...) }
-func (q quiet) Fatalf(format string, args ...any) { q.log.Sugar().Errorf(format, args...) }
+func (q gnetLogger) Debugf(format string, args ...any) { q.log.Sugar().Debugf(format, args...) }
+func (q gnetLogger) Infof(format string, args ...any)  { q.log.Sugar().Debugf(format, args...) }
+func (q gnetLogger) Warnf(format string, args ...any)  { q.log.Sugar().Debugf(format, args...) }
+func (q gnetLogger) Errorf(format string, args ...any) { q.log.Sugar().Debugf(format, args...) }
+func (q gnetLogger) Fatalf(format string, args ...any) { q.log.Sugar().Errorf(format, args...) }
 
 var _ logic.Sink = (*loop)(nil)
--- a/edge/news.go
+++ b/edge/news.go
@@ -46,59 +46,59 @@
 			p.workers[w.ID] = w
 		}
 	}
-	p.ahead = e.Now - time.Now().UnixNano()
+	p.clockOffset = e.Now - time.Now().UnixNano()
 	p.mu.Unlock()
 	mode := logic.Changes
 	if e.Type == api.Whole {
 		mode = logic.Whole
 	}
 	for _, l := range p.loops {
-		l.post(func() { l.list(mode, e) })
+		l.post(func() { l.applyWorkerList(mode, e) })
 	}
-	p.listed.Store(true)
-	p.saveSoon()
+	p.listReceived.Store(true)
+	p.scheduleSave()
 }
 
-var states = map[string]logic.State{api.Up: logic.Up, api.Draining: logic.Draining, api.Gone: logic.Gone}
+var stateByName = map[string]logic.State{api.Up: logic.Up, api.Draining: logic.Draining, api.Gone: logic.Gone}
 
-// list hands a list event to the module, in this host's numbers and clock.
-func (l *loop) list(mode logic.ListMode, e api.WorkersEvent) {
+// applyWorkerList hands a applyWorkerList event to the module, in this host's numbers and clock.
+func (l *loop) applyWorkerList(mode logic.ListMode, e api.WorkersEvent) {
 	list := make([]logic.Worker, 0, len(e.Workers))
 	listed := map[logic.WorkerID]bool{}
 	for _, w := range e.Workers {
 		id := logic.WorkerID(w.ID)
 		listed[id] = true
 		start := l.workerStartTime(id, w, e.Now)
-		state, known := states[w.State]
+		state, known := stateByName[w.State]
 		if !known {
 			state = logic.Draining // a standing that a newer planner knows gets nothing new
 		}
-		list = append(list, logic.Worker{ID: id, Zone: logic.ZoneID(lookupID(l.p.zones, w.Zone)), Kind: logic.KindID(lookupID(l.p.kinds, w.Kind)),
+		list = append(list, logic.Worker{ID: id, Zone: logic.ZoneID(lookupID(l.p.zoneIDs, w.Zone)), Kind: logic.KindID(lookupID(l.p.kindIDs, w.Kind)),
 			Cell: w.Cell, State: state, Weight: w.Weight, Rel: logic.RelID(w.Build), Start: start})
-		pool := l.poolOf(id, w.Address)
-		if pool.gone = state == logic.Gone; pool.gone {
+		pool := l.poolFor(id, w.Address)
+		if pool.removed = state == logic.Gone; pool.removed {
 			delete(l.workerStarts, id)
 		}
 		if state != logic.Up {
-			l.dropWaiting(pool)
+			l.endPoolWaiters(pool)
 		}
 	}
 	if mode == logic.Whole {
 		for id, pool := range l.pools {
 			if !listed[id] {
-				pool.gone = true
+				pool.removed = true
 				delete(l.workerStarts, id)
-				l.dropWaiting(pool)
+				l.endPoolWaiters(pool)
 			}
 		}
 	}
 	l.listSeen = true
-	l.listed = l.listed || mode != logic.Restored
-	l.tellList(mode, list)
+	l.listCurrent = l.listCurrent || mode != logic.Restored
+	l.deliverWorkers(mode, list)
 	for id, pool := range l.pools {
-		if pool.gone {
-			l.closeIdle(pool)
-			if pool.conns == 0 && len(pool.waiting) == 0 && pool.dialing == 0 {
+		if pool.removed {
+			l.closeIdleConns(pool)
+			if pool.numConns == 0 && len(pool.waiting) == 0 && pool.numDialing == 0 {
 				delete(l.pools, id)
 			}
 		}
@@ -111,13 +111,13 @@
 // counts as workerStartTime now.
 func (l *loop) workerStartTime(id logic.WorkerID, w api.Worker, platform int64) logic.Nanos {
 	was, known := l.workerStarts[id]
-	if known && (w.State != api.Up || was.stamp == w.StartedAt && was.address == w.Address && was.build == w.Build) {
+	if known && (w.State != api.Up || was.reported == w.StartedAt && was.address == w.Address && was.build == w.Build) {
 		return was.startedAt
 	}
-	is := workerStart{stamp: w.StartedAt, address: w.Address, build: w.Build}
+	is := workerStart{reported: w.StartedAt, address: w.Address, build: w.Build}
 	switch {
-	case w.StartedAt == 0 && l.startsTold: // each start is told
-	case w.StartedAt != 0 && (!known || was.stamp != w.StartedAt || l.startsTold):
+	case w.StartedAt == 0 && l.startTimesReported: // each start is told
+	case w.StartedAt != 0 && (!known || was.reported != w.StartedAt || l.startTimesReported):
 		// The clocks differ, the age does not; it is taken once, or each telling would look like a new start.
 		is.startedAt = l.now - logic.Nanos(max(0, platform-w.StartedAt))
 	case known || l.listSeen:
@@ -136,14 +136,14 @@
 	return 1<<16 + int(xxhash.Sum64String(name)>>34)
 }
 
-// poolOf gives the pool of a worker at its address; a worker that has moved gets a new one.
-func (l *loop) poolOf(id logic.WorkerID, address string) *pool {
+// poolFor gives the pool of a worker at its address; a worker that has moved gets a new one.
+func (l *loop) poolFor(id logic.WorkerID, address string) *pool {
 	p := l.pools[id]
 	if p == nil || p.address != address {
 		if p != nil {
-			p.gone = true
-			l.closeIdle(p)
-			l.dropWaiting(p)
+			p.removed = true
+			l.closeIdleConns(p)
+			l.endPoolWaiters(p)
 		}
 		p = &pool{id: id, address: address}
 		l.pools[id] = p
@@ -151,12 +151,12 @@
 	return p
 }
 
-var phases = map[string]logic.Phase{api.OnTrial: logic.OnTrial, api.GoingBack: logic.GoingBack,
+var phaseByName = map[string]logic.Phase{api.OnTrial: logic.OnTrial, api.GoingBack: logic.GoingBack,
 	api.Released: logic.Released, api.Withdrawn: logic.Withdrawn}
 
-func newsOf(e api.ReleaseEvent, answer bool) logic.ReleaseUpdate {
+func toReleaseUpdate(e api.ReleaseEvent, answer bool) logic.ReleaseUpdate {
 	return logic.ReleaseUpdate{Stage: e.Release.Stage, VoteReply: answer, Rel: logic.RelID(e.Release.Build), Cap: e.Release.Cap,
-		Phase: phases[e.Release.Phase], Age: logic.Nanos(max(0, e.Now-e.Release.Since))}
+		Phase: phaseByName[e.Release.Phase], Age: logic.Nanos(max(0, e.Now-e.Release.Since))}
 }
 
 // acceptRelease notes where the newest build stands, as pushed or in answer to a vote, and passes it on where it counts; it tells
@@ -182,56 +182,56 @@
 		p.log.Warn("news of a release was overtaken, not heeded", zap.Int("build", r.Build), zap.Int("stage", r.Stage),
 			zap.String("phase", r.Phase), zap.Float64("cap", r.Cap))
 	} else if r != was {
-		p.saveSoon()
+		p.scheduleSave()
 	}
 	return !overtaken
 }
 
 func (p *Process) Release(e api.ReleaseEvent) {
-	n := newsOf(e, false)
+	n := toReleaseUpdate(e, false)
 	p.acceptRelease(e.Release, func() {
 		for _, l := range p.loops {
-			l.post(func() { l.tellNews(n) })
+			l.post(func() { l.deliverRelease(n) })
 		}
 	})
 }
 
 func (p *Process) Report(r api.Report) {
-	product, known := p.products[r.Product]
+	product, known := p.productIDs[r.Product]
 	if !known {
 		return
 	}
 	for _, l := range p.loops {
-		if l.number == r.Sentry || len(p.loops) == 1 {
+		if l.sentryIndex == r.Sentry || len(p.loops) == 1 {
 			l.post(func() {
-				l.tellContested(logic.ProductID(product), logic.WorkerID(r.Worker), logic.Nanos(max(0, r.Age)))
+				l.deliverContested(logic.ProductID(product), logic.WorkerID(r.Worker), logic.Nanos(max(0, r.Age)))
 			})
 		}
 	}
 }
 
 func (p *Process) Tally(t api.Tally) {
-	product, known := p.products[t.Product]
+	product, known := p.productIDs[t.Product]
 	if !known {
 		return
 	}
 	for _, l := range p.loops {
 		l.post(func() {
-			l.tellTally(logic.Tally{Rel: logic.RelID(t.Build), Product: logic.ProductID(product), Many: t.Many, Bad: t.Bad,
+			l.deliverTally(logic.Tally{Rel: logic.RelID(t.Build), Product: logic.ProductID(product), Many: t.Many, Bad: t.Bad,
 				Mean: logic.Nanos(t.Mean)})
 		})
 	}
 }
 
-var verdicts = map[logic.Verdict]string{logic.VerdictNone: api.VoteNone, logic.VerdictOn: api.VoteOn, logic.VerdictHold: api.VoteHold,
+var verdictNames = map[logic.Verdict]string{logic.VerdictNone: api.VoteNone, logic.VerdictOn: api.VoteOn, logic.VerdictHold: api.VoteHold,
 	logic.VerdictBack: api.VoteBack}
 
-// vote casts the sentry's vote beside the loop, one at a time; its answer comes back as news.
-func (l *loop) vote(v logic.Verdict, rel logic.RelID, stage int) {
-	if l.voting || l.stopping {
+// castVote casts the sentry's castVote beside the loop, one at a time; its answer comes back as news.
+func (l *loop) castVote(v logic.Verdict, rel logic.RelID, stage int) {
+	if l.voteInFlight || l.stopping {
 		return
 	}
-	l.voting = true
+	l.voteInFlight = true
 	wait := time.Duration(l.p.cfg.Module["release.vote-timeout"].(float64))
 	l.group.Add(1)
 	go func() {
@@ -245,13 +245,13 @@
 			case <-ctx.Done():
 			}
 		}()
-		e, err := l.p.source.Vote(ctx, api.Vote{Edge: l.p.cfg.Name, Sentry: l.number, Verdict: verdicts[v],
+		e, err := l.p.source.Vote(ctx, api.Vote{Edge: l.p.cfg.Name, Sentry: l.sentryIndex, Verdict: verdictNames[v],
 			Build: int(rel), Stage: stage})
-		news := newsOf(e, true)
+		news := toReleaseUpdate(e, true)
 		pass := func() {
 			l.post(func() {
-				l.voting = false
-				l.tellNews(news)
+				l.voteInFlight = false
+				l.deliverRelease(news)
 			})
 		}
 		if err == nil && l.p.acceptRelease(e.Release, pass) {
--- a/edge/process.go
+++ b/edge/process.go
@@ -28,26 +28,26 @@
 	protocol    protocol
 	platform    *PlatformOptions // nil: by file or API
 	customerIDs map[string]int
-	zones       map[string]int
-	kinds       map[string]int
-	products    map[string]int
+	zoneIDs     map[string]int
+	kindIDs     map[string]int
+	productIDs  map[string]int
 	source      Source
 	openClients atomic.Int64 // connections of clients
 	listener    net.Listener
-	began       time.Time
+	startedAt   time.Time
 	epoch       int64
-	tells       *net.UDPConn
-	peers       []*net.UDPAddr
+	peerConn    *net.UDPConn
+	peerAddrs   []*net.UDPAddr
 
-	mu      sync.Mutex // guards what follows; never held on the ordinary path
-	workers map[string]api.Worker
-	release api.Release // the last one told
-	ahead   int64       // of the platform's clock before ours, when it last told the list
-	saving  *time.Timer
-	closed  bool // nothing is saved any more
-	unkept  bool // the last save failed
-	disk    sync.Mutex
-	listed  atomic.Bool
+	mu           sync.Mutex // guards what follows; never held on the ordinary path
+	workers      map[string]api.Worker
+	release      api.Release // the last one told
+	clockOffset  int64       // of the platform's clock before ours, when it last told the list
+	saveTimer    *time.Timer
+	saveClosed   bool // nothing is saved any more
+	saveFailed   bool // the last save failed
+	saveMu       sync.Mutex
+	listReceived atomic.Bool
 }
 
 // New makes an edge of a checked plan. It listens when Run is called.
@@ -62,12 +62,12 @@
 }
 
 func newProcess(plan *config.Edge, log *zap.Logger) *Process {
-	p := &Process{cfg: plan, log: log, routes: newTable(plan.Routes), protocol: httpProtocol{}, customerIDs: indexNames(plan.Customers, 1),
-		zones: indexNames(plan.Zones, 0), kinds: indexNames(plan.Kinds, 0), products: map[string]int{}, began: time.Now(),
+	p := &Process{cfg: plan, log: log, routes: newRouteTable(plan.Routes), protocol: httpProtocol{}, customerIDs: indexNames(plan.Customers, 1),
+		zoneIDs: indexNames(plan.Zones, 0), kindIDs: indexNames(plan.Kinds, 0), productIDs: map[string]int{}, startedAt: time.Now(),
 		workers: map[string]api.Worker{}}
-	p.epoch = p.began.UnixNano()
+	p.epoch = p.startedAt.UnixNano()
 	for i := range plan.Products {
-		p.products[plan.Products[i].Name] = i
+		p.productIDs[plan.Products[i].Name] = i
 	}
 	return p
 }
@@ -83,7 +83,7 @@
 // clock is the process's time: near the wall clock at the start, and never going back after. It moves in whole
 // microseconds: what is finer than a system call is noise, and would only swell the traces.
 func (p *Process) clock() logic.Nanos {
-	return logic.Nanos((p.epoch + int64(time.Since(p.began))) / 1000 * 1000)
+	return logic.Nanos((p.epoch + int64(time.Since(p.startedAt))) / 1000 * 1000)
 }
 
 // Refresh has the source tell everything again, as after a SIGHUP.
@@ -99,9 +99,9 @@
 	}
 	list, news := p.restoreState()
 	if p.platform != nil {
-		list, news = p.platform.told()
+		list, news = p.platform.initialState()
 	}
-	if err := p.openPeers(); err != nil {
+	if err := p.listenPeers(); err != nil {
 		return err
 	}
 	for i := 0; i < p.cfg.Loops; i++ {
@@ -111,8 +111,8 @@
 		}
 		p.loops = append(p.loops, l)
 	}
-	if p.tells != nil {
-		go p.hearPeers() // ended by the socket's close; what came before waits in the kernel
+	if p.peerConn != nil {
+		go p.readPeerMessages() // ended by the socket's close; what came before waits in the kernel
 	}
 	admin, err := p.serveAdmin() // before anything is accepted that a failure here would cut
 	if err != nil {
@@ -165,8 +165,8 @@
 	for _, l := range p.loops {
 		l.halt()
 	}
-	if p.tells != nil {
-		p.tells.Close()
+	if p.peerConn != nil {
+		p.peerConn.Close()
 	}
 }
 
--- a/edge/reuse_test.go
+++ b/edge/reuse_test.go
@@ -23,16 +23,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			rng := rand.New(rand.NewSource(1))
-			r := reuse{upTo: 3000 * ms, most: 3000 * ms}
+			r := reuseLimit{idleLimit: 3000 * ms, maxIdle: 3000 * ms}
 			sum, n := logic.Nanos(0), logic.Nanos(0)
 			for i := 0; i < 4000; i++ {
 				idled := logic.Nanos(rng.ExpFloat64() * float64(100*ms))
-				if idled > r.upTo {
+				if idled > r.idleLimit {
 					idled = 0 // a new one
 				}
-				r.used(logic.Nanos(i)*10*ms, idled, rng.Float64() < c.base || c.drops > 0 && idled > c.drops && rng.Float64() < 0.5)
+				r.observe(logic.Nanos(i)*10*ms, idled, rng.Float64() < c.base || c.drops > 0 && idled > c.drops && rng.Float64() < 0.5)
 				if i > 1000 {
-					sum, n = sum+r.upTo, n+1
+					sum, n = sum+r.idleLimit, n+1
 				}
 			}
 			if mean := sum / n; mean < c.least || mean > c.most {
--- a/edge/routes.go
+++ b/edge/routes.go
@@ -12,11 +12,11 @@
 	match(method, path []byte) *config.Route
 }
 
-// table is the plain classifier: the longest prefix wins, a stated method before any.
-type table []config.Route
+// routeTable is the plain classifier: the longest prefix wins, a stated method before any.
+type routeTable []config.Route
 
-func newTable(routes []config.Route) table {
-	t := append(table(nil), routes...)
+func newRouteTable(routes []config.Route) routeTable {
+	t := append(routeTable(nil), routes...)
 	sort.SliceStable(t, func(i, j int) bool {
 		if len(t[i].Prefix) != len(t[j].Prefix) {
 			return len(t[i].Prefix) > len(t[j].Prefix)
@@ -31,18 +31,18 @@
 	return t
 }
 
-func (t table) match(method, path []byte) *config.Route {
+func (t routeTable) match(method, path []byte) *config.Route {
 	for i := range t {
 		r := &t[i]
-		if (r.Method == "" || r.Method == unsafeString(method)) && under(path, r.Prefix) {
+		if (r.Method == "" || r.Method == unsafeString(method)) && hasPathPrefix(path, r.Prefix) {
 			return r
 		}
 	}
 	return nil
 }
 
-// under tells whether a path lies under a prefix, at the border of a segment.
-func under(path []byte, prefix string) bool {
+// hasPathPrefix tells whether a path lies hasPathPrefix a prefix, at the border of a segment.
+func hasPathPrefix(path []byte, prefix string) bool {
 	if len(path) < len(prefix) || unsafeString(path[:len(prefix)]) != prefix {
 		return false
 	}
--- a/edge/source.go
+++ b/edge/source.go
@@ -164,18 +164,18 @@
 
 // fileSource reads list and release from a file, anew when it changes.
 type fileSource struct {
-	path  string
-	log   *zap.Logger
-	again chan struct{}
+	path             string
+	log              *zap.Logger
+	refreshRequested chan struct{}
 }
 
 func newFileSource(path string, log *zap.Logger) *fileSource {
-	return &fileSource{path: path, log: log, again: make(chan struct{}, 1)}
+	return &fileSource{path: path, log: log, refreshRequested: make(chan struct{}, 1)}
 }
 
 func (s *fileSource) Refresh() {
 	select {
-	case s.again <- struct{}{}:
+	case s.refreshRequested <- struct{}{}:
 	default:
 	}
 }
@@ -185,9 +185,9 @@
 	return api.ReleaseEvent{}, errors.New("a file takes no votes")
 }
 
-// settled is how old a file's last change must be for its time to tell it from the next one: file systems stamp changes
+// mtimeSettleTime is how old a file's last change must be for its time to tell it from the next one: file systems stamp changes
 // coarsely.
-const settled = 2 * time.Second
+const mtimeSettleTime = 2 * time.Second
 
 func (s *fileSource) Run(ctx context.Context, to EventHandler) {
 	var seen time.Time // the change that was read when it was old enough
@@ -200,14 +200,14 @@
 		info, err := os.Stat(s.path)
 		if err == nil && !info.ModTime().Equal(seen) {
 			// Danger: a read may meet half of what is being written, and the rest may bear the same time.
-			if seen = info.ModTime(); time.Since(seen) < settled {
+			if seen = info.ModTime(); time.Since(seen) < mtimeSettleTime {
 				seen = time.Time{}
 			}
 			var text []byte
 			if text, err = os.ReadFile(s.path); err == nil && (last == nil || !bytes.Equal(text, last)) {
 				last = text
 				revision++
-				s.tell(to, revision, text)
+				s.publish(to, revision, text)
 			}
 		}
 		if err != nil {
@@ -224,14 +224,14 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-		case <-s.again:
+		case <-s.refreshRequested:
 			seen, last = time.Time{}, nil
 		}
 	}
 }
 
-// tell hands on what a file's text says; one that is refused leaves in force what was told before.
-func (s *fileSource) tell(to EventHandler, revision uint64, text []byte) {
+// publish hands on what a file's text says; one that is refused leaves in force what was told before.
+func (s *fileSource) publish(to EventHandler, revision uint64, text []byte) {
 	list, err := config.ParseWorkerList(s.path, string(text))
 	if err != nil {
 		s.log.Error("list file refused", zap.Error(err))
--- a/edge/source_test.go
+++ b/edge/source_test.go
@@ -30,7 +30,7 @@
 	tallies  chan api.Tally
 }
 
-func newEar() *recordingHandler {
+func newRecordingHandler() *recordingHandler {
 	return &recordingHandler{make(chan api.WorkersEvent, 64), make(chan api.ReleaseEvent, 64), make(chan api.Report, 64), make(chan api.Tally, 64)}
 }
 func (e *recordingHandler) Workers(x api.WorkersEvent) { e.lists <- x }
@@ -40,7 +40,7 @@
 
 // runSource runs a source until the test ends.
 func runSource(t *testing.T, s Source) *recordingHandler {
-	e, done := newEar(), make(chan struct{})
+	e, done := newRecordingHandler(), make(chan struct{})
 	ctx, stop := context.WithCancel(context.Background())
 	go func() { s.Run(ctx, e); close(done) }()
 	t.Cleanup(func() { stop(); <-done })
@@ -87,7 +87,7 @@
 	s.client.WatchIdleTimeout = 300 * time.Millisecond
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	e := newEar()
+	e := newRecordingHandler()
 	go func() { s.Run(ctx, e); close(done) }()
 	for i, want := range []uint64{5, 6, 9, 10, 11, 12} {
 		if got := await(t, e.lists); got.Revision != want {
@@ -155,7 +155,7 @@
 	}
 	write(`(worker a`)
 	s.Refresh()
-	for len(s.again) > 0 { // until the bad one was looked at
+	for len(s.refreshRequested) > 0 { // until the bad one was looked at
 		time.Sleep(time.Millisecond)
 	}
 	write(`(worker a (address "127.0.0.1:1")) (worker b (address "127.0.0.1:2")) (release (build 2) (phase on-trial) (cap 10%))`)
@@ -192,7 +192,7 @@
 			t.Fatal(err)
 		}
 		var got logic.Load
-		if ok := readLoad(&r, &got); ok != c.ok || ok && got != c.want {
+		if ok := parseLoadReport(&r, &got); ok != c.ok || ok && got != c.want {
 			t.Errorf("%s: got %+v, %t", c.header, got, ok)
 		}
 	}
@@ -225,12 +225,12 @@
 			t.Fatalf("got %d", answers[0].StatusCode)
 		}
 	}
-	r.settle()
+	r.waitForLoops()
 	for _, l := range r.p.loops {
 		taken := make(chan uint64)
 		l.post(func() { taken <- l.stats.admitted })
 		if n := <-taken; n != 4 {
-			t.Errorf("sentry %d took %d of 8", l.number, n)
+			t.Errorf("sentry %d took %d of 8", l.sentryIndex, n)
 		}
 	}
 	// What the third sentry is told arrives at its address, with both numbers before it.
@@ -249,7 +249,7 @@
 	}
 	// Nonsense on the same port does no harm.
 	for _, junk := range []string{"", "x", "\x00\x02\x00\x00" + strings.Repeat("x", 300), "\x00\x63\x00\x01evidence", "\xff\xff\xff\xff"} {
-		third.WriteToUDP([]byte(junk), r.p.peers[0])
+		third.WriteToUDP([]byte(junk), r.p.peerAddrs[0])
 	}
 	if answers, _ := r.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
 		t.Errorf("after nonsense: %d", answers[0].StatusCode)
--- a/edge/stats.go
+++ b/edge/stats.go
@@ -11,24 +11,24 @@
 	clientsAccepted, admitted, settled, declined, voided, clientLeft uint64
 	refused, noRoute, overLimit, slowReaders                         uint64
 	sent, dials, dialsFailed, malformedAnswers, hostVoided           uint64
-	streamed, bytesToWorkers, shed, rested, stale, overHeldBytes     uint64
+	streamed, bytesToWorkers, shed, idleClosed, stale, overHeldBytes uint64
 	streaming                                                        int64
 	endings                                                          [16]uint64
 	repliesByClass                                                   [6]uint64
 	clientEnds, owedAtEnd                                            [numEndReasons]uint64 // of clients' connections, and requests unanswered then
 	// As it is now.
-	open, inHand, toWorkers int64
+	openClients, openTxns, openWorkerConns int64
 }
 
 var endingNames = map[logic.Ending]string{logic.OK: "ok", logic.Cancelled: "cancelled", logic.TimedOut: "timed-out",
 	logic.Rejected: "full", logic.Skipped: "moot", logic.Disconnected: "broken", logic.ErrorResponse: "erred",
 	logic.ConnectFailed: "connect-failed", logic.MalformedResponse: "spoilt"}
 
-// show copies the counts for whoever asks.
-func (l *loop) show() {
+// publishStats copies the counts for whoever asks.
+func (l *loop) publishStats() {
 	s := l.stats
-	s.open, s.inHand, s.toWorkers = l.clientCount.Load(), int64(l.calls.inUse()), int64(l.workerConns.inUse())
-	l.shown.Store(&s)
+	s.openClients, s.openTxns, s.openWorkerConns = l.clientCount.Load(), int64(l.calls.inUse()), int64(l.workerConns.inUse())
+	l.statsSnapshot.Store(&s)
 }
 
 // collector gives the loops' counts to Prometheus, which asks when it likes.
@@ -39,33 +39,33 @@
 }
 
 var (
-	descTxns    = desc("txns_total", "Txns by how they ended.", "outcome")
-	descTaken   = desc("txns_taken_total", "Txns handed to the sentry.")
-	descEndings = desc("submissions_ended_total", "Submissions by how they ended.", "ending")
-	descSent    = desc("submissions_sent_total", "Submissions written to a worker.")
-	descRefused = desc("requests_refused_total", "Requests that were never taken.", "why")
-	descDials   = desc("dials_total", "Connections asked of workers.", "ok")
-	descGarbage = desc("worker_garbage_total", "Answers that made no sense.")
-	descEnds    = desc("client_connections_ended_total", "Connections of clients by why they ended.", "reason")
-	descOwed    = desc("requests_owed_at_end_total", "Requests unanswered when this process ended their connection; any is a defect, but for slow readers.", "reason")
-	descGauge   = desc("now", "Things held at this moment.", "what")
-	descBug     = desc("unanswered_total", "Txns that the host had to void at their expiry; any is a defect.")
+	descTxns             = desc("txns_total", "Txns by how they ended.", "outcome")
+	descAdmitted         = desc("txns_taken_total", "Txns handed to the sentry.")
+	descEndings          = desc("submissions_ended_total", "Submissions by how they ended.", "ending")
+	descSent             = desc("submissions_sent_total", "Submissions written to a worker.")
+	descRefused          = desc("requests_refused_total", "Requests that were never taken.", "why")
+	descDials            = desc("dials_total", "Connections asked of workers.", "ok")
+	descMalformedAnswers = desc("worker_garbage_total", "Answers that made no sense.")
+	descClientEnds       = desc("client_connections_ended_total", "Connections of clients by why they ended.", "reason")
+	descOwedAtEnd        = desc("requests_owed_at_end_total", "Requests unanswered when this process ended their connection; any is a defect, but for slow readers.", "reason")
+	descGauge            = desc("now", "Things held at this moment.", "what")
+	descHostVoided       = desc("unanswered_total", "Txns that the host had to void at their expiry; any is a defect.")
 )
 
 func (c collector) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{descTxns, descTaken, descEndings, descSent, descRefused, descDials, descGarbage,
-		descEnds, descOwed, descGauge, descBug} {
+	for _, d := range []*prometheus.Desc{descTxns, descAdmitted, descEndings, descSent, descRefused, descDials, descMalformedAnswers,
+		descClientEnds, descOwedAtEnd, descGauge, descHostVoided} {
 		ch <- d
 	}
 }
 
 func (c collector) Collect(ch chan<- prometheus.Metric) {
 	for _, l := range c.p.loops {
-		s := l.shown.Load()
+		s := l.statsSnapshot.Load()
 		if s == nil {
 			continue
 		}
-		name := itoa(l.number)
+		name := itoa(l.sentryIndex)
 		count := func(d *prometheus.Desc, v uint64, labels ...string) {
 			ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), append([]string{name}, labels...)...)
 		}
@@ -76,14 +76,14 @@
 		count(descTxns, s.declined, "declined")
 		count(descTxns, s.voided, "voided")
 		count(descTxns, s.clientLeft, "left")
-		count(descTaken, s.admitted)
+		count(descAdmitted, s.admitted)
 		for e, text := range endingNames {
 			count(descEndings, s.endings[e], text)
 		}
 		count(descSent, s.sent)
 		for why, name := range endReasonNames {
-			count(descEnds, s.clientEnds[why], name)
-			count(descOwed, s.owedAtEnd[why], name)
+			count(descClientEnds, s.clientEnds[why], name)
+			count(descOwedAtEnd, s.owedAtEnd[why], name)
 		}
 		count(descRefused, s.refused, "malformed")
 		count(descRefused, s.noRoute, "no-route")
@@ -92,11 +92,11 @@
 		count(descRefused, s.overHeldBytes, "held-bytes")
 		count(descDials, s.dials-s.dialsFailed, "true")
 		count(descDials, s.dialsFailed, "false")
-		count(descGarbage, s.malformedAnswers)
-		count(descBug, s.hostVoided)
-		gauge("client-connections", s.open)
-		gauge("worker-connections", s.toWorkers)
-		gauge("txns", s.inHand)
+		count(descMalformedAnswers, s.malformedAnswers)
+		count(descHostVoided, s.hostVoided)
+		gauge("client-connections", s.openClients)
+		gauge("worker-connections", s.openWorkerConns)
+		gauge("txns", s.openTxns)
 		gauge("streams", s.streaming)
 	}
 }
--- a/edge/timers.go
+++ b/edge/timers.go
@@ -6,13 +6,13 @@
 type timerKind uint8
 
 const (
-	remind            timerKind = iota // the module's, by its token
+	timerModule       timerKind = iota // the module's, by its token
 	timerExpiry                        // a call's patience is over
 	timerHalfClose                     // shortly before that
-	subEnd                             // a submission's time-out
-	connWait                           // a submission waits for a connection
+	timerSubTimeout                    // a submission's time-out
+	timerConnWait                      // a submission waits for a connection
 	timerClientConn                    // something about a client's connection is to be looked at
-	workerAt                           // the same for a worker's
+	timerWorkerConn                    // the same for a worker's
 	timerClosingConns                  // connections that deliver their last answer are to be looked at
 	timerDrainEnd                      // what is still in hand in a drain is answered
 )
@@ -23,7 +23,7 @@
 	token uint64 // the module's, or place and generation
 	kind  timerKind
 	n     uint8       // number of the submission
-	of    logic.TxnID // of a reminder: the txn that it is about, if any
+	txnID logic.TxnID // of a reminder: the txn that it is about, if any
 }
 
 // timerHeap is a binary heap by time. Most entries come in order, for which a push costs one comparison.
--- a/edge/trace_test.go
+++ b/edge/trace_test.go
@@ -80,7 +80,7 @@
 	}{{"(level whole)", 40, true}, {"(level sampled) (one-in 1000000)", 20, false}, {"(level decisions)", 40, false}} {
 		t.Run(c.level, func(t *testing.T) {
 			dir := t.TempDir()
-			bad := newStubWorker(t, say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
+			bad := newStubWorker(t, respond("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
 			r := startEdge(t, fmt.Sprintf(`(trace (folder %q) %s)`, dir, c.level), bad)
 			r.roundTrip(strings.Repeat("POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\n\r\n", 20), strings.Fields(strings.Repeat("POST ", 20))...)
 			good := newStubWorker(t, echo)
--- a/edge/worker.go
+++ b/edge/worker.go
@@ -13,32 +13,32 @@
 
 // workerConn is one connection to a worker. It carries one submission at a time.
 type workerConn struct {
-	l           *loop
-	c           gnet.Conn
-	pool        *pool
-	at          int32
-	gen2        uint32 // of this place
-	closed      bool
-	call        *call // whose submission n is out here, or nil
-	gen         uint32
-	n           int
-	used        int // submissions it has carried
-	protocol    workerProtocol
-	load        logic.Load
-	hasLoad     bool
-	idled       logic.Nanos // before its last use
-	handshaking bool        // it stands, and cannot be asked yet
-	stops       logic.Nanos // when we ended our sending; 0: we did not
-	since       logic.Nanos // when it became idle
-	armed       logic.Nanos
+	l            *loop
+	c            gnet.Conn
+	pool         *pool
+	slot         int32
+	connGen      uint32 // of this place
+	closed       bool
+	call         *call // whose submission n is out here, or nil
+	gen          uint32
+	n            int
+	numUses      int // submissions it has carried
+	protocol     workerProtocol
+	load         logic.Load
+	hasLoad      bool
+	idledFor     logic.Nanos // before its last use
+	handshaking  bool        // it stands, and cannot be asked yet
+	halfClosedAt logic.Nanos // when we ended our sending; 0: we did not
+	since        logic.Nanos // when it became idle
+	armed        logic.Nanos
 }
 
-func (l *loop) workerOf(token uint64) *workerConn {
+func (l *loop) workerByToken(token uint64) *workerConn {
 	at := int32(uint32(token))
 	if int(at) >= len(l.workerConns.items) {
 		return nil
 	}
-	if wc := l.workerConns.items[at]; wc.gen2 == uint32(token>>32) && !wc.closed {
+	if wc := l.workerConns.items[at]; wc.connGen == uint32(token>>32) && !wc.closed {
 		return wc
 	}
 	return nil
@@ -70,10 +70,10 @@
 	}()
 }
 
-func (l *loop) openWorker(c gnet.Conn, p *pool) {
+func (l *loop) openWorkerConn(c gnet.Conn, p *pool) {
 	at, wc := l.workerConns.get()
 	was := wc.protocol
-	*wc = workerConn{l: l, c: c, pool: p, at: at, gen2: wc.gen2 + 1, handshaking: true, since: l.now}
+	*wc = workerConn{l: l, c: c, pool: p, slot: at, connGen: wc.connGen + 1, handshaking: true, since: l.now}
 	wc.protocol = l.p.protocol.newWorkerProtocol(wc, was)
 	c.SetContext(wc)
 	l.armWorker(wc, l.now+l.connectTimeout)
@@ -84,10 +84,10 @@
 func (l *loop) ready(wc *workerConn) {
 	if wc.handshaking {
 		wc.handshaking = false
-		wc.pool.dialing--
-		l.dialing--
+		wc.pool.numDialing--
+		l.numDialing--
 	}
-	l.offer(wc)
+	l.offerConn(wc)
 }
 
 func (l *loop) armWorker(wc *workerConn, at logic.Nanos) {
@@ -95,11 +95,11 @@
 		return
 	}
 	wc.armed = at
-	l.timers.push(timer{at: at, token: slotToken(wc.at, wc.gen2), kind: workerAt})
+	l.timers.push(timer{at: at, token: slotToken(wc.slot, wc.connGen), kind: timerWorkerConn})
 }
 
-// lookAtWorker closes a connection that has been idle for too long.
-func (l *loop) lookAtWorker(wc *workerConn) {
+// checkWorkerConn closes a connection that has been idle for too long.
+func (l *loop) checkWorkerConn(wc *workerConn) {
 	if wc.handshaking { // Danger: a worker that takes connections and says nothing would hold them, and who waits for them
 		if wc.since+l.connectTimeout > l.now {
 			l.armWorker(wc, wc.since+l.connectTimeout)
@@ -109,14 +109,14 @@
 		return
 	}
 	if wc.call != nil {
-		if wc.stops == 0 {
+		if wc.halfClosedAt == 0 {
 			return // armed again when it is idle
 		}
-		if wc.stops+crossing > l.now {
-			l.armWorker(wc, wc.stops+crossing)
+		if wc.halfClosedAt+halfCloseWait > l.now {
+			l.armWorker(wc, wc.halfClosedAt+halfCloseWait)
 			return
 		}
-		l.cut(wc, logic.Cancelled)
+		l.abortSubmission(wc, logic.Cancelled)
 		return
 	}
 	if rest := logic.Nanos(l.p.cfg.WorkerLimits.ReuseDelay); l.now-wc.since < rest {
@@ -130,20 +130,20 @@
 			return
 		}
 		wc.pool.idle = slices.DeleteFunc(wc.pool.idle, func(x *workerConn) bool { return x == wc })
-		if l.serveWaiting(wc) {
+		if l.serveOldestWaiter(wc) {
 			return
 		}
 		wc.pool.idle = append(wc.pool.idle, wc)
 	}
-	if wc.since+l.workerIdle <= l.now {
-		l.stats.rested++
+	if wc.since+l.workerIdleTimeout <= l.now {
+		l.stats.idleClosed++
 		l.closeWorkerConn(wc, false)
 		return
 	}
-	l.armWorker(wc, wc.since+l.workerIdle)
+	l.armWorker(wc, wc.since+l.workerIdleTimeout)
 }
 
-func (l *loop) closeIdle(p *pool) {
+func (l *loop) closeIdleConns(p *pool) {
 	for len(p.idle) > 0 {
 		wc := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
@@ -161,23 +161,23 @@
 		wc.c.SetLinger(0)
 	}
 	c := wc.c
-	wc.release()
+	wc.releaseSlot()
 	l.eventLoop.Close(c)
 }
 
-// release gives up the connection's place.
-func (wc *workerConn) release() {
+// releaseSlot gives up the connection's place.
+func (wc *workerConn) releaseSlot() {
 	l, p := wc.l, wc.pool
 	wc.closed, wc.call, wc.c = true, nil, nil
-	wc.gen2++
-	p.conns--
-	l.conns--
+	wc.connGen++
+	p.numConns--
+	l.numConns--
 	if wc.handshaking { // it never came up
 		wc.handshaking = false
-		p.dialing--
-		l.dialing--
+		p.numDialing--
+		l.numDialing--
 		l.stats.dialsFailed++
-		l.noneFor(p)
+		l.failOldestWaiter(p)
 	}
 	for i, x := range p.idle {
 		if x == wc {
@@ -186,18 +186,18 @@
 		}
 	}
 	wc.protocol.releaseBuffers()
-	l.workerConns.put(wc.at)
-	l.open(p)
-	l.feed()
+	l.workerConns.put(wc.slot)
+	l.dialForWaiters(p)
+	l.dialStarvedPools()
 }
 
-// gone takes a connection that the worker has closed, or that broke.
-func (wc *workerConn) gone(err error) {
+// handleClose takes a connection that the worker has closed, or that broke.
+func (wc *workerConn) handleClose(err error) {
 	l := wc.l
 	c, n := wc.call, wc.n
 	if c != nil && wc.protocol.completeOnClose(err) {
 		if !wc.closed {
-			wc.release()
+			wc.releaseSlot()
 		}
 		return
 	}
@@ -206,16 +206,16 @@
 	if c != nil && wc.protocol.hasUnsent() {
 		e = logic.ConnectFailed
 	}
-	if wc.stops > 0 {
+	if wc.halfClosedAt > 0 {
 		e = logic.Cancelled
 	}
 	if c != nil && e != logic.ConnectFailed && wc.protocol.answerStarted() {
 		e = logic.MalformedResponse
 	}
 	if c != nil {
-		l.reuse.used(l.now, wc.idled, l.now-c.subs[n].since <= atOnce)
+		l.reuseLimit.observe(l.now, wc.idledFor, l.now-c.subs[n].since <= promptReset)
 	}
-	wc.release()
+	wc.releaseSlot()
 	if c != nil {
 		l.endSubmission(c, n, e, nil)
 	}
@@ -250,12 +250,12 @@
 // complete takes a whole answer: how the submission ended, and what its client is to get where it is OK.
 func (l *loop) complete(wc *workerConn, e logic.Ending, out []byte, shut bool) {
 	c, n := wc.call, wc.n
-	if wc.stops > 0 { // the connection has had its last
+	if wc.halfClosedAt > 0 { // the connection has had its last
 		if shut = true; e != logic.OK {
 			e = logic.Cancelled
 		}
 	}
-	l.reuse.used(l.now, wc.idled, false)
+	l.reuseLimit.observe(l.now, wc.idledFor, false)
 	if e == logic.OK && !c.answered && !c.clientLeft {
 		l.stats.settled++
 		cc := c.client
@@ -286,7 +286,7 @@
 		l.closeWorkerConn(wc, extra)
 		return
 	}
-	l.offer(wc)
+	l.offerConn(wc)
 }
 
 // plausibleLoad refuses what no worker can mean. Danger: one NaN in a smoothed figure stays there for good.
--- a/edge/worker_http.go
+++ b/edge/worker_http.go
@@ -15,7 +15,7 @@
 type answerState uint8
 
 const (
-	atHead answerState = iota
+	answerHead answerState = iota
 	answerFixed
 	answerChunked
 	answerUntilClose // a body that ends with the connection
@@ -37,7 +37,7 @@
 func (k *httpWorker) handleOpen() { k.wc.l.ready(k.wc) }
 
 func (k *httpWorker) writeSubmission(c *call, n int) error {
-	k.state, k.answer, k.unsizedBody, k.closesConn = atHead, k.answer[:0], k.unsizedBody[:0], false
+	k.state, k.answer, k.unsizedBody, k.closesConn = answerHead, k.answer[:0], k.unsizedBody[:0], false
 	k.wc.l.stats.bytesToWorkers += uint64(len(c.request))
 	_, err := k.wc.c.Write(c.request)
 	return err
@@ -51,10 +51,10 @@
 func (k *httpWorker) halfClose() bool     { return false }
 
 func (k *httpWorker) releaseBuffers() {
-	if cap(k.answer) > keptBuffer {
+	if cap(k.answer) > maxReusedBuffer {
 		k.answer = nil
 	}
-	if cap(k.unsizedBody) > keptBuffer {
+	if cap(k.unsizedBody) > maxReusedBuffer {
 		k.unsizedBody = nil
 	}
 }
@@ -73,8 +73,8 @@
 		return false
 	}
 	switch k.state {
-	case atHead:
-		return k.head(in)
+	case answerHead:
+		return k.parseHead(in)
 	case answerFixed:
 		n := int(min(k.remaining, int64(len(in))))
 		k.answer = append(k.answer, in[:n]...)
@@ -85,7 +85,7 @@
 			k.complete(k.workerCloses)
 			return false
 		}
-		return !k.overflows(len(k.answer))
+		return !k.maybeRelay(len(k.answer))
 	case answerChunked:
 		took, data, done, err := k.chunks.Next(in)
 		if err != nil && err != http1.ErrIncomplete {
@@ -100,15 +100,15 @@
 			k.complete(k.workerCloses)
 			return false
 		}
-		return !(k.overflows(len(k.unsizedBody)) || err != nil || took == 0)
+		return !(k.maybeRelay(len(k.unsizedBody)) || err != nil || took == 0)
 	}
 	k.unsizedBody = append(k.unsizedBody, in...)
 	wc.c.Discard(len(in))
-	return !k.overflows(len(k.unsizedBody))
+	return !k.maybeRelay(len(k.unsizedBody))
 }
 
-// head reads an answer's head, and tells whether there may be more to do.
-func (k *httpWorker) head(in []byte) bool {
+// parseHead reads an answer's parseHead, and tells whether there may be more to do.
+func (k *httpWorker) parseHead(in []byte) bool {
 	wc := k.wc
 	l, c := wc.l, wc.call
 	r := &l.resp
@@ -125,7 +125,7 @@
 		return true
 	}
 	k.status, k.workerCloses = r.Status, r.Close
-	wc.hasLoad = readLoad(r, &wc.load)
+	wc.hasLoad = parseLoadReport(r, &wc.load)
 	k.answer = append(k.answer[:0], "HTTP/1.1 "...)
 	k.answer = strconv.AppendInt(k.answer, int64(r.Status), 10)
 	k.answer = append(k.answer, ' ')
@@ -135,7 +135,7 @@
 	k.answer = r.AppendFields(k.answer)
 	k.answer = append(k.answer, viaHeader...)
 	if unseen {
-		k.status = unseenStatus
+		k.status = statusUnseen
 	}
 	length := r.Length
 	if c.isHead {
@@ -166,28 +166,28 @@
 		}
 		k.answer = append(k.answer, "\r\n"...)
 	}
-	if c.product >= 0 && l.p.cfg.Products[c.product].Stream && length != 0 && settles(k.status) {
-		return !k.overflows(1 << 62)
+	if c.product >= 0 && l.p.cfg.Products[c.product].Stream && length != 0 && settlesTxn(k.status) {
+		return !k.maybeRelay(1 << 62)
 	}
 	return true
 }
 
-const unseenStatus = 1503 // a 503 that says that the txn was turned away unseen
+const statusUnseen = 1503 // a 503 that says that the txn was turned away unseen
 
-func settles(status int) bool { return status < 500 }
+func settlesTxn(status int) bool { return status < 500 }
 
-// overflows hands an answer that is too large to be kept whole, or that streams, on to a carrier.
-func (k *httpWorker) overflows(size int) bool {
+// maybeRelay hands an answer that is too large to be kept whole, or that streams, on to a carrier.
+func (k *httpWorker) maybeRelay(size int) bool {
 	wc := k.wc
 	l, c := wc.l, wc.call
 	if int64(size) <= l.p.cfg.ClientLimits.AnswerBufferBytes {
 		return false
 	}
-	if c.answered || c.clientLeft || !settles(k.status) {
+	if c.answered || c.clientLeft || !settlesTxn(k.status) {
 		// Nobody waits for it: what is not wanted must not fill memory.
 		n := wc.n
 		e := logic.OK
-		if !settles(k.status) {
+		if !settlesTxn(k.status) {
 			e = logic.ErrorResponse
 		}
 		l.closeWorkerConn(wc, true)
@@ -203,9 +203,9 @@
 	l, c := wc.l, wc.call
 	e := logic.OK
 	switch {
-	case k.status == unseenStatus:
+	case k.status == statusUnseen:
 		e = logic.Rejected
-	case !settles(k.status):
+	case !settlesTxn(k.status):
 		e = logic.ErrorResponse
 	}
 	out := k.answer
@@ -232,9 +232,9 @@
 	l.complete(wc, e, out, shut)
 }
 
-// readLoad maps a load report in the open ORCA form to the module's figures: the header endpoint-load-metrics,
+// parseLoadReport maps a load report in the open ORCA form to the module's figures: the header endpoint-load-metrics,
 // as TEXT or JSON. Queue and txns in hand are named metrics, queue and busy. What is malformed is no report.
-func readLoad(r *http1.Response, to *logic.Load) bool {
+func parseLoadReport(r *http1.Response, to *logic.Load) bool {
 	v := r.Get("endpoint-load-metrics")
 	if v == nil {
 		return false
