--- a/edge/loop.go
+++ b/edge/loop.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	maxReusedBuffer = 64 << 10         // a buffer larger than that is not kept for reuse
-	minWakeInterval = time.Millisecond // wakes come no closer than that
+	maxReusedBuffer = 64 << 10         // bytes; larger buffers are freed rather than kept for reuse
+	minWakeInterval = time.Millisecond // least time between two wake-ups of a loop by its timers
 )
 
-// eventKind says which of the module's methods an event is for.
+// eventKind selects the decision module's method that an event is passed to.
 type eventKind uint8
 
 const (
@@ -36,9 +36,10 @@
 	evStreaming
 	evAnswerBegun
 	evTimer
-	evFunc // anything rare, as a function
+	evFunc // runs a function, for rare events
 )
 
+// event is an event queued for the decision module.
 type event struct {
 	kind    eventKind
 	call    *call
@@ -49,7 +50,7 @@
 	run     func(now logic.Nanos)
 }
 
-// actionKind says what the module wants done.
+// actionKind is the kind of an action that the module has decided on.
 type actionKind uint8
 
 const (
@@ -60,6 +61,7 @@
 	actionSetTimer
 )
 
+// action is one decision of the module that the loop has yet to carry out.
 type action struct {
 	kind     actionKind
 	txn      logic.TxnID
@@ -69,98 +71,104 @@
 	token    uint64
 }
 
-// loop is one event loop with the sentry that lives on it. Everything here is touched on that loop's goroutine
-// alone, but for what is marked otherwise.
+// loop is one event loop and the sentry that runs on it. Its fields are accessed only on the loop's goroutine, unless
+// marked otherwise.
 type loop struct {
 	gnet.BuiltinEventEngine
 	p           *Process
-	sentryIndex int // of the sentry among all
+	sentryIndex int // index of this sentry among the sentries of all edges
 	client      *gnet.Client
 	eventLoop   gnet.EventLoop
 	log         *zap.Logger
 	rng         *rand.Rand
-	now         logic.Nanos
+	now         logic.Nanos // time at the start of the current callback
 	sentry      *logic.Sentry
-	recorder    *trace.Recorder // nil: nothing is recorded
-	admitting   logic.TxnID     // the txn that the module is being handed; 0: none
-	runID       uint64          // drawn at the start
-	serial      uint64          // of the last txn
-
-	calls              slab[call]
-	externalIDs        map[uint64]struct{} // ids of the calls in hand, where clients give them
-	clientConns        slab[clientConn]
-	workerConns        slab[workerConn]
+	recorder    *trace.Recorder // nil when traces are off
+	admitting   logic.TxnID     // the txn that is being passed to the module; 0 when none is
+	runID       uint64          // identifies this run of the sentry; derived from name, start time and index
+	serial      uint64          // serial number of the last txn
+
+	calls       slab[call]
+	externalIDs map[uint64]struct{} // the clients' ids of the open calls, for protocols that have them
+	clientConns slab[clientConn]
+	workerConns slab[workerConn]
+
 	pools              map[logic.WorkerID]*pool
 	workerStarts       map[logic.WorkerID]workerStart
-	listSeen           bool // of a first list
-	startTimesReported bool // by the source, for each worker; 0: long past
-	numDialing         int
-	reuseLimit         reuseLimit
-	numConns           int     // to workers, open or being opened
-	starvedPools       []*pool // that wait for one of them to end
-	heldBytes          int     // bytes that came from clients and were not used yet
+	listSeen           bool       // whether a worker list has been applied, also a restored one
+	startTimesReported bool       // whether the source reports every worker's start, so that 0 means long past
+	numDialing         int        // worker connections being opened
+	reuseLimit         reuseLimit // limits how long an idle worker connection may be reused
+	numConns           int        // worker connections, open or being opened
+	starvedPools       []*pool    // pools that wait until numConns falls below its limit
+	heldBytes          int        // bytes received from clients and not consumed yet
 	timers             timerHeap
 
 	events        []event
 	actions       []action
-	resumeReads   []*clientConn // answered; their next request may be in hand
-	processing    bool
-	callbackDepth int // of calls from gnet within one another
-	load          logic.Load
+	resumeReads   []*clientConn // connections just answered, whose next request may be buffered
+	processing    bool          // whether processEvents is running
+	callbackDepth int           // nesting depth of callbacks from gnet
+	load          logic.Load    // the load report of the outcome being dispatched
 
-	req     http1.Request // of the moment
+	// Reused between callbacks.
+	req     http1.Request
 	resp    http1.Response
 	scratch []byte
 	fields  []byte
 
-	connectTimeout, workerIdleTimeout logic.Nanos
-	draining, stopping                bool
-	answerDeadline                    logic.Nanos   // in a drain: when what is in hand is answered at the latest
-	drained                           chan struct{} // closed when no request can be read any more
-	drainSignaled                     bool
-	closingConns                      []closingConn
-	closingTimerSet                   bool
-	spareFD                           int  // a descriptor held for when none is left; -1: none
-	listCurrent                       bool // the list of the moment has come
-	voteInFlight                      bool
-	stats                             stats
-	statsSnapshot                     atomic.Pointer[stats] // for whoever asks; any goroutine
-	clientCount                       atomic.Int64          // open connections of clients; any goroutine
-
-	// Work from other goroutines, and what wakes the loop for it.
-	mu           sync.Mutex
+	connectTimeout    logic.Nanos
+	workerIdleTimeout logic.Nanos
+	draining          bool
+	stopping          bool
+	answerDeadline    logic.Nanos   // in a drain: when open txns are answered at the latest
+	drained           chan struct{} // closed when no request can be read any more
+	drainSignaled     bool          // whether drained is closed
+	closingConns      []closingConn
+	closingTimerSet   bool
+	spareFD           int  // a descriptor held in reserve for when the process runs out of them; -1 when there is none
+	listCurrent       bool // whether a worker list from the source has been applied
+	voteInFlight      bool
+	stats             stats
+	statsSnapshot     atomic.Pointer[stats] // copy of stats for readers on any goroutine
+	clientCount       atomic.Int64          // open client connections; read and written by any goroutine
+
+	// Functions posted by other goroutines, and what wakes the loop to run them.
+	mu           sync.Mutex // guards postedFuncs
 	postedFuncs  []func()
-	wakeConn     net.Conn
-	alarmAt      atomic.Int64 // when the alarm goes off; 0: it does not
-	alarmChanged chan struct{}
-	lastWake     logic.Nanos
-	group        sync.WaitGroup // dials, votes, carriers, the alarm
-	quit         chan struct{}
+	wakeConn     net.Conn       // a byte written here wakes the loop
+	alarmAt      atomic.Int64   // when runAlarm wakes the loop next; 0 when it is not set
+	alarmChanged chan struct{}  // tells runAlarm that alarmAt has changed
+	lastWake     logic.Nanos    // when the loop was last woken
+	group        sync.WaitGroup // dials, votes, carriers and runAlarm
+	quit         chan struct{}  // closed by halt
 }
 
-// workerStart is what tells one process from the next under its id, with its start by this host's clock.
+// workerStart identifies one process of a worker id, so that a replacement under the same id is recognized.
 type workerStart struct {
-	reported  int64
+	reported  int64 // start time as reported, by the platform's clock; 0 when none was
 	address   string
 	build     int
-	startedAt logic.Nanos
+	startedAt logic.Nanos // start time by the local clock; 0 when long past
 }
 
 func newLoop(p *Process, i int) *loop {
-	number := int(p.cfg.Module["index"].(float64)) + i
-	// One seed for each sentry, and nothing that two sentries share.
+	sentryIndex := int(p.cfg.Module["index"].(float64)) + i
+	// Each sentry has a seed of its own, so that no two share a random sequence.
 	seed := int64(xxhash.Sum64(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil,
-		uint64(p.cfg.Seed)), uint64(number))) >> 1)
-	l := &loop{p: p, sentryIndex: number, log: p.log.With(zap.Int("sentry", number)), rng: rand.New(rand.NewSource(seed)),
-		externalIDs: map[uint64]struct{}{}, pools: map[logic.WorkerID]*pool{}, workerStarts: map[logic.WorkerID]workerStart{}, alarmChanged: make(chan struct{}, 1), drained: make(chan struct{}), spareFD: -1,
+		uint64(p.cfg.Seed)), uint64(sentryIndex))) >> 1)
+	l := &loop{p: p, sentryIndex: sentryIndex, log: p.log.With(zap.Int("sentry", sentryIndex)), rng: rand.New(rand.NewSource(seed)),
+		externalIDs: map[uint64]struct{}{}, pools: map[logic.WorkerID]*pool{}, workerStarts: map[logic.WorkerID]workerStart{},
+		alarmChanged: make(chan struct{}, 1), drained: make(chan struct{}), spareFD: -1,
 		startTimesReported: p.platform != nil, quit: make(chan struct{}), connectTimeout: logic.Nanos(p.cfg.WorkerLimits.ConnectTimeout),
-		workerIdleTimeout: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout), reuseLimit: reuseLimit{idleLimit: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout), maxIdle: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout)}}
-	l.runID = xxhash.Sum64(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64([]byte(p.cfg.Name), uint64(p.epoch)), uint64(number)))
+		workerIdleTimeout: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout),
+		reuseLimit:        reuseLimit{idleLimit: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout), maxIdle: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout)}}
+	l.runID = xxhash.Sum64(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64([]byte(p.cfg.Name), uint64(p.epoch)), uint64(sentryIndex)))
 	return l
 }
 
-// start brings up the event loop and its sentry; list and news are what was known before a restart.
-func (l *loop) start(list *api.WorkersEvent, news *logic.ReleaseUpdate) error {
+// start starts the event loop and its sentry. list and update are the state restored from the previous run, or nil.
+func (l *loop) start(list *api.WorkersEvent, update *logic.ReleaseUpdate) error {
 	var err error
 	l.client, err = gnet.NewClient(l, gnet.WithLogger(gnetLogger{l.p.log}), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
 		gnet.WithReadBufferCap(64<<10), gnet.WithNumEventLoop(1))
@@ -207,8 +215,8 @@
 		if list != nil {
 			l.applyWorkerList(logic.Restored, *list)
 		}
-		if news != nil {
-			l.deliverRelease(*news)
+		if update != nil {
+			l.deliverRelease(*update)
 		}
 		close(ready)
 	})
@@ -216,7 +224,7 @@
 	return err
 }
 
-// openRecorder opens the recorder where the plan wants one.
+// openRecorder opens the trace recorder if the configuration has one.
 func (l *loop) openRecorder(settings map[string]any) (err error) {
 	t := &l.p.cfg.Trace
 	if t.Dir == "" {
@@ -238,7 +246,7 @@
 	return err
 }
 
-// deliverWorkers and the methods below hand rare events to the module, and record them first.
+// deliverWorkers and the methods below record a rare event and pass it to the module.
 func (l *loop) deliverWorkers(mode logic.ListMode, list []logic.Worker) {
 	l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
 		if l.recorder != nil {
@@ -284,9 +292,10 @@
 	}})
 }
 
+// wakeContext is the gnet context of the loop's end of the wake-up socket pair.
 type wakeContext struct{}
 
-// post runs a function on the loop. Any goroutine may call it.
+// post runs a function on the loop's goroutine. Any goroutine may call it.
 func (l *loop) post(do func()) {
 	l.mu.Lock()
 	first := len(l.postedFuncs) == 0
@@ -300,12 +309,13 @@
 var wakeByte = []byte{1}
 
 func (l *loop) wake() {
-	// Danger: a full pipe would block whoever posts; but then the loop has a wake to read already.
+	// A full socket buffer would block the caller, so the write has a deadline. Nothing is lost then, as the loop has a
+	// wake-up pending already.
 	l.wakeConn.SetWriteDeadline(time.Now().Add(time.Second))
 	l.wakeConn.Write(wakeByte)
 }
 
-// newWakePair gives two ends of a pipe for waking a loop: ours to write, and the loop's.
+// newWakePair returns a socket pair for waking a loop: ours is written to, theirs is read by the loop.
 func newWakePair() (ours, theirs net.Conn, err error) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
@@ -318,7 +328,7 @@
 	return ours, theirs, err
 }
 
-// runAlarm wakes the loop when its next timer is due. One a loop, ended by quit.
+// runAlarm wakes the loop when its next timer is due. Each loop has one such goroutine, which ends when quit is closed.
 func (l *loop) runAlarm() {
 	defer l.group.Done()
 	t := time.NewTimer(time.Hour)
@@ -339,13 +349,13 @@
 	}
 }
 
-// beginCallback notes the time; every call from gnet begins with it.
+// beginCallback updates the loop's time. Every callback from gnet begins with it.
 func (l *loop) beginCallback() {
 	l.now = l.p.clock()
 	l.callbackDepth++
 }
 
-// endCallback runs what is due and sets the alarm for what comes next; every call from gnet ends with it.
+// endCallback runs the due timers and sets the alarm for the next one. Every callback from gnet ends with it.
 func (l *loop) endCallback() {
 	l.runDueTimers()
 	l.checkDrained()
@@ -354,7 +364,7 @@
 		return
 	}
 	at := int64(max(l.timers[0].at, l.lastWake+logic.Nanos(minWakeInterval)))
-	if armed := l.alarmAt.Load(); armed == 0 || at < armed {
+	if alarmAt := l.alarmAt.Load(); alarmAt == 0 || at < alarmAt {
 		l.alarmAt.Store(at)
 		select {
 		case l.alarmChanged <- struct{}{}:
@@ -363,7 +373,7 @@
 	}
 }
 
-// runDueTimers runs the timers whose time has come, and drops those that no longer matter.
+// runDueTimers fires the timers that are due and removes obsolete ones from the top of the heap.
 func (l *loop) runDueTimers() {
 	for len(l.timers) > 0 {
 		t := l.timers[0]
@@ -379,13 +389,13 @@
 	}
 }
 
-// timerObsolete tells whether what a timer was set for has ended.
+// timerObsolete reports whether the txn or submission that a timer was set for has ended.
 func (l *loop) timerObsolete(t timer) bool {
 	switch t.kind {
 	case timerExpiry, timerHalfClose, timerSubTimeout, timerConnWait:
 		c := l.findCall(logic.TxnID(t.token))
 		return c == nil || t.kind != timerExpiry && t.kind != timerHalfClose && c.subs[t.n].state == subEnded
-	case timerModule: // about a txn that is over: the module has nothing to do
+	case timerModule: // the module has nothing to do for a txn that is over
 		return t.txnID != 0 && l.findCall(t.txnID) == nil
 	}
 	return false
@@ -394,7 +404,7 @@
 func (l *loop) fireTimer(t timer) {
 	switch t.kind {
 	case timerModule:
-		if t.token == 0 { // the module's beat
+		if t.token == 0 { // the module's housekeeping tick
 			l.publishStats()
 			if l.recorder != nil {
 				l.recorder.Flush(l.now)
@@ -428,7 +438,7 @@
 	}
 }
 
-// expireCall ends what is out of a call whose client gives up, so that the module answers at once.
+// expireCall ends the outstanding submissions of a call at its expiry, so that the module answers it at once.
 func (l *loop) expireCall(c *call) {
 	id := c.id()
 	for n := 0; n < c.n; n++ {
@@ -436,7 +446,7 @@
 	}
 	l.processEvents()
 	if c = l.findCall(id); c != nil && c.admitted && !c.answered && !c.clientLeft {
-		// Danger: a txn that the module holds with nothing out would never be answered.
+		// The module still holds the txn although nothing of it is outstanding. Without this it would never be answered.
 		l.stats.hostVoided++
 		l.log.Error("txn held past its expiry, voided by the host", zap.Uint64("txn", uint64(c.id())))
 		l.enqueue(event{kind: evClientLeft, call: c})
@@ -445,7 +455,7 @@
 	}
 }
 
-// enqueue lines up an event for the module; pump hands it over.
+// enqueue appends an event to the module's queue, which processEvents works off.
 func (l *loop) enqueue(e event) {
 	if e.call != nil {
 		e.call.pendingEvents++
@@ -453,8 +463,8 @@
 	l.events = append(l.events, e)
 }
 
-// processEvents hands queued events to the module, one by one, and does what it decides before the next.
-// Danger: doing what was decided can end connections, and so bring events, in the middle of a decision; they wait here.
+// processEvents passes queued events to the module one by one, and executes the actions of each before the next. Executing
+// an action can end connections and so cause further events; these are queued, so that calls into the module don't nest.
 func (l *loop) processEvents() {
 	if l.processing {
 		return
@@ -478,7 +488,7 @@
 	l.processing = false
 }
 
-// dispatch gives one event to the module and does what it decides.
+// dispatch passes one event to the module and executes the resulting actions.
 func (l *loop) dispatch(e event) {
 	c := e.call
 	switch e.kind {
@@ -486,7 +496,7 @@
 		if l.recorder != nil {
 			c.traced = l.recorder.Take(l.now, &c.txn, c.serial, c.traceID[0], c.traceID[1])
 		}
-		l.admitting = c.id() // what it wants to be reminded of now is this txn
+		l.admitting = c.id() // timers that the module sets during this call are about this txn
 		l.sentry.Take(l.now, c.txn)
 		l.admitting = 0
 	case evOutcome:
@@ -509,7 +519,7 @@
 			l.recorder.Event(l.now, tracepb.Kind_STREAMING, c.id(), e.outcome.Number, 0, 0)
 		}
 		l.sentry.StreamStarted(l.now, c.id(), e.outcome.Number)
-	case evAnswerBegun: // not recorded: no protocol that is has it
+	case evAnswerBegun: // not recorded: no protocol with traces has this event
 		l.sentry.ResponseStarted(l.now, c.id(), e.outcome.Number)
 	case evTimer:
 		if l.recorder != nil {
@@ -529,7 +539,7 @@
 	}
 }
 
-// execute does one thing that the module decided.
+// execute carries out one action of the module.
 func (l *loop) execute(a action) {
 	if a.kind == actionSetTimer {
 		l.timers.push(timer{at: l.now + a.duration, token: a.token, kind: timerModule, txnID: a.txn})
@@ -553,9 +563,10 @@
 	}
 }
 
-// The methods below are the module's Sink. They only note what is wanted: it is done when the module is through.
+// The methods below implement logic.Sink. Actions on txns and timers are only queued, and executed once the module's
+// method has returned.
 
-// Submit is a part of logic.Sink, as are the methods below.
+// Submit implements logic.Sink.
 func (l *loop) Submit(t logic.TxnID, w logic.WorkerID, timeout logic.Nanos) {
 	if l.traced(t) {
 		l.recorder.Submit(l.now, t, w, timeout)
@@ -584,11 +595,11 @@
 	if l.recorder != nil {
 		l.recorder.Event(l.now, tracepb.Kind_REMIND, 0, 0, token, uint64(after))
 	}
-	of := l.admitting
-	if token == 0 { // the beat is about no txn
-		of = 0
+	id := l.admitting
+	if token == 0 { // the housekeeping tick belongs to no txn
+		id = 0
 	}
-	l.actions = append(l.actions, action{kind: actionSetTimer, duration: after, token: token, txn: of})
+	l.actions = append(l.actions, action{kind: actionSetTimer, duration: after, token: token, txn: id})
 }
 func (l *loop) Vote(v logic.Verdict, rel logic.RelID, stage int) {
 	if l.recorder != nil {
@@ -615,7 +626,7 @@
 	l.log.Info(text)
 }
 
-// traced tells whether a txn is recorded.
+// traced reports whether a txn is recorded.
 func (l *loop) traced(t logic.TxnID) bool {
 	if l.recorder == nil {
 		return false
@@ -624,9 +635,9 @@
 	return c != nil && c.traced
 }
 
-// ---- gnet's side ----
+// ---- gnet callbacks ----
 
-// OnOpen takes a new connection, of a client or to a worker.
+// OnOpen handles a new connection, from a client or to a worker.
 func (l *loop) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	l.beginCallback()
 	switch ctx := c.Context().(type) {
@@ -646,7 +657,7 @@
 	return nil, gnet.None
 }
 
-// OnTraffic takes bytes.
+// OnTraffic handles received bytes.
 func (l *loop) OnTraffic(c gnet.Conn) gnet.Action {
 	l.beginCallback()
 	switch ctx := c.Context().(type) {
@@ -672,10 +683,10 @@
 	return gnet.None
 }
 
-// OnClose takes the end of a connection.
+// OnClose handles the end of a connection.
 func (l *loop) OnClose(c gnet.Conn, err error) gnet.Action {
-	outer := l.callbackDepth == 0
-	if outer {
+	outermost := l.callbackDepth == 0
+	if outermost {
 		l.beginCallback()
 	}
 	switch ctx := c.Context().(type) {
@@ -688,22 +699,23 @@
 			ctx.handleClose(err)
 		}
 	}
-	// Danger: a write that fails closes its connection in the middle of whatever wrote; what follows waits till that
-	// is through.
-	if outer {
+	// A failed write closes its connection from within the code that wrote. The resulting events wait until the outermost
+	// callback processes them.
+	if outermost {
 		l.processEvents()
 		l.endCallback()
 	}
 	return gnet.None
 }
 
-// halt ends the loop: what it still holds is cut. Call it from outside, once, when nothing more is handed in.
+// halt ends the loop and cuts the connections that it still has. It is called once, from another goroutine, when no new
+// connections are passed to the loop any more.
 func (l *loop) halt() {
 	done := make(chan struct{})
 	l.post(func() { l.stopping = true; close(done) })
 	<-done
 	close(l.quit)
-	l.group.Wait() // dials and carriers come back to a loop that still runs
+	l.group.Wait() // dials and carriers post their results to the loop, so they must end before it
 	l.client.Stop()
 	l.closeAllClosing()
 	l.wakeConn.Close()
@@ -712,7 +724,7 @@
 	}
 }
 
-// gnetLogger passes gnet's own lines on as debug: what matters is logged by whoever decides on it.
+// gnetLogger logs gnet's messages at debug level, since the caller that handles an error also logs it.
 type gnetLogger struct{ log *zap.Logger }
 
 func (q gnetLogger) Debugf(format string, args ...any) { q.log.Sugar().Debugf(format, args...) }
--- a/edge/process.go
+++ b/edge/process.go
@@ -1,5 +1,5 @@
-// Package edge hosts sentries: it turns sockets, timers and news into events of the decision module, and the
-// module's actions into bytes. It decides nothing about a txn, a worker or a build.
+// Package edge hosts sentries: it turns socket traffic, timers and platform updates into events for the decision module,
+// and the module's actions into bytes on the wire. It decides nothing about a txn, a worker or a build.
 package edge
 
 import (
@@ -19,59 +19,61 @@
 	"dunegrade/logic"
 )
 
-// Process is one edge: a listener, some event loops with a sentry each, and a source of news.
+// Process is one edge: a listener, event loops with one sentry each, and a source of worker lists and release updates.
 type Process struct {
 	cfg         *config.Edge
 	log         *zap.Logger
 	loops       []*loop
 	routes      classifier
 	protocol    protocol
-	platform    *PlatformOptions // nil: by file or API
+	platform    *PlatformOptions // nil when the source is a file or the HTTP API
 	customerIDs map[string]int
 	zoneIDs     map[string]int
 	kindIDs     map[string]int
 	productIDs  map[string]int
 	source      Source
-	openClients atomic.Int64 // connections of clients
+	openClients atomic.Int64 // client connections, of all loops
 	listener    net.Listener
 	startedAt   time.Time
-	epoch       int64
-	peerConn    *net.UDPConn
+	epoch       int64        // wall clock at startedAt, in Unix nanoseconds
+	peerConn    *net.UDPConn // nil when messages between sentries are off
 	peerAddrs   []*net.UDPAddr
 
-	mu           sync.Mutex // guards what follows; never held on the ordinary path
-	workers      map[string]api.Worker
-	release      api.Release // the last one told
-	clockOffset  int64       // of the platform's clock before ours, when it last told the list
-	saveTimer    *time.Timer
-	saveClosed   bool // nothing is saved any more
-	saveFailed   bool // the last save failed
-	saveMu       sync.Mutex
-	listReceived atomic.Bool
+	mu          sync.Mutex            // guards the fields down to saveFailed; never taken on the request path
+	workers     map[string]api.Worker // the current worker list by id
+	release     api.Release           // the release state in force
+	clockOffset int64                 // platform clock minus the local wall clock at the last list update, in nanoseconds
+	saveTimer   *time.Timer           // pending state save, or nil
+	saveClosed  bool                  // set by saveFinal: later saves do nothing
+	saveFailed  bool                  // whether the last save failed
+
+	saveMu       sync.Mutex  // serializes writers of the state file
+	listReceived atomic.Bool // whether the source has delivered a worker list
 }
 
-// New makes an edge of a checked plan. It listens when Run is called.
-func New(plan *config.Edge, log *zap.Logger) *Process {
-	p := newProcess(plan, log)
-	if plan.Source.APIURL != "" {
-		p.source = newAPISource(plan.Source.APIURL, plan.Name, log)
+// New returns an edge for a validated configuration. It starts listening when Run is called.
+func New(cfg *config.Edge, log *zap.Logger) *Process {
+	p := newProcess(cfg, log)
+	if cfg.Source.APIURL != "" {
+		p.source = newAPISource(cfg.Source.APIURL, cfg.Name, log)
 	} else {
-		p.source = newFileSource(plan.Source.File, log)
+		p.source = newFileSource(cfg.Source.File, log)
 	}
 	return p
 }
 
-func newProcess(plan *config.Edge, log *zap.Logger) *Process {
-	p := &Process{cfg: plan, log: log, routes: newRouteTable(plan.Routes), protocol: httpProtocol{}, customerIDs: indexNames(plan.Customers, 1),
-		zoneIDs: indexNames(plan.Zones, 0), kindIDs: indexNames(plan.Kinds, 0), productIDs: map[string]int{}, startedAt: time.Now(),
+func newProcess(cfg *config.Edge, log *zap.Logger) *Process {
+	p := &Process{cfg: cfg, log: log, routes: newRouteTable(cfg.Routes), protocol: httpProtocol{}, customerIDs: indexNames(cfg.Customers, 1),
+		zoneIDs: indexNames(cfg.Zones, 0), kindIDs: indexNames(cfg.Kinds, 0), productIDs: map[string]int{}, startedAt: time.Now(),
 		workers: map[string]api.Worker{}}
 	p.epoch = p.startedAt.UnixNano()
-	for i := range plan.Products {
-		p.productIDs[plan.Products[i].Name] = i
+	for i := range cfg.Products {
+		p.productIDs[cfg.Products[i].Name] = i
 	}
 	return p
 }
 
+// indexNames maps each name to its index, counted from the given first index.
 func indexNames(names []string, from int) map[string]int {
 	m := map[string]int{}
 	for i, n := range names {
@@ -80,41 +82,42 @@
 	return m
 }
 
-// clock is the process's time: near the wall clock at the start, and never going back after. It moves in whole
-// microseconds: what is finer than a system call is noise, and would only swell the traces.
+// clock returns the process's monotonic time, which starts at the wall clock and never goes back. It is rounded down to
+// microseconds: finer differences are below the cost of a system call and would only enlarge the traces.
 func (p *Process) clock() logic.Nanos {
 	return logic.Nanos((p.epoch + int64(time.Since(p.startedAt))) / 1000 * 1000)
 }
 
-// Refresh has the source tell everything again, as after a SIGHUP.
+// Refresh makes the source deliver its full state again, as after a SIGHUP.
 func (p *Process) Refresh() { p.source.Refresh() }
 
-// Run serves until ctx ends, then drains: no new connection, one final answer for every txn taken, within the
-// bound that the plan states. listening, if not nil, is told the address. The error is nil after a clean drain.
+// Run serves until ctx ends, then drains: it accepts no new connections and gives every admitted txn one final answer
+// within the configured drain time. listening, if not nil, is called with the listener's address. The error is nil after
+// a clean drain.
 func (p *Process) Run(ctx context.Context, listening func(net.Addr)) error {
-	// Danger: an event loop that waits in the kernel keeps its processor from the others for up to 10 ms, so that
-	// with no processor to spare every timer and every other loop is late by that.
+	// An event loop blocked in a system call can hold its P for up to 10 ms before the runtime retakes it. Without a spare
+	// P every timer and every other loop would be delayed by as much.
 	if runtime.GOMAXPROCS(0) < p.cfg.Loops+1 {
 		runtime.GOMAXPROCS(p.cfg.Loops + 1)
 	}
-	list, news := p.restoreState()
+	list, update := p.restoreState()
 	if p.platform != nil {
-		list, news = p.platform.initialState()
+		list, update = p.platform.initialState()
 	}
 	if err := p.listenPeers(); err != nil {
 		return err
 	}
 	for i := 0; i < p.cfg.Loops; i++ {
 		l := newLoop(p, i)
-		if err := l.start(list, news); err != nil {
+		if err := l.start(list, update); err != nil {
 			return fmt.Errorf("event loop %d: %w", i, err)
 		}
 		p.loops = append(p.loops, l)
 	}
 	if p.peerConn != nil {
-		go p.readPeerMessages() // ended by the socket's close; what came before waits in the kernel
+		go p.readPeerMessages() // ends when the socket is closed; earlier datagrams wait in the socket buffer
 	}
-	admin, err := p.serveAdmin() // before anything is accepted that a failure here would cut
+	admin, err := p.serveAdmin() // before the listener opens, since a failure here would cut accepted connections
 	if err != nil {
 		p.stopLoops()
 		return err
@@ -141,11 +144,11 @@
 	began := time.Now()
 	deadline := began.Add(p.cfg.ShutdownDelay + p.cfg.DrainTimeout)
 	p.log.Info("stopping: still accepting", zap.Int64("open", p.openClients.Load()), zap.Duration("for", p.cfg.ShutdownDelay))
-	time.Sleep(p.cfg.ShutdownDelay) // clients still come for as long
+	time.Sleep(p.cfg.ShutdownDelay) // clients may still connect during this time
 	p.closeListener(&accepting)
 	p.log.Info("stopping: listener closed", p.connCounts().logFields()...)
-	whole := p.drain(deadline)
-	p.logDrained(whole)
+	complete := p.drain(deadline)
+	p.logDrained(complete)
 	if admin != nil {
 		admin.Close()
 	}
@@ -155,12 +158,13 @@
 	p.saveFinal()
 	owedAtEnd := p.owedAtEnd()
 	p.log.Info("stopped", zap.Duration("drained-in", time.Since(began)), zap.Uint64("owed", owedAtEnd), zap.Any("ends", p.clientEnds()))
-	if !whole {
-		return fmt.Errorf("drain: not through after %v, %d requests were still owed", p.cfg.ShutdownDelay+p.cfg.DrainTimeout, owedAtEnd)
+	if !complete {
+		return fmt.Errorf("drain: incomplete after %v, %d requests unanswered", p.cfg.ShutdownDelay+p.cfg.DrainTimeout, owedAtEnd)
 	}
 	return nil
 }
 
+// stopLoops halts the event loops, and closes the socket for other sentries' messages.
 func (p *Process) stopLoops() {
 	for _, l := range p.loops {
 		l.halt()
