--- a/edge/call.go
+++ b/edge/call.go
@@ -6,85 +6,91 @@
 	"dunegrade/logic"
 )
 
-const maxSubs = 8 // submissions of a txn, as in the module
+const maxSubs = 8 // most submissions of a txn, as in the decision module
 
-// subState is where a submission stands.
+// subState is the state of a submission.
 type subState uint8
 
 const (
 	subEnded      subState = iota
-	subWaiting             // for a connection: nothing was sent
-	subSent                // it may run
-	subHalfClosed          // we have ended our sending; what crosses that is heard yet
-	subStreaming           // its answer streams, a carrier has it
+	subWaiting             // waits for a connection: nothing was sent
+	subSent                // written to a worker, which may run it
+	subHalfClosed          // cancelled by half-closing the connection; an answer already under way is still accepted
+	subStreaming           // its answer is relayed by a carrier
 )
 
+// submission is one attempt to run a txn on a worker.
 type submission struct {
 	pool  *pool
 	conn  *workerConn // while sent
-	since logic.Nanos
+	since logic.Nanos // when it was made
 	state subState
 }
 
-// call is one txn in hand: the client's request and what was sent of it. A call lives from the end of its head
-// until it is answered, and all that was sent of it has ended.
+// call is one open txn: the client's request and the submissions made for it. A call exists from the end of the request's
+// head until it is answered and all its submissions have ended.
 type call struct {
-	slot                     int32
-	gen                      uint32
-	client                   *clientConn // nil once answered, or left by its client
-	request                  []byte      // as it goes to workers, head and body
-	bodyOffset               int         // where the body starts in request
-	product                  int
-	isHead                   bool // a HEAD: its answer has no body
-	httpMinor                int  // of the client's version
-	keepAlive                bool // the client's connection stays open
-	closesConn               bool // its answer says that the connection ends with it
-	txn                      logic.Txn
-	admitted                 bool      // the module has it
-	externalID               uint64    // its id as its client knows it, where ids are its clients'
-	timeoutStart, timeoutEnd int       // where in request its patience stands, where it stands in the request
-	traced                   bool      // it is recorded
-	traceID                  [2]uint64 // that the client sent
-	serial                   uint64    // of the txn in this sentry's life
-	status                   int       // of the answer that it was just given, for its record
-	answered                 bool
-	clientLeft               bool // by its client
-	subs                     [maxSubs]submission
-	n, outstanding           int // submissions made, and of them not ended
-	pendingEvents            int // events queued for the module
-	freed                    bool
-	lastEnding               logic.Ending
+	slot         int32       // index in loop.calls
+	gen          uint32      // generation of the slot
+	client       *clientConn // nil once answered or left by its client
+	request      []byte      // head and body, as sent to workers
+	bodyOffset   int         // where the body starts in request
+	product      int
+	isHead       bool // a HEAD request, whose answer has no body
+	httpMinor    int  // the client's HTTP/1 minor version
+	keepAlive    bool // the client's connection stays open after the answer
+	closesConn   bool // the answer announces the end of the connection
+	txn          logic.Txn
+	admitted     bool      // passed to the module
+	externalID   uint64    // the client's id of the txn, for protocols that have one; else 0
+	timeoutStart int       // where the client's timeout starts in request, for protocols that rewrite it
+	timeoutEnd   int       // and where it ends
+	traced       bool      // recorded by the trace recorder
+	traceID      [2]uint64 // trace id that the client sent; zeros when it sent none
+	serial       uint64    // serial number of the txn in this run of the sentry
+	status       int       // HTTP status of the answer just given, for the trace
+	answered     bool
+	clientLeft   bool // the client has left before its answer
+	subs         [maxSubs]submission
+	n            int // submissions made
+	outstanding  int // submissions that have not ended
+	// pendingEvents is the number of events queued for the module.
+	pendingEvents int
+	freed         bool
+	lastEnding    logic.Ending // ending of the submission that ended last
 }
 
-// The id of a txn is its place in the slab below its generation: as small a number as can be.
+// slotBits is the number of low bits of a txn's id that hold its slot in the slab; the generation is above them. This keeps
+// ids small.
 const slotBits = 20
 
 func (c *call) id() logic.TxnID { return logic.TxnID(uint64(c.gen)<<slotBits | uint64(c.slot)) }
 
-// call finds a txn in hand by its id, or nil.
+// findCall returns the open call with the given txn id, or nil.
 func (l *loop) findCall(id logic.TxnID) *call {
-	at, gen := int32(id&(1<<slotBits-1)), uint32(id>>slotBits)
-	if int(at) >= len(l.calls.items) || at < 0 {
+	slot, gen := int32(id&(1<<slotBits-1)), uint32(id>>slotBits)
+	if int(slot) >= len(l.calls.items) || slot < 0 {
 		return nil
 	}
-	if c := l.calls.items[at]; c.gen == gen {
+	if c := l.calls.items[slot]; c.gen == gen {
 		return c
 	}
 	return nil
 }
 
 func (l *loop) newCall() *call {
-	at, c := l.calls.get()
+	slot, c := l.calls.get()
 	request := c.request
-	if cap(request) > maxReusedBuffer { // one large request must not pin its memory for good
+	if cap(request) > maxReusedBuffer { // a single large request must not pin its memory forever
 		request = nil
 	}
 	l.serial++
-	*c = call{slot: at, gen: c.gen + 1, serial: l.serial, request: request[:0], lastEnding: logic.OK}
+	*c = call{slot: slot, gen: c.gen + 1, serial: l.serial, request: request[:0], lastEnding: logic.OK}
 	return c
 }
 
-// releaseCall frees a call once nothing of it is out or queued and its client has had the answer, or was never owed one.
+// releaseCall frees a call once it has no outstanding submissions or queued events, and its client has had the answer, has
+// left, or was never owed one.
 func (l *loop) releaseCall(c *call) {
 	if c.freed || c.outstanding > 0 || c.pendingEvents > 0 || c.admitted && !c.answered && !c.clientLeft {
 		return
@@ -102,25 +108,25 @@
 		}
 		c.client = nil
 	}
-	c.gen++ // timers and late endings find nothing
+	c.gen++ // timers and late events no longer find this call
 	l.calls.put(c.slot)
 }
 
-// endSubmission books the end of submission n and queues the outcome for the module.
+// endSubmission marks submission n as ended and queues the outcome for the module.
 func (l *loop) endSubmission(c *call, n int, e logic.Ending, load *logic.Load) {
 	s := &c.subs[n]
 	if s.state == subEnded {
 		return
 	}
-	// Danger: a link that is slow, or falls silent, may hold an answer that was given.
-	given := l.p.platform != nil && s.state >= subSent &&
+	// The worker may have answered although the answer did not arrive: it can still be in transit on a slow or silent link.
+	maybeAnswered := l.p.platform != nil && s.state >= subSent &&
 		(e == logic.Cancelled || e == logic.TimedOut || e == logic.Disconnected || e == logic.MalformedResponse)
 	s.state = subEnded
 	s.conn = nil
 	c.outstanding--
 	c.lastEnding = e
 	ev := event{kind: evOutcome, call: c, outcome: logic.Outcome{Txn: c.id(), Number: n, Ending: e,
-		Elapsed: l.now - s.since, Final: c.answered || c.clientLeft, MaybeAnswered: given}}
+		Elapsed: l.now - s.since, Final: c.answered || c.clientLeft, MaybeAnswered: maybeAnswered}}
 	if load != nil {
 		ev.load, ev.hasLoad = *load, true
 	}
@@ -132,25 +138,27 @@
 type pool struct {
 	id         logic.WorkerID
 	address    string
-	removed    bool
-	idle       []*workerConn
-	waiting    []waiter // submissions that need a connection, oldest first
-	numConns   int      // open or being opened
-	numDialing int
+	removed    bool          // the worker has left the list or changed its address, so connections are not kept
+	idle       []*workerConn // in the order in which they became idle
+	waiting    []waiter      // submissions that need a connection, oldest first
+	numConns   int           // open or being opened
+	numDialing int           // being opened
 }
 
+// waiter is a submission that waits for a connection.
 type waiter struct {
 	call *call
-	gen  uint32
-	n    int
+	gen  uint32 // generation of call
+	n    int    // index of the submission
 }
 
+// valid reports whether the submission still waits and its answer is still wanted.
 func (w waiter) valid() bool {
 	return w.call.gen == w.gen && w.call.subs[w.n].state == subWaiting && !w.call.answered && !w.call.clientLeft
 }
 
-// endWaitingSubs ends what waits for a connection for a call that is over. Danger: where nothing may be called off, the module
-// says nothing of it, and it would be sent for a client that has gone, or has its answer.
+// endWaitingSubs ends the submissions of a finished call that still wait for a connection. Where the configuration forbids
+// cancelling, the module does not cancel them, and they would be sent for a client that has left or has its answer.
 func (l *loop) endWaitingSubs(c *call) {
 	for n := 0; n < c.n; n++ {
 		if c.subs[n].state == subWaiting {
@@ -176,7 +184,7 @@
 	if timeout > 0 && l.now+timeout < c.txn.Expiry {
 		l.timers.push(timer{at: l.now + timeout, token: uint64(c.id()), kind: timerSubTimeout, n: uint8(n)})
 	}
-	for i := len(p.idle) - 1; i >= 0; i-- { // the one used last, as the others may be closing
+	for i := len(p.idle) - 1; i >= 0; i-- { // most recently used first: the others may be about to be closed by the worker
 		wc := p.idle[i]
 		if l.now-wc.since > l.reuseLimit.idleLimit {
 			l.closeWorkerConn(wc, false)
@@ -184,7 +192,7 @@
 		}
 		if l.now-wc.since < logic.Nanos(l.p.cfg.WorkerLimits.ReuseDelay) {
 			l.armWorker(wc, wc.since+logic.Nanos(l.p.cfg.WorkerLimits.ReuseDelay))
-			continue // Danger: what a worker sends behind an answer would pass for the next one
+			continue // bytes that the worker sends after its answer would be taken for the next answer
 		}
 		if wc.protocol.stale() {
 			l.stats.stale++
@@ -200,7 +208,7 @@
 	l.dialForWaiters(p)
 }
 
-// dialForWaiters dials where a submission waits and no connection is on its way for it.
+// dialForWaiters opens connections until one is being opened for each waiting submission, within the limits.
 func (l *loop) dialForWaiters(p *pool) {
 	if len(p.waiting) == 0 {
 		return
@@ -221,22 +229,23 @@
 	}
 }
 
-// closeLongestIdle ends the connection of another pool that has been idle for longest, and tells whether there was one.
-func (l *loop) closeLongestIdle(but *pool) bool {
-	var best *workerConn
+// closeLongestIdle closes the connection, of any pool but one, that has been idle for longest. It reports whether there was
+// one.
+func (l *loop) closeLongestIdle(except *pool) bool {
+	var oldest *workerConn
 	for _, wc := range l.workerConns.items {
-		if !wc.closed && wc.pool != nil && wc.pool != but && wc.call == nil && !wc.handshaking &&
-			(best == nil || wc.since < best.since) {
-			best = wc
+		if !wc.closed && wc.pool != nil && wc.pool != except && wc.call == nil && !wc.handshaking &&
+			(oldest == nil || wc.since < oldest.since) {
+			oldest = wc
 		}
 	}
-	if best != nil {
-		l.closeWorkerConn(best, false)
+	if oldest != nil {
+		l.closeWorkerConn(oldest, false)
 	}
-	return best != nil
+	return oldest != nil
 }
 
-// dialStarvedPools opens connections for pools that found none to be had.
+// dialStarvedPools opens connections for the pools that were held back by the limit on all worker connections.
 func (l *loop) dialStarvedPools() {
 	for len(l.starvedPools) > 0 && l.numConns < l.p.cfg.WorkerLimits.MaxTotalConnections {
 		p := l.starvedPools[0]
@@ -245,7 +254,7 @@
 	}
 }
 
-// dialed takes the end of a dial that failed.
+// dialFailed handles a failed dial.
 func (l *loop) dialFailed(p *pool) {
 	p.numDialing--
 	p.numConns--
@@ -256,7 +265,7 @@
 	l.dialForWaiters(p)
 }
 
-// failOldestWaiter tells the submission that has waited longest that there is no connection for it.
+// failOldestWaiter ends the submission that has waited longest, as no connection could be opened for it.
 func (l *loop) failOldestWaiter(p *pool) {
 	for len(p.waiting) > 0 {
 		w := p.waiting[0]
@@ -268,7 +277,7 @@
 	}
 }
 
-// endPoolWaiters ends what waits for a connection to a worker that is wanted no more; it was never sent.
+// endPoolWaiters ends the submissions that wait for a connection to a worker that gets no new ones. They were never sent.
 func (l *loop) endPoolWaiters(p *pool) {
 	waiting := p.waiting
 	p.waiting = nil
@@ -279,12 +288,12 @@
 	}
 }
 
-// offerConn gives a free connection to the submission that has waited longest, or keeps it. One that has just answered
-// rests first, where workers are known to send more than belongs to an answer.
+// offerConn gives a free connection to the submission that has waited longest, or keeps it idle. A connection that has just
+// answered first waits for the configured reuse delay, for workers that send extra bytes after an answer.
 func (l *loop) offerConn(wc *workerConn) {
 	p := wc.pool
-	rest := logic.Nanos(l.p.cfg.WorkerLimits.ReuseDelay)
-	if wc.numUses == 0 || rest == 0 {
+	reuseDelay := logic.Nanos(l.p.cfg.WorkerLimits.ReuseDelay)
+	if wc.numUses == 0 || reuseDelay == 0 {
 		if l.serveOldestWaiter(wc) {
 			return
 		}
@@ -296,13 +305,13 @@
 	wc.since = l.now
 	p.idle = append(p.idle, wc)
 	if len(p.waiting) > 0 {
-		l.armWorker(wc, l.now+rest)
+		l.armWorker(wc, l.now+reuseDelay)
 		return
 	}
 	l.armWorker(wc, l.now+l.workerIdleTimeout)
 }
 
-// serveOldestWaiter writes the submission that has waited longest for one of the pool's connections, and tells whether there
+// serveOldestWaiter assigns the connection to the submission that has waited longest in its pool. It reports whether there
 // was one.
 func (l *loop) serveOldestWaiter(wc *workerConn) bool {
 	p := wc.pool
@@ -321,7 +330,7 @@
 	return false
 }
 
-// assignConn puts a call's request on a connection.
+// assignConn writes submission n of a call to a connection.
 func (l *loop) assignConn(wc *workerConn, c *call, n int) {
 	s := &c.subs[n]
 	s.state, s.conn = subSent, wc
@@ -338,39 +347,39 @@
 	}
 }
 
-// reuseLimit learns how long an idle connection is good for. Danger: what stands between may drop idle connections without a
-// sign, sooner than is told; then each that is used again costs a submission that may have run.
+// reuseLimit estimates for how long an idle connection can be reused. A middlebox may drop idle connections silently and
+// earlier than announced, and each reuse of a dropped connection costs a submission that may have run.
 type reuseLimit struct {
-	resetRates [idleBuckets]float64 // share that is reset at once, by how long they had been idle; the first: hardly
-	idleLimit  logic.Nanos          // how long one may have been idle
-	maxIdle    logic.Nanos
-	decayedAt  logic.Nanos // when old experience was last made less of
+	resetRates [idleBuckets]float64 // smoothed share of connections reset on reuse, by idle time; bucket 0: in steady use
+	idleLimit  logic.Nanos          // longest idle time at which a connection is reused
+	maxIdle    logic.Nanos          // upper bound of idleLimit
+	decayedAt  logic.Nanos          // when resetRates were last decayed
 }
 
 const (
-	idleBuckets        = 9 // each twice as long as the one before
-	firstIdleBucket    = 20 * logic.Millisecond
-	promptReset        = 3 * logic.Millisecond // a reset so soon speaks against the connection
-	resetRateGain      = 0.03
-	maxExcessResetRate = 0.08 // than a connection in steady use, by so much, and a span is not used
+	idleBuckets        = 9                      // buckets of idle time, each twice as long as the one before
+	firstIdleBucket    = 20 * logic.Millisecond // upper bound of the first bucket
+	promptReset        = 3 * logic.Millisecond  // a reset within this time of the write is blamed on the connection
+	resetRateGain      = 0.03                   // weight of a new observation in the smoothed rate
+	maxExcessResetRate = 0.08                   // a bucket is not used if its rate exceeds that of bucket 0 by more
 )
 
-// observe notes how a connection fared that had been idle for so long.
-func (r *reuseLimit) observe(now, idled logic.Nanos, died bool) {
-	if now-r.decayedAt > logic.Second { // what is not used any more is tried again in time
+// observe records whether a connection that had been idle for the given time was reset on reuse.
+func (r *reuseLimit) observe(now, idledFor logic.Nanos, reset bool) {
+	if now-r.decayedAt > logic.Second { // so that buckets no longer used are tried again after a while
 		r.decayedAt = now
 		for i := range r.resetRates {
 			r.resetRates[i] *= 0.95
 		}
 	}
-	at, hit := 0, 0.0
-	for end := firstIdleBucket; idled > end && at < idleBuckets-1; end *= 2 {
-		at++
+	bucket, observed := 0, 0.0
+	for end := firstIdleBucket; idledFor > end && bucket < idleBuckets-1; end *= 2 {
+		bucket++
 	}
-	if died {
-		hit = 1
+	if reset {
+		observed = 1
 	}
-	r.resetRates[at] += resetRateGain * (hit - r.resetRates[at])
+	r.resetRates[bucket] += resetRateGain * (observed - r.resetRates[bucket])
 	r.idleLimit = r.maxIdle
 	for i, end := 1, firstIdleBucket; i < idleBuckets; i, end = i+1, end*2 {
 		if r.resetRates[i] > r.resetRates[0]+maxExcessResetRate {
@@ -380,7 +389,7 @@
 	}
 }
 
-// stopSubmission ends a submission from our side.
+// stopSubmission ends a submission on the module's or the host's decision.
 func (l *loop) stopSubmission(c *call, n int, e logic.Ending) {
 	s := &c.subs[n]
 	switch s.state {
@@ -393,7 +402,7 @@
 		}
 		l.endSubmission(c, n, e, nil)
 	case subSent:
-		if s.conn.protocol.hasUnsent() { // what never left this host whole cannot have run
+		if s.conn.protocol.hasUnsent() { // a request that has not left this host completely cannot have run
 			e = logic.ConnectFailed
 		} else if e == logic.Cancelled && s.conn.protocol.halfClose() {
 			l.startHalfClose(s)
@@ -407,7 +416,8 @@
 	}
 }
 
-// abortSubmission ends a submission with its connection. Danger: one whose answer had begun has run, and counts as answered.
+// abortSubmission ends a submission by closing its connection. One whose answer has started has run, so it must not be
+// reported as timed out or cancelled.
 func (l *loop) abortSubmission(wc *workerConn, e logic.Ending) {
 	c, n := wc.call, wc.n
 	if (e == logic.TimedOut || e == logic.Cancelled) && wc.protocol.answerStarted() {
@@ -417,18 +427,19 @@
 	l.endSubmission(c, n, e, nil)
 }
 
-// halfCloseWait is how long an answer that crosses our giving up is waited for.
+// halfCloseWait is how long a half-closed connection is kept open for an answer that is already on its way.
 const halfCloseWait = 20 * logic.Millisecond
 
-// startHalfClose ends our sending on a submission's connection. Danger: an answer that crosses this has been given, and the module
-// must hear of it: the key counts as answered by its build.
+// startHalfClose marks a submission as half-closed and waits for an answer that crosses the half-close. Such an answer has
+// been given, so the module must learn of it: the key counts as answered by its build.
 func (l *loop) startHalfClose(s *submission) {
 	s.state = subHalfClosed
 	s.conn.halfClosedAt = l.now
 	l.armWorker(s.conn, l.now+halfCloseWait)
 }
 
-// halfCloseOutstanding gives up what is out of a call so shortly before its expiry that what crosses is still heard.
+// halfCloseOutstanding half-closes a call's outstanding submissions shortly before its expiry, so that answers already on
+// their way still arrive in time.
 func (l *loop) halfCloseOutstanding(c *call) {
 	for n := 0; n < c.n; n++ {
 		if s := &c.subs[n]; s.state == subSent && !s.conn.protocol.hasUnsent() && s.conn.protocol.halfClose() {
@@ -437,5 +448,5 @@
 	}
 }
 
-// halfCloseLead is how long before a call's expiry that is.
+// halfCloseLead is how long before a call's expiry halfCloseOutstanding runs.
 const halfCloseLead = 5 * logic.Millisecond
