--- a/edge/worker.go
+++ b/edge/worker.go
@@ -16,35 +16,36 @@
 	l            *loop
 	c            gnet.Conn
 	pool         *pool
-	slot         int32
-	connGen      uint32 // of this place
+	slot         int32  // index in loop.workerConns
+	connGen      uint32 // generation of the slot
 	closed       bool
-	call         *call // whose submission n is out here, or nil
-	gen          uint32
-	n            int
-	numUses      int // submissions it has carried
+	call         *call  // the call whose submission n the connection carries, or nil
+	gen          uint32 // generation of call
+	n            int    // index of the submission
+	numUses      int    // submissions carried so far
 	protocol     workerProtocol
-	load         logic.Load
-	hasLoad      bool
-	idledFor     logic.Nanos // before its last use
-	handshaking  bool        // it stands, and cannot be asked yet
-	halfClosedAt logic.Nanos // when we ended our sending; 0: we did not
-	since        logic.Nanos // when it became idle
-	armed        logic.Nanos
+	load         logic.Load  // the worker's last load report
+	hasLoad      bool        // whether load came with the current answer
+	idledFor     logic.Nanos // idle time before the current use
+	handshaking  bool        // the connection is open but not ready for submissions
+	halfClosedAt logic.Nanos // when it was half-closed; 0 when it was not
+	since        logic.Nanos // when it was opened or became idle
+	armed        logic.Nanos // when its timer fires; 0 when none is set
 }
 
+// workerByToken returns the open connection that a timer's token stands for, or nil.
 func (l *loop) workerByToken(token uint64) *workerConn {
-	at := int32(uint32(token))
-	if int(at) >= len(l.workerConns.items) {
+	slot := int32(uint32(token))
+	if int(slot) >= len(l.workerConns.items) {
 		return nil
 	}
-	if wc := l.workerConns.items[at]; wc.connGen == uint32(token>>32) && !wc.closed {
+	if wc := l.workerConns.items[slot]; wc.connGen == uint32(token>>32) && !wc.closed {
 		return wc
 	}
 	return nil
 }
 
-// dial opens a connection beside the loop; it comes back through OnOpen, or as a failure.
+// dial opens a connection on a goroutine of its own. The result comes back through OnOpen or dialFailed.
 func (l *loop) dial(p *pool) {
 	l.group.Add(1)
 	address := p.address
@@ -53,7 +54,7 @@
 		d := net.Dialer{Timeout: l.p.cfg.WorkerLimits.ConnectTimeout}
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
-		go func() { // a loop that halts does not wait for dials
+		go func() { // halting the loop cancels the dial
 			select {
 			case <-l.quit:
 				stop()
@@ -71,16 +72,16 @@
 }
 
 func (l *loop) openWorkerConn(c gnet.Conn, p *pool) {
-	at, wc := l.workerConns.get()
-	was := wc.protocol
-	*wc = workerConn{l: l, c: c, pool: p, slot: at, connGen: wc.connGen + 1, handshaking: true, since: l.now}
-	wc.protocol = l.p.protocol.newWorkerProtocol(wc, was)
+	slot, wc := l.workerConns.get()
+	reused := wc.protocol
+	*wc = workerConn{l: l, c: c, pool: p, slot: slot, connGen: wc.connGen + 1, handshaking: true, since: l.now}
+	wc.protocol = l.p.protocol.newWorkerProtocol(wc, reused)
 	c.SetContext(wc)
 	l.armWorker(wc, l.now+l.connectTimeout)
 	wc.protocol.handleOpen()
 }
 
-// ready takes a connection that can be asked.
+// ready handles a connection that has become ready for submissions.
 func (l *loop) ready(wc *workerConn) {
 	if wc.handshaking {
 		wc.handshaking = false
@@ -90,6 +91,7 @@
 	l.offerConn(wc)
 }
 
+// armWorker sets a timer for checkWorkerConn, unless an earlier one is set.
 func (l *loop) armWorker(wc *workerConn, at logic.Nanos) {
 	if wc.armed != 0 && wc.armed <= at {
 		return
@@ -98,9 +100,10 @@
 	l.timers.push(timer{at: at, token: slotToken(wc.slot, wc.connGen), kind: timerWorkerConn})
 }
 
-// checkWorkerConn closes a connection that has been idle for too long.
+// checkWorkerConn enforces the connection's time limits: of the handshake, of a half-close, of the delay before reuse and of
+// idle time.
 func (l *loop) checkWorkerConn(wc *workerConn) {
-	if wc.handshaking { // Danger: a worker that takes connections and says nothing would hold them, and who waits for them
+	if wc.handshaking { // a worker that accepts but stays silent must not hold the connection and the submissions waiting for it
 		if wc.since+l.connectTimeout > l.now {
 			l.armWorker(wc, wc.since+l.connectTimeout)
 			return
@@ -110,7 +113,7 @@
 	}
 	if wc.call != nil {
 		if wc.halfClosedAt == 0 {
-			return // armed again when it is idle
+			return // the timer is set again when the connection becomes idle
 		}
 		if wc.halfClosedAt+halfCloseWait > l.now {
 			l.armWorker(wc, wc.halfClosedAt+halfCloseWait)
@@ -119,8 +122,8 @@
 		l.abortSubmission(wc, logic.Cancelled)
 		return
 	}
-	if rest := logic.Nanos(l.p.cfg.WorkerLimits.ReuseDelay); l.now-wc.since < rest {
-		l.armWorker(wc, wc.since+rest)
+	if reuseDelay := logic.Nanos(l.p.cfg.WorkerLimits.ReuseDelay); l.now-wc.since < reuseDelay {
+		l.armWorker(wc, wc.since+reuseDelay)
 		return
 	}
 	if len(wc.pool.waiting) > 0 {
@@ -151,13 +154,13 @@
 	}
 }
 
-// closeWorkerConn ends a connection from our side; hard resets it, so that the worker sees at once that nobody
-// waits. What was out on it is not told to anyone: the caller does that.
-func (l *loop) closeWorkerConn(wc *workerConn, hard bool) {
+// closeWorkerConn closes a connection. With reset it sends a TCP reset, by which the worker learns at once that no answer is
+// wanted. The caller ends the submission that the connection carried.
+func (l *loop) closeWorkerConn(wc *workerConn, reset bool) {
 	if wc.closed {
 		return
 	}
-	if hard {
+	if reset {
 		wc.c.SetLinger(0)
 	}
 	c := wc.c
@@ -165,22 +168,22 @@
 	l.eventLoop.Close(c)
 }
 
-// releaseSlot gives up the connection's place.
+// releaseSlot marks the connection as closed, frees its slot and opens connections for submissions that wait for one.
 func (wc *workerConn) releaseSlot() {
 	l, p := wc.l, wc.pool
 	wc.closed, wc.call, wc.c = true, nil, nil
 	wc.connGen++
 	p.numConns--
 	l.numConns--
-	if wc.handshaking { // it never came up
+	if wc.handshaking { // it never became ready
 		wc.handshaking = false
 		p.numDialing--
 		l.numDialing--
 		l.stats.dialsFailed++
 		l.failOldestWaiter(p)
 	}
-	for i, x := range p.idle {
-		if x == wc {
+	for i, other := range p.idle {
+		if other == wc {
 			p.idle = append(p.idle[:i], p.idle[i+1:]...)
 			break
 		}
@@ -191,7 +194,7 @@
 	l.dialStarvedPools()
 }
 
-// handleClose takes a connection that the worker has closed, or that broke.
+// handleClose handles a connection that the worker has closed or that failed.
 func (wc *workerConn) handleClose(err error) {
 	l := wc.l
 	c, n := wc.call, wc.n
@@ -201,7 +204,7 @@
 		}
 		return
 	}
-	// What never left this host whole cannot have run.
+	// A request that has not left this host completely cannot have run.
 	e := logic.Disconnected
 	if c != nil && wc.protocol.hasUnsent() {
 		e = logic.ConnectFailed
@@ -221,13 +224,13 @@
 	}
 }
 
-// read takes what a worker sends.
+// read passes the bytes received from a worker to the protocol.
 func (wc *workerConn) read() {
 	l := wc.l
 	for !wc.closed {
 		size := wc.c.InboundBuffered()
 		if wc.call == nil && !wc.handshaking && size > 0 {
-			// Danger: bytes that nobody asked for would pass for the next txn's answer.
+			// Unsolicited bytes would be taken for the next txn's answer.
 			l.stats.malformedAnswers++
 			l.closeWorkerConn(wc, true)
 			return
@@ -239,7 +242,7 @@
 	}
 }
 
-// failMalformed ends a submission whose answer makes no sense. It may have run.
+// failMalformed ends a submission whose answer is malformed. The submission may have run.
 func (wc *workerConn) failMalformed() {
 	l, c, n := wc.l, wc.call, wc.n
 	l.stats.malformedAnswers++
@@ -247,11 +250,12 @@
 	l.endSubmission(c, n, logic.MalformedResponse, nil)
 }
 
-// complete takes a whole answer: how the submission ended, and what its client is to get where it is OK.
-func (l *loop) complete(wc *workerConn, e logic.Ending, out []byte, shut bool) {
+// complete handles a complete answer: e is the submission's ending, clientAnswer what its client gets if e is OK. With mustClose
+// the connection cannot be used again.
+func (l *loop) complete(wc *workerConn, e logic.Ending, clientAnswer []byte, mustClose bool) {
 	c, n := wc.call, wc.n
-	if wc.halfClosedAt > 0 { // the connection has had its last
-		if shut = true; e != logic.OK {
+	if wc.halfClosedAt > 0 { // a half-closed connection takes no more submissions
+		if mustClose = true; e != logic.OK {
 			e = logic.Cancelled
 		}
 	}
@@ -259,11 +263,11 @@
 	if e == logic.OK && !c.answered && !c.clientLeft {
 		l.stats.settled++
 		cc := c.client
-		if cc.answer(c, out); !cc.closed {
+		if cc.answer(c, clientAnswer); !cc.closed {
 			cc.finish(c)
 		}
 	}
-	// Danger: bytes after a whole answer are an answer to nothing; the connection is not used again.
+	// Bytes after a complete answer belong to no request, so the connection is not used again.
 	extra := !wc.closed && wc.c.InboundBuffered() > 0
 	var load *logic.Load
 	if wc.hasLoad {
@@ -282,14 +286,15 @@
 	if extra {
 		l.stats.malformedAnswers++
 	}
-	if shut || extra {
+	if mustClose || extra {
 		l.closeWorkerConn(wc, extra)
 		return
 	}
 	l.offerConn(wc)
 }
 
-// plausibleLoad refuses what no worker can mean. Danger: one NaN in a smoothed figure stays there for good.
+// plausibleLoad reports whether a load report's values are within reason. A single NaN would stay in a smoothed value
+// forever.
 func plausibleLoad(l *logic.Load) bool {
 	for _, f := range [3]float64{l.Util, l.Queue, l.Busy} {
 		if !(f >= -1 && f < 1e9) {
@@ -299,10 +304,10 @@
 	return true
 }
 
-// unsafeString looks at bytes as a string for the length of a call.
+// unsafeString returns b as a string without a copy. The result must not be used after b changes.
 func unsafeString(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
 
-// equalFold compares a header's name without regard to ASCII case; an empty want fits nothing.
+// equalFold reports whether a header's name equals want, ignoring ASCII case. An empty want matches nothing.
 func equalFold(b []byte, want string) bool {
 	if len(b) != len(want) || want == "" {
 		return false
