--- a/edge/worker_http.go
+++ b/edge/worker_http.go
@@ -11,27 +11,27 @@
 	"dunegrade/logic"
 )
 
-// answerState is what of an answer is being read.
+// answerState is the part of an answer that is being read.
 type answerState uint8
 
 const (
-	answerHead answerState = iota
-	answerFixed
-	answerChunked
-	answerUntilClose // a body that ends with the connection
+	answerHead       answerState = iota
+	answerFixed                  // a body of known length
+	answerChunked                // a chunked body
+	answerUntilClose             // a body that ends with the connection
 )
 
-// httpWorker is a worker's connection that speaks HTTP/1.1.
+// httpWorker is the HTTP/1.1 side of a worker connection.
 type httpWorker struct {
 	wc           *workerConn
 	state        answerState
-	status       int
-	workerCloses bool   // the worker closes after this answer
-	closesConn   bool   // the answer says that the client's connection ends with it
-	answer       []byte // the answer's head as the client gets it; with a known length, its body as well
-	unsizedBody  []byte // a body whose length is not known yet
-	remaining    int64
-	chunks       http1.Dechunker
+	status       int             // the answer's status, or statusUnseen
+	workerCloses bool            // the worker closes the connection after this answer
+	closesConn   bool            // the answer announces the end of the client's connection
+	answer       []byte          // the answer as sent to the client: its head, and a body of known length
+	unsizedBody  []byte          // a body of unknown length, as far as received
+	remaining    int64           // bytes of a body of known length still to come
+	chunks       http1.Dechunker // decodes a chunked body
 }
 
 func (k *httpWorker) handleOpen() { k.wc.l.ready(k.wc) }
@@ -87,27 +87,27 @@
 		}
 		return !k.maybeRelay(len(k.answer))
 	case answerChunked:
-		took, data, done, err := k.chunks.Next(in)
+		consumed, data, done, err := k.chunks.Next(in)
 		if err != nil && err != http1.ErrIncomplete {
 			wc.failMalformed()
 			return false
 		}
 		k.unsizedBody = append(k.unsizedBody, data...)
-		if took > 0 {
-			wc.c.Discard(took)
+		if consumed > 0 {
+			wc.c.Discard(consumed)
 		}
 		if done {
 			k.complete(k.workerCloses)
 			return false
 		}
-		return !(k.maybeRelay(len(k.unsizedBody)) || err != nil || took == 0)
+		return !(k.maybeRelay(len(k.unsizedBody)) || err != nil || consumed == 0)
 	}
 	k.unsizedBody = append(k.unsizedBody, in...)
 	wc.c.Discard(len(in))
 	return !k.maybeRelay(len(k.unsizedBody))
 }
 
-// parseHead reads an answer's parseHead, and tells whether there may be more to do.
+// parseHead reads an answer's head. It reports whether there may be more to read.
 func (k *httpWorker) parseHead(in []byte) bool {
 	wc := k.wc
 	l, c := wc.l, wc.call
@@ -120,7 +120,7 @@
 		wc.failMalformed()
 		return false
 	}
-	if r.Status < 200 { // nothing final yet
+	if r.Status < 200 { // an interim response
 		wc.c.Discard(n)
 		return true
 	}
@@ -172,11 +172,14 @@
 	return true
 }
 
-const statusUnseen = 1503 // a 503 that says that the txn was turned away unseen
+// statusUnseen stands for a 503 whose header says that the worker rejected the txn before processing any of it.
+const statusUnseen = 1503
 
+// settlesTxn reports whether an answer of this status settles its txn.
 func settlesTxn(status int) bool { return status < 500 }
 
-// maybeRelay hands an answer that is too large to be kept whole, or that streams, on to a carrier.
+// maybeRelay passes an answer that is streamed or too large to buffer to a carrier. It reports whether the connection is done
+// with, which it also is if nobody wants the answer.
 func (k *httpWorker) maybeRelay(size int) bool {
 	wc := k.wc
 	l, c := wc.l, wc.call
@@ -184,7 +187,7 @@
 		return false
 	}
 	if c.answered || c.clientLeft || !settlesTxn(k.status) {
-		// Nobody waits for it: what is not wanted must not fill memory.
+		// No client waits for this answer, so it must not fill memory.
 		n := wc.n
 		e := logic.OK
 		if !settlesTxn(k.status) {
@@ -197,8 +200,8 @@
 	return l.startRelay(k)
 }
 
-// complete takes a whole answer.
-func (k *httpWorker) complete(shut bool) {
+// complete handles a complete answer.
+func (k *httpWorker) complete(mustClose bool) {
 	wc := k.wc
 	l, c := wc.l, wc.call
 	e := logic.OK
@@ -211,7 +214,7 @@
 	out := k.answer
 	if e == logic.OK && !c.answered && !c.clientLeft {
 		c.status = k.status
-		if k.state != answerFixed { // a body whose length is known only now
+		if k.state != answerFixed { // the body's length is known only now
 			if c.isHead {
 				out = append(out, "\r\n"...)
 			} else {
@@ -227,51 +230,51 @@
 			}
 			k.answer = out
 		}
-		c.closesConn = k.closesConn // that of the attempt that answers: another's head may have been written earlier or later
+		c.closesConn = k.closesConn // of the submission that answers: heads of others may have been built before or after it
 	}
-	l.complete(wc, e, out, shut)
+	l.complete(wc, e, out, mustClose)
 }
 
-// parseLoadReport maps a load report in the open ORCA form to the module's figures: the header endpoint-load-metrics,
-// as TEXT or JSON. Queue and txns in hand are named metrics, queue and busy. What is malformed is no report.
-func parseLoadReport(r *http1.Response, to *logic.Load) bool {
+// parseLoadReport reads a load report in the ORCA format: the header endpoint-load-metrics as TEXT or JSON. The queue length
+// and the number of txns being processed are the named metrics queue and busy. A malformed report counts as none.
+func parseLoadReport(r *http1.Response, load *logic.Load) bool {
 	v := r.Get("endpoint-load-metrics")
 	if v == nil {
 		return false
 	}
-	*to = logic.Load{Util: -1, Queue: -1, Busy: -1}
+	*load = logic.Load{Util: -1, Queue: -1, Busy: -1}
 	text := unsafeString(v)
-	if after, found := strings.CutPrefix(text, "JSON "); found {
+	if jsonText, found := strings.CutPrefix(text, "JSON "); found {
 		var report struct {
 			CPU   *float64           `json:"cpu_utilization"`
 			App   *float64           `json:"application_utilization"`
 			Named map[string]float64 `json:"named_metrics"`
 		}
-		if json.Unmarshal([]byte(after), &report) != nil {
+		if json.Unmarshal([]byte(jsonText), &report) != nil {
 			return false
 		}
 		if report.CPU != nil {
-			to.Util = *report.CPU
+			load.Util = *report.CPU
 		} else if report.App != nil {
-			to.Util = *report.App
+			load.Util = *report.App
 		}
 		if q, ok := report.Named["queue"]; ok {
-			to.Queue = q
+			load.Queue = q
 		}
 		if b, ok := report.Named["busy"]; ok {
-			to.Busy = b
+			load.Busy = b
 		}
-		return plausibleLoad(to)
+		return plausibleLoad(load)
 	}
 	text = strings.TrimPrefix(text, "TEXT ")
 	for len(text) > 0 {
-		one := text
-		if at := strings.IndexByte(text, ','); at >= 0 {
-			one, text = text[:at], text[at+1:]
+		metric := text
+		if comma := strings.IndexByte(text, ','); comma >= 0 {
+			metric, text = text[:comma], text[comma+1:]
 		} else {
 			text = ""
 		}
-		name, value, ok := strings.Cut(strings.TrimSpace(one), "=")
+		name, value, ok := strings.Cut(strings.TrimSpace(metric), "=")
 		if !ok {
 			return false
 		}
@@ -281,16 +284,16 @@
 		}
 		switch name {
 		case "cpu_utilization":
-			to.Util = f
+			load.Util = f
 		case "application_utilization":
-			if to.Util < 0 {
-				to.Util = f
+			if load.Util < 0 {
+				load.Util = f
 			}
 		case "named_metrics.queue":
-			to.Queue = f
+			load.Queue = f
 		case "named_metrics.busy":
-			to.Busy = f
+			load.Busy = f
 		}
 	}
-	return plausibleLoad(to)
+	return plausibleLoad(load)
 }
