--- a/edge/timers.go
+++ b/edge/timers.go
@@ -2,42 +2,42 @@
 
 import "dunegrade/logic"
 
-// Kinds of timers.
+// timerKind selects what happens when a timer fires.
 type timerKind uint8
 
 const (
-	timerModule       timerKind = iota // the module's, by its token
-	timerExpiry                        // a call's patience is over
-	timerHalfClose                     // shortly before that
-	timerSubTimeout                    // a submission's time-out
-	timerConnWait                      // a submission waits for a connection
-	timerClientConn                    // something about a client's connection is to be looked at
-	timerWorkerConn                    // the same for a worker's
-	timerClosingConns                  // connections that deliver their last answer are to be looked at
-	timerDrainEnd                      // what is still in hand in a drain is answered
+	timerModule       timerKind = iota // set by the module, which knows it by its token
+	timerExpiry                        // a call's expiry
+	timerHalfClose                     // halfCloseLead before a call's expiry
+	timerSubTimeout                    // a submission's timeout
+	timerConnWait                      // limit on a submission's wait for a connection
+	timerClientConn                    // check of a client connection
+	timerWorkerConn                    // check of a worker connection
+	timerClosingConns                  // check of the connections that still deliver their last answer
+	timerDrainEnd                      // the remaining open txns of a drain are answered
 )
 
-// timer is an entry of the heap. It is never taken back: whoever it wakes checks whether it still matters.
+// timer is an entry of the heap. Timers are not cancelled; whatever handles one checks whether it still applies.
 type timer struct {
 	at    logic.Nanos
-	token uint64 // the module's, or place and generation
+	token uint64 // the module's token, a txn id, or a slotToken
 	kind  timerKind
-	n     uint8       // number of the submission
-	txnID logic.TxnID // of a reminder: the txn that it is about, if any
+	n     uint8       // index of the submission
+	txnID logic.TxnID // for timerModule: the txn that it is about; 0 when none
 }
 
-// timerHeap is a binary heap by time. Most entries come in order, for which a push costs one comparison.
+// timerHeap is a binary min-heap by time. Most timers are pushed in order of time, which costs one comparison.
 type timerHeap []timer
 
 func (h *timerHeap) push(t timer) {
 	q := append(*h, t)
 	i := len(q) - 1
 	for i > 0 {
-		up := (i - 1) / 2
-		if q[up].at <= t.at {
+		parent := (i - 1) / 2
+		if q[parent].at <= t.at {
 			break
 		}
-		q[i], i = q[up], up
+		q[i], i = q[parent], parent
 	}
 	q[i] = t
 	*h = q
@@ -50,17 +50,17 @@
 	if len(q) > 0 {
 		i := 0
 		for {
-			down := 2*i + 1
-			if down >= len(q) {
+			child := 2*i + 1
+			if child >= len(q) {
 				break
 			}
-			if down+1 < len(q) && q[down+1].at < q[down].at {
-				down++
+			if child+1 < len(q) && q[child+1].at < q[child].at {
+				child++
 			}
-			if last.at <= q[down].at {
+			if last.at <= q[child].at {
 				break
 			}
-			q[i], i = q[down], down
+			q[i], i = q[child], child
 		}
 		q[i] = last
 	}
@@ -68,25 +68,29 @@
 	return top
 }
 
-// slab keeps reused values in places of their own. A place's generation tells a value from the one before it.
+// slab is a pool of reusable values addressed by slot. Its users keep a generation in each value, which distinguishes it from
+// earlier values in the same slot.
 type slab[T any] struct {
 	items []*T
 	free  []int32
 }
 
-// get gives a place and what stood there last, made anew where there is none.
+// get returns a free slot and the value last kept in it, or a new slot with a zero value.
 func (s *slab[T]) get() (int32, *T) {
 	if n := len(s.free); n > 0 {
-		at := s.free[n-1]
+		slot := s.free[n-1]
 		s.free = s.free[:n-1]
-		return at, s.items[at]
+		return slot, s.items[slot]
 	}
 	s.items = append(s.items, new(T))
 	return int32(len(s.items) - 1), s.items[len(s.items)-1]
 }
 
-func (s *slab[T]) put(at int32) { s.free = append(s.free, at) }
+// put frees a slot.
+func (s *slab[T]) put(slot int32) { s.free = append(s.free, slot) }
 
+// inUse returns the number of slots in use.
 func (s *slab[T]) inUse() int { return len(s.items) - len(s.free) }
 
-func slotToken(at int32, gen uint32) uint64 { return uint64(uint32(at)) | uint64(gen)<<32 }
+// slotToken returns the token by which a timer refers to a slot of a given generation.
+func slotToken(slot int32, gen uint32) uint64 { return uint64(uint32(slot)) | uint64(gen)<<32 }
