--- a/edge/stats.go
+++ b/edge/stats.go
@@ -6,32 +6,57 @@
 	"dunegrade/logic"
 )
 
-// stats are a loop's plain counts. The loop writes them; others get a copy once a beat.
+// stats holds a loop's counters and gauges. Only the loop writes them; publishStats copies them for readers on other
+// goroutines at every housekeeping tick.
 type stats struct {
-	clientsAccepted, admitted, settled, declined, voided, clientLeft uint64
-	refused, noRoute, overLimit, slowReaders                         uint64
-	sent, dials, dialsFailed, malformedAnswers, hostVoided           uint64
-	streamed, bytesToWorkers, shed, idleClosed, stale, overHeldBytes uint64
-	streaming                                                        int64
-	endings                                                          [16]uint64
-	repliesByClass                                                   [6]uint64
-	clientEnds, owedAtEnd                                            [numEndReasons]uint64 // of clients' connections, and requests unanswered then
-	// As it is now.
-	openClients, openTxns, openWorkerConns int64
+	clientsAccepted uint64 // client connections, also those that come back from a carrier
+	admitted        uint64 // txns passed to the module
+	settled         uint64
+	declined        uint64
+	voided          uint64
+	clientLeft      uint64 // txns whose client left before the answer
+
+	refused       uint64 // malformed or too slow requests
+	noRoute       uint64
+	overLimit     uint64 // requests declined because too many txns were open, or too late in a drain
+	slowReaders   uint64 // client connections ended because answers were not read
+	overHeldBytes uint64 // connections that had to give up their bytes, as all held too many
+	shed          uint64 // idle client connections ended to make room for new ones
+
+	sent             uint64 // submissions written to a worker
+	dials            uint64
+	dialsFailed      uint64
+	malformedAnswers uint64 // also unsolicited bytes
+	hostVoided       uint64 // txns voided by expireCall; any is a defect
+	bytesToWorkers   uint64
+	idleClosed       uint64 // worker connections closed at their idle timeout
+	stale            uint64 // idle worker connections found ended, or with unsolicited bytes, on reuse
+
+	streamed       uint64 // answers passed to a carrier
+	streaming      int64  // answers that carriers are relaying now
+	endings        [16]uint64
+	repliesByClass [6]uint64             // the edge's own HTTP replies by the status's first digit
+	clientEnds     [numEndReasons]uint64 // ended client connections
+	owedAtEnd      [numEndReasons]uint64 // requests unanswered when their connection ended
+
+	// Gauges, filled in by publishStats.
+	openClients     int64
+	openTxns        int64
+	openWorkerConns int64
 }
 
 var endingNames = map[logic.Ending]string{logic.OK: "ok", logic.Cancelled: "cancelled", logic.TimedOut: "timed-out",
 	logic.Rejected: "full", logic.Skipped: "moot", logic.Disconnected: "broken", logic.ErrorResponse: "erred",
 	logic.ConnectFailed: "connect-failed", logic.MalformedResponse: "spoilt"}
 
-// publishStats copies the counts for whoever asks.
+// publishStats fills in the gauges and publishes a copy of the stats.
 func (l *loop) publishStats() {
 	s := l.stats
 	s.openClients, s.openTxns, s.openWorkerConns = l.clientCount.Load(), int64(l.calls.inUse()), int64(l.workerConns.inUse())
 	l.statsSnapshot.Store(&s)
 }
 
-// collector gives the loops' counts to Prometheus, which asks when it likes.
+// collector exports the loops' published stats to Prometheus.
 type collector struct{ p *Process }
 
 func desc(name, help string, labels ...string) *prometheus.Desc {
@@ -69,8 +94,8 @@
 		count := func(d *prometheus.Desc, v uint64, labels ...string) {
 			ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), append([]string{name}, labels...)...)
 		}
-		gauge := func(what string, v int64) {
-			ch <- prometheus.MustNewConstMetric(descGauge, prometheus.GaugeValue, float64(v), name, what)
+		gauge := func(kind string, v int64) {
+			ch <- prometheus.MustNewConstMetric(descGauge, prometheus.GaugeValue, float64(v), name, kind)
 		}
 		count(descTxns, s.settled, "settled")
 		count(descTxns, s.declined, "declined")
@@ -81,9 +106,9 @@
 			count(descEndings, s.endings[e], text)
 		}
 		count(descSent, s.sent)
-		for why, name := range endReasonNames {
-			count(descClientEnds, s.clientEnds[why], name)
-			count(descOwedAtEnd, s.owedAtEnd[why], name)
+		for reason, name := range endReasonNames {
+			count(descClientEnds, s.clientEnds[reason], name)
+			count(descOwedAtEnd, s.owedAtEnd[reason], name)
 		}
 		count(descRefused, s.refused, "malformed")
 		count(descRefused, s.noRoute, "no-route")
