--- a/edge/news.go
+++ b/edge/updates.go
@@ -12,30 +12,30 @@
 	"go.uber.org/zap"
 )
 
-// Workers takes a list event. A line that makes no sense is named and changes nothing, but that what it takes out of
-// service goes out of service; the others count.
+// Workers applies a worker list event. An invalid entry is logged and changes nothing, except that it still takes its worker
+// out of service if it says so; the valid entries are applied.
 func (p *Process) Workers(e api.WorkersEvent) {
-	lines := make([]api.Worker, 0, len(e.Workers))
+	valid := make([]api.Worker, 0, len(e.Workers))
 	p.mu.Lock()
 	for _, w := range e.Workers {
 		if err := w.Validate(); err != nil {
 			p.log.Error("line of the list not heeded", zap.Uint64("revision", e.Revision), zap.Error(err))
-			held, known := p.workers[w.ID]
+			current, known := p.workers[w.ID]
 			if !known {
 				continue
 			}
 			switch w.State {
 			case api.Up:
-			case "": // Danger: kept as it is, it would have the whole list refused at the next start
-				held.State = api.Draining
+			case "": // an empty state would make the saved list invalid as a whole at the next start
+				current.State = api.Draining
 			default:
-				held.State = w.State
+				current.State = w.State
 			}
-			w = held
+			w = current
 		}
-		lines = append(lines, w)
+		valid = append(valid, w)
 	}
-	e.Workers = lines
+	e.Workers = valid
 	if e.Type == api.Whole {
 		clear(p.workers)
 	}
@@ -61,7 +61,7 @@
 
 var stateByName = map[string]logic.State{api.Up: logic.Up, api.Draining: logic.Draining, api.Gone: logic.Gone}
 
-// applyWorkerList hands a applyWorkerList event to the module, in this host's numbers and clock.
+// applyWorkerList passes a list event to the module, translated to its ids and to the local clock.
 func (l *loop) applyWorkerList(mode logic.ListMode, e api.WorkersEvent) {
 	list := make([]logic.Worker, 0, len(e.Workers))
 	listed := map[logic.WorkerID]bool{}
@@ -71,7 +71,7 @@
 		start := l.workerStartTime(id, w, e.Now)
 		state, known := stateByName[w.State]
 		if !known {
-			state = logic.Draining // a standing that a newer planner knows gets nothing new
+			state = logic.Draining // a state added by a newer platform: the worker gets no new txns
 		}
 		list = append(list, logic.Worker{ID: id, Zone: logic.ZoneID(lookupID(l.p.zoneIDs, w.Zone)), Kind: logic.KindID(lookupID(l.p.kindIDs, w.Kind)),
 			Cell: w.Cell, State: state, Weight: w.Weight, Rel: logic.RelID(w.Build), Start: start})
@@ -105,30 +105,30 @@
 	}
 }
 
-// workerStartTime gives a worker's start by this host's clock, the same for each telling of one process. Danger: a process that
-// took another's place without a start of its own would pass for warm, and answer for what that one did. So where the
-// address or the build has changed, or an id appears after the first list, what is not told to have workerStartTime earlier
-// counts as workerStartTime now.
-func (l *loop) workerStartTime(id logic.WorkerID, w api.Worker, platform int64) logic.Nanos {
-	was, known := l.workerStarts[id]
-	if known && (w.State != api.Up || was.reported == w.StartedAt && was.address == w.Address && was.build == w.Build) {
-		return was.startedAt
+// workerStartTime returns a worker's start by the local clock, the same each time one process is reported. A process that
+// replaces another without a start time of its own would be taken for warm and blamed for its predecessor's failures. So if
+// the address or the build has changed, or the id appears after the first list, a process without an earlier reported start
+// counts as started now.
+func (l *loop) workerStartTime(id logic.WorkerID, w api.Worker, platformNow int64) logic.Nanos {
+	previous, known := l.workerStarts[id]
+	if known && (w.State != api.Up || previous.reported == w.StartedAt && previous.address == w.Address && previous.build == w.Build) {
+		return previous.startedAt
 	}
-	is := workerStart{reported: w.StartedAt, address: w.Address, build: w.Build}
+	start := workerStart{reported: w.StartedAt, address: w.Address, build: w.Build}
 	switch {
-	case w.StartedAt == 0 && l.startTimesReported: // each start is told
-	case w.StartedAt != 0 && (!known || was.reported != w.StartedAt || l.startTimesReported):
-		// The clocks differ, the age does not; it is taken once, or each telling would look like a new start.
-		is.startedAt = l.now - logic.Nanos(max(0, platform-w.StartedAt))
+	case w.StartedAt == 0 && l.startTimesReported: // every start is reported, so this one is long past
+	case w.StartedAt != 0 && (!known || previous.reported != w.StartedAt || l.startTimesReported):
+		// The clocks differ but ages agree. The age is converted only once, or each report would look like a new start.
+		start.startedAt = l.now - logic.Nanos(max(0, platformNow-w.StartedAt))
 	case known || l.listSeen:
-		is.startedAt = l.now
+		start.startedAt = l.now
 	}
-	l.workerStarts[id] = is
-	return is.startedAt
+	l.workerStarts[id] = start
+	return start.startedAt
 }
 
-// lookupID gives the number of a zone or kind. Danger: a name that the settings lack must not pass for the first of
-// them, or a repeat that may go to workers of the same zone only would leave it; so it gets a number of its own.
+// lookupID returns the id of a zone or kind. A name missing from the configuration gets an id of its own. With id 0 it would
+// be taken for the first configured zone, and a repeat restricted to workers of the same zone would leave that zone.
 func lookupID(names map[string]int, name string) int {
 	if n, known := names[name]; known || len(names) == 0 && name == "" {
 		return n
@@ -136,7 +136,7 @@
 	return 1<<16 + int(xxhash.Sum64String(name)>>34)
 }
 
-// poolFor gives the pool of a worker at its address; a worker that has moved gets a new one.
+// poolFor returns the pool of a worker at the given address. A worker whose address has changed gets a new pool.
 func (l *loop) poolFor(id logic.WorkerID, address string) *pool {
 	p := l.pools[id]
 	if p == nil || p.address != address {
@@ -154,15 +154,17 @@
 var phaseByName = map[string]logic.Phase{api.OnTrial: logic.OnTrial, api.GoingBack: logic.GoingBack,
 	api.Released: logic.Released, api.Withdrawn: logic.Withdrawn}
 
-func toReleaseUpdate(e api.ReleaseEvent, answer bool) logic.ReleaseUpdate {
-	return logic.ReleaseUpdate{Stage: e.Release.Stage, VoteReply: answer, Rel: logic.RelID(e.Release.Build), Cap: e.Release.Cap,
+// toReleaseUpdate translates a release event for the module. voteReply marks the reply to a vote.
+func toReleaseUpdate(e api.ReleaseEvent, voteReply bool) logic.ReleaseUpdate {
+	return logic.ReleaseUpdate{Stage: e.Release.Stage, VoteReply: voteReply, Rel: logic.RelID(e.Release.Build), Cap: e.Release.Cap,
 		Phase: phaseByName[e.Release.Phase], Age: logic.Nanos(max(0, e.Now-e.Release.Since))}
 }
 
-// acceptRelease notes where the newest build stands, as pushed or in answer to a vote, and passes it on where it counts; it tells
-// whether it did. Danger: answers and pushes come on connections of their own, so either may have been overtaken. What
-// began before that which is in force, by the platform's clock, must not loosen it again; what tightens is always
-// heeded. It is passed on under the lock, or two that come at once would reach a loop in the other order.
+// acceptRelease checks the release state of a push or of a vote's reply. If the state is valid and not outdated, it is stored
+// and passed on by calling pass, and acceptRelease returns true. Pushes and replies arrive on separate connections, so either
+// may be overtaken by the other. A state that began before the one in force, by the platform's clock, must not loosen it
+// again; a stricter one is always accepted. pass is called under the lock, or two concurrent updates could reach a loop in
+// the reverse order.
 func (p *Process) acceptRelease(r api.Release, pass func()) bool {
 	if err := r.Validate(); err != nil {
 		p.log.Error("news of a release not heeded", zap.Error(err))
@@ -170,9 +172,9 @@
 	}
 	back := func(phase string) bool { return phase == api.GoingBack || phase == api.Withdrawn }
 	p.mu.Lock()
-	was := p.release
-	overtaken := r.Since < was.Since && (r.Build < was.Build || r.Build == was.Build &&
-		(r.Cap > was.Cap || back(was.Phase) && !back(r.Phase)))
+	previous := p.release
+	overtaken := r.Since < previous.Since && (r.Build < previous.Build || r.Build == previous.Build &&
+		(r.Cap > previous.Cap || back(previous.Phase) && !back(r.Phase)))
 	if !overtaken {
 		p.release = r
 		pass()
@@ -181,21 +183,23 @@
 	if overtaken {
 		p.log.Warn("news of a release was overtaken, not heeded", zap.Int("build", r.Build), zap.Int("stage", r.Stage),
 			zap.String("phase", r.Phase), zap.Float64("cap", r.Cap))
-	} else if r != was {
+	} else if r != previous {
 		p.scheduleSave()
 	}
 	return !overtaken
 }
 
+// Release applies a pushed release event.
 func (p *Process) Release(e api.ReleaseEvent) {
-	n := toReleaseUpdate(e, false)
+	update := toReleaseUpdate(e, false)
 	p.acceptRelease(e.Release, func() {
 		for _, l := range p.loops {
-			l.post(func() { l.deliverRelease(n) })
+			l.post(func() { l.deliverRelease(update) })
 		}
 	})
 }
 
+// Report passes a client's report of a wrong answer to the sentry that sent the submission.
 func (p *Process) Report(r api.Report) {
 	product, known := p.productIDs[r.Product]
 	if !known {
@@ -210,6 +214,7 @@
 	}
 }
 
+// Tally passes the platform's counts of sampled submissions to every sentry.
 func (p *Process) Tally(t api.Tally) {
 	product, known := p.productIDs[t.Product]
 	if !known {
@@ -226,17 +231,18 @@
 var verdictNames = map[logic.Verdict]string{logic.VerdictNone: api.VoteNone, logic.VerdictOn: api.VoteOn, logic.VerdictHold: api.VoteHold,
 	logic.VerdictBack: api.VoteBack}
 
-// castVote casts the sentry's castVote beside the loop, one at a time; its answer comes back as news.
+// castVote sends the sentry's vote from a goroutine of its own. Only one vote is in flight at a time; the reply reaches the
+// module as a release update.
 func (l *loop) castVote(v logic.Verdict, rel logic.RelID, stage int) {
 	if l.voteInFlight || l.stopping {
 		return
 	}
 	l.voteInFlight = true
-	wait := time.Duration(l.p.cfg.Module["release.vote-timeout"].(float64))
+	timeout := time.Duration(l.p.cfg.Module["release.vote-timeout"].(float64))
 	l.group.Add(1)
 	go func() {
 		defer l.group.Done()
-		ctx, stop := context.WithTimeout(context.Background(), wait)
+		ctx, stop := context.WithTimeout(context.Background(), timeout)
 		defer stop()
 		go func() {
 			select {
@@ -247,11 +253,11 @@
 		}()
 		e, err := l.p.source.Vote(ctx, api.Vote{Edge: l.p.cfg.Name, Sentry: l.sentryIndex, Verdict: verdictNames[v],
 			Build: int(rel), Stage: stage})
-		news := toReleaseUpdate(e, true)
+		update := toReleaseUpdate(e, true)
 		pass := func() {
 			l.post(func() {
 				l.voteInFlight = false
-				l.deliverRelease(news)
+				l.deliverRelease(update)
 			})
 		}
 		if err == nil && l.p.acceptRelease(e.Release, pass) {
@@ -259,13 +265,13 @@
 		}
 		switch {
 		case errors.Is(err, api.ErrStaleVote):
-			news.Ending = logic.Skipped
+			update.Ending = logic.Skipped
 		case errors.Is(err, api.ErrTooManyVotes):
-			news.Ending = logic.Rejected
+			update.Ending = logic.Rejected
 		case errors.Is(err, api.ErrVoteOutcomeUnknown):
-			news.Ending = logic.TimedOut
+			update.Ending = logic.TimedOut
 		default:
-			news.Ending = logic.ErrorResponse
+			update.Ending = logic.ErrorResponse
 		}
 		pass()
 	}()
