--- a/edge/peers.go
+++ b/edge/peers.go
@@ -8,12 +8,13 @@
 	"net/netip"
 )
 
+// maxPeerMessage is the maximum size of a message between sentries, in bytes, without the header.
 const maxPeerMessage = 256
 
-// listenPeers opens the socket for other sentries' messages. hearPeers reads from it, once there are loops to hand them to.
+// listenPeers opens the socket for other sentries' messages. readPeerMessages reads from it once the loops run.
 func (p *Process) listenPeers() error {
 	if !p.cfg.Module["allow.messages"].(bool) {
-		return nil // addresses may stand in the settings all the same
+		return nil // the configuration may contain addresses even so
 	}
 	for _, a := range p.cfg.Peers {
 		u, err := net.ResolveUDPAddr("udp", a)
@@ -35,8 +36,8 @@
 	return nil
 }
 
-// readPeerMessages reads other sentries' messages until the socket is closed. Danger: others send at any time, so it is started
-// only when every loop stands: after a restart under load a message came before, and there was no loop to hand it to.
+// readPeerMessages reads other sentries' messages until the socket is closed. Others send at any time, so it must not start
+// before every loop runs: a message that arrived earlier, as after a restart under load, would find no loop to receive it.
 func (p *Process) readPeerMessages() {
 	buf := make([]byte, 4+maxPeerMessage+1)
 	for {
@@ -44,7 +45,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if p.cfg.PeerListen != "" { // bare: its sender's address says whose it is
+		if p.cfg.PeerListen != "" { // messages have no header: the sender is known by its address
 			if err == nil && n <= maxPeerMessage {
 				p.handlePeerMessage(from, append([]byte(nil), buf[:n]...))
 			}
@@ -63,7 +64,7 @@
 	}
 }
 
-// handlePeerMessage passes on what another sentry sent; what comes from elsewhere is dropped.
+// handlePeerMessage passes a message without header to the loop. Messages from unknown addresses are dropped.
 func (p *Process) handlePeerMessage(from netip.AddrPort, data []byte) {
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 	for i, a := range p.peerAddrs {
@@ -75,7 +76,7 @@
 	}
 }
 
-// sendToPeer sends a message to another sentry, or loses it.
+// sendToPeer sends a message to another sentry. Delivery is not guaranteed.
 func (p *Process) sendToPeer(from, to int, data []byte) {
 	if p.peerConn == nil || to < 0 || to >= len(p.peerAddrs) || len(data) > maxPeerMessage {
 		return
--- a/edge/source.go
+++ b/edge/source.go
@@ -20,7 +20,7 @@
 	"dunegrade/config"
 )
 
-// EventHandler is told what a source learns, from the source's goroutines.
+// EventHandler receives the events of a source, on the source's goroutines.
 type EventHandler interface {
 	Workers(api.WorkersEvent)
 	Release(api.ReleaseEvent)
@@ -28,17 +28,17 @@
 	Tally(api.Tally)
 }
 
-// Source tells of workers and releases, and takes votes.
+// Source delivers worker lists and release states, and accepts votes.
 type Source interface {
-	// Run tells to until ctx ends. It starts no goroutine that outlives it.
-	Run(ctx context.Context, to EventHandler)
-	// Refresh has the whole list told again. It does not block.
+	// Run delivers events to the handler until ctx ends. It leaves no goroutine behind.
+	Run(ctx context.Context, handler EventHandler)
+	// Refresh requests that the whole list be delivered again. It does not block.
 	Refresh()
 	// Vote casts a vote. Its errors are those of api.Client.Vote.
 	Vote(ctx context.Context, v api.Vote) (api.ReleaseEvent, error)
 }
 
-// apiSource follows an HTTP API by watches, each resumed where it broke.
+// apiSource follows an HTTP API by watches. A broken watch resumes at its last revision.
 type apiSource struct {
 	client *api.Client
 	edge   string
@@ -49,14 +49,14 @@
 	return &apiSource{client: api.NewClient(base), edge: edge, log: log}
 }
 
-// Refresh has nothing to do: the watches push every change by themselves.
+// Refresh does nothing, as the watches deliver every change anyway.
 func (s *apiSource) Refresh() {}
 
 func (s *apiSource) Vote(ctx context.Context, v api.Vote) (api.ReleaseEvent, error) {
 	return s.client.Vote(ctx, v)
 }
 
-func (s *apiSource) Run(ctx context.Context, to EventHandler) {
+func (s *apiSource) Run(ctx context.Context, handler EventHandler) {
 	defer s.client.Close()
 	var group sync.WaitGroup
 	group.Go(func() {
@@ -70,18 +70,18 @@
 			case api.Bookmark:
 				return nil
 			case api.Change:
-				// Danger: a change that skips a revision was made to a list that we do not have.
-				if have := revision; e.Revision != have+1 {
+				// A change that skips a revision applies to a list that this edge does not have.
+				if current := revision; e.Revision != current+1 {
 					revision = 0
-					return fmt.Errorf("change %d after %d: the whole list is needed", e.Revision, have)
+					return fmt.Errorf("change to revision %d after revision %d: requesting the whole list", e.Revision, current)
 				}
 			case api.Whole:
-			default: // what it means for the list is not known
+			default: // its effect on the list is unknown
 				revision = 0
-				return fmt.Errorf("event of type %q: found neither whole, change nor bookmark; the whole list is needed", e.Type)
+				return fmt.Errorf("event of type %q, want whole, change or bookmark: requesting the whole list", e.Type)
 			}
 			revision = e.Revision
-			to.Workers(e)
+			handler.Workers(e)
 			return nil
 		})
 	})
@@ -92,7 +92,7 @@
 				return fmt.Errorf("malformed event: %w", err)
 			}
 			if e.Type != api.Bookmark {
-				to.Release(e)
+				handler.Release(e)
 			}
 			return nil
 		})
@@ -104,7 +104,7 @@
 				return fmt.Errorf("malformed event: %w", err)
 			}
 			if e.Type != api.Bookmark {
-				to.Report(e)
+				handler.Report(e)
 			}
 			return nil
 		})
@@ -116,7 +116,7 @@
 				return fmt.Errorf("malformed event: %w", err)
 			}
 			if t.Type != api.Bookmark {
-				to.Tally(t)
+				handler.Tally(t)
 			}
 			return nil
 		})
@@ -124,7 +124,7 @@
 	group.Wait()
 }
 
-// query names the edge, and further pairs.
+// query returns the query parameter that names the edge, and the given pairs of names and values.
 func (s *apiSource) query(pairs ...string) url.Values {
 	q := url.Values{"edge": {s.edge}}
 	for i := 0; i+1 < len(pairs); i += 2 {
@@ -133,17 +133,18 @@
 	return q
 }
 
-// follow keeps a watch alive. A server that comes back must not be met by all edges at once: waits are by chance.
-func (s *apiSource) follow(ctx context.Context, path string, query func() url.Values, on func([]byte) error) {
+// follow keeps a watch open until ctx ends. Retries back off with jitter, so that a server that comes back is not met by all
+// edges at once.
+func (s *apiSource) follow(ctx context.Context, path string, query func() url.Values, handleLine func([]byte) error) {
 	rng := rand.New(rand.NewSource(int64(xxhash.Sum64String(s.edge + path))))
-	wait, broken := time.Duration(0), false
+	backoff, broken := time.Duration(0), false
 	for ctx.Err() == nil {
 		err := s.client.Watch(ctx, path, query(), func(line []byte) error {
 			if broken {
 				s.log.Info("watch resumed", zap.String("path", path))
 			}
-			wait, broken = 0, false
-			return on(line)
+			backoff, broken = 0, false
+			return handleLine(line)
 		})
 		if ctx.Err() != nil {
 			return
@@ -152,8 +153,8 @@
 			s.log.Warn("watch broken", zap.String("path", path), zap.Error(err))
 			broken = true
 		}
-		wait = min(max(2*wait, 50*time.Millisecond), 2*time.Second)
-		t := time.NewTimer(wait/2 + time.Duration(rng.Int63n(int64(wait))))
+		backoff = min(max(2*backoff, 50*time.Millisecond), 2*time.Second)
+		t := time.NewTimer(backoff/2 + time.Duration(rng.Int63n(int64(backoff))))
 		select {
 		case <-ctx.Done():
 		case <-t.C:
@@ -162,7 +163,7 @@
 	}
 }
 
-// fileSource reads list and release from a file, anew when it changes.
+// fileSource reads the worker list and the release state from a file, and rereads it when it changes.
 type fileSource struct {
 	path             string
 	log              *zap.Logger
@@ -180,41 +181,41 @@
 	}
 }
 
-// Vote finds nobody who counts: a file moves by hand.
+// Vote returns an error, as nothing counts votes: the release state in a file is changed by hand.
 func (s *fileSource) Vote(context.Context, api.Vote) (api.ReleaseEvent, error) {
-	return api.ReleaseEvent{}, errors.New("a file takes no votes")
+	return api.ReleaseEvent{}, errors.New("a list file accepts no votes")
 }
 
-// mtimeSettleTime is how old a file's last change must be for its time to tell it from the next one: file systems stamp changes
-// coarsely.
+// mtimeSettleTime is how old a modification time must be before it identifies a version of the file. File systems have
+// coarse timestamps, so an earlier time may be shared by the next version.
 const mtimeSettleTime = 2 * time.Second
 
-func (s *fileSource) Run(ctx context.Context, to EventHandler) {
-	var seen time.Time // the change that was read when it was old enough
-	var last []byte    // what was read then, nil: nothing yet
-	away := false      // it could not be read
+func (s *fileSource) Run(ctx context.Context, handler EventHandler) {
+	var readModTime time.Time // modification time of the version last read; zero when the file has to be read again
+	var lastText []byte       // text of that version; nil when it has to be published in any case
+	unreadable := false       // whether the last attempt to read the file failed
 	revision := uint64(0)
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
 		info, err := os.Stat(s.path)
-		if err == nil && !info.ModTime().Equal(seen) {
-			// Danger: a read may meet half of what is being written, and the rest may bear the same time.
-			if seen = info.ModTime(); time.Since(seen) < mtimeSettleTime {
-				seen = time.Time{}
+		if err == nil && !info.ModTime().Equal(readModTime) {
+			// A read may return a half-written file, and the complete file may have the same modification time.
+			if readModTime = info.ModTime(); time.Since(readModTime) < mtimeSettleTime {
+				readModTime = time.Time{}
 			}
 			var text []byte
-			if text, err = os.ReadFile(s.path); err == nil && (last == nil || !bytes.Equal(text, last)) {
-				last = text
+			if text, err = os.ReadFile(s.path); err == nil && (lastText == nil || !bytes.Equal(text, lastText)) {
+				lastText = text
 				revision++
-				s.publish(to, revision, text)
+				s.publish(handler, revision, text)
 			}
 		}
 		if err != nil {
-			seen = time.Time{} // Danger: it may be back with the time it had
+			readModTime = time.Time{} // the file may reappear with the same modification time and another text
 		}
-		if (err != nil) != away {
-			if away = err != nil; away {
+		if (err != nil) != unreadable {
+			if unreadable = err != nil; unreadable {
 				s.log.Error("list file cannot be read", zap.Error(err))
 			} else {
 				s.log.Info("list file is read again")
@@ -225,19 +226,19 @@
 			return
 		case <-tick.C:
 		case <-s.refreshRequested:
-			seen, last = time.Time{}, nil
+			readModTime, lastText = time.Time{}, nil
 		}
 	}
 }
 
-// publish hands on what a file's text says; one that is refused leaves in force what was told before.
-func (s *fileSource) publish(to EventHandler, revision uint64, text []byte) {
+// publish delivers the contents of the file. An invalid file is logged, and the previous contents stay in force.
+func (s *fileSource) publish(handler EventHandler, revision uint64, text []byte) {
 	list, err := config.ParseWorkerList(s.path, string(text))
 	if err != nil {
 		s.log.Error("list file refused", zap.Error(err))
 		return
 	}
 	now := time.Now().UnixNano()
-	to.Workers(api.WorkersEvent{Type: api.Whole, Revision: revision, Now: now, Workers: list.Workers})
-	to.Release(api.ReleaseEvent{Type: api.Whole, Revision: revision, Now: now, Release: list.Release})
+	handler.Workers(api.WorkersEvent{Type: api.Whole, Revision: revision, Now: now, Workers: list.Workers})
+	handler.Release(api.ReleaseEvent{Type: api.Whole, Revision: revision, Now: now, Release: list.Release})
 }
