--- a/edge/admin.go
+++ b/edge/admin.go
@@ -11,6 +11,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
+// serveAdmin starts the server for health, metrics and profiles, if the configuration has an address for it.
 func (p *Process) serveAdmin() (*http.Server, error) {
 	if p.cfg.Admin == "" {
 		return nil, nil
@@ -34,6 +35,6 @@
 		return nil, fmt.Errorf("admin: %w", err)
 	}
 	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	go s.Serve(ln) // ended by Close
+	go s.Serve(ln) // ends on Close
 	return s, nil
 }
--- /dev/null
+++ b/edge/platform.go
@@ -0,0 +1,46 @@
+package edge
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"dunegrade/api"
+	"dunegrade/config"
+	"dunegrade/logic"
+)
+
+// PlatformOptions configures an edge that runs on a platform, which takes the place of a list file or the HTTP API.
+type PlatformOptions struct {
+	Source  Source
+	Dialect Dialect
+	Known   api.WorkersEvent // the worker list before the restart, which may be out of date
+	Release api.ReleaseEvent // the state of the newest release
+}
+
+// NewWithPlatform returns an edge that speaks PostgreSQL's protocol with clients and workers. It starts listening when Run is
+// called.
+func NewWithPlatform(cfg *config.Edge, platform *PlatformOptions, log *zap.Logger) *Process {
+	p := newProcess(cfg, log)
+	p.platform, p.source, p.protocol = platform, platform.Source, newPgProtocol(platform.Dialect)
+	for _, w := range platform.Known.Workers {
+		p.workers[w.ID] = w
+	}
+	p.release = platform.Release.Release
+	return p
+}
+
+// initialState returns the worker list and release state that the edge was created with, in the form that its loops take.
+func (o *PlatformOptions) initialState() (*api.WorkersEvent, *logic.ReleaseUpdate) {
+	update := toReleaseUpdate(o.Release, false)
+	return &o.Known, &update
+}
+
+// freshListWait is how long a new edge waits for a current worker list before it serves with the one it was created with.
+const freshListWait = 1500 * time.Millisecond
+
+// canServe reports whether the edge knows enough to serve: it has a current worker list, or has waited long enough for one
+// and has the list from before the restart.
+func (l *loop) canServe() bool {
+	return l.listCurrent || len(l.p.platform.Known.Workers) > 0 && time.Since(l.p.startedAt) > freshListWait
+}
--- a/edge/routes.go
+++ b/edge/routes.go
@@ -7,12 +7,13 @@
 	"dunegrade/config"
 )
 
-// classifier gives a request its route, or nil. Written rules will take the place of the plain table.
+// classifier finds the route of a request, or returns nil. It is an interface so that written rules can replace routeTable.
 type classifier interface {
 	match(method, path []byte) *config.Route
 }
 
-// routeTable is the plain classifier: the longest prefix wins, a stated method before any.
+// routeTable is a classifier by prefix and method. The longest prefix wins; of equal prefixes, a route with a method comes
+// before one for any method.
 type routeTable []config.Route
 
 func newRouteTable(routes []config.Route) routeTable {
@@ -41,7 +42,7 @@
 	return nil
 }
 
-// hasPathPrefix tells whether a path lies hasPathPrefix a prefix, at the border of a segment.
+// hasPathPrefix reports whether a path equals a prefix or continues it at the border of a segment.
 func hasPathPrefix(path []byte, prefix string) bool {
 	if len(path) < len(prefix) || unsafeString(path[:len(prefix)]) != prefix {
 		return false
--- a/edge/kept_list.go
+++ b/edge/saved_state.go
@@ -16,16 +16,21 @@
 	"go.uber.org/zap"
 )
 
-// scheduleSave writes what is to outlive a restart; a storm of changes is written once.
+const (
+	saveDelay      = 100 * time.Millisecond // how long changes are collected before the state is written
+	saveRetryDelay = time.Second            // after a failed write
+)
+
+// scheduleSave schedules a save of the state for the next start. Changes in quick succession are written once.
 func (p *Process) scheduleSave() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.saveTimer == nil && !p.saveClosed && p.cfg.StateDir != "" {
-		p.saveTimer = time.AfterFunc(100*time.Millisecond, func() { p.saveState(false) }) // of no effect after lastSave
+		p.saveTimer = time.AfterFunc(saveDelay, func() { p.saveState(false) }) // does nothing after saveFinal
 	}
 }
 
-// saveFinal writes what is kept at the end of the process, and lets nothing be written after.
+// saveFinal saves the state at the end of the process. Later saves do nothing.
 func (p *Process) saveFinal() {
 	p.mu.Lock()
 	p.saveClosed = true
@@ -36,19 +41,19 @@
 	p.saveState(true)
 }
 
-// savedState is the file of the last list.
+// savedState is the content of the state file: the last worker list and release state.
 type savedState struct {
 	Version int          `json:"version"`
-	Saved   int64        `json:"saved"`           // by this host's clock
-	Clock   int64        `json:"clock,omitempty"` // the platform's at that moment: starts are told by it
+	Saved   int64        `json:"saved"`           // when it was saved by the local clock, in Unix nanoseconds
+	Clock   int64        `json:"clock,omitempty"` // the platform's clock at that time, by which workers' start times are given
 	Workers []api.Worker `json:"workers"`
 	Release api.Release  `json:"release"`
 }
 
-// validate gives what no list can hold.
+// validate returns an error if the state has another version or an invalid worker list or release.
 func (k *savedState) validate() error {
 	if k.Version != 1 {
-		return fmt.Errorf("version: found %d, wanted 1", k.Version)
+		return fmt.Errorf("version %d, want 1", k.Version)
 	}
 	seen := map[string]bool{}
 	for i := range k.Workers {
@@ -57,11 +62,11 @@
 			return fmt.Errorf("entry %d: %w", i+1, err)
 		}
 		if seen[w.ID] {
-			return fmt.Errorf("entry %d: found a second worker %q, wanted ids that differ", i+1, w.ID)
+			return fmt.Errorf("entry %d: duplicate worker id %q", i+1, w.ID)
 		}
 		seen[w.ID] = true
 	}
-	if k.Release == (api.Release{}) { // none had been told
+	if k.Release == (api.Release{}) { // no release was known
 		return nil
 	}
 	return k.Release.Validate()
@@ -69,12 +74,12 @@
 
 func (p *Process) statePath() string { return filepath.Join(p.cfg.StateDir, p.cfg.Name+".list.json") }
 
-// saveState writes the last list beside its place and moves it there, so that a crash leaves the old one or the new.
-func (p *Process) saveState(last bool) {
-	p.saveMu.Lock() // Danger: two writers of one file would leave a mixture of both
+// saveState writes the state to a temporary file and renames it, so that a crash leaves either the old file or the new one.
+func (p *Process) saveState(final bool) {
+	p.saveMu.Lock() // concurrent writers would leave a mixture of both versions in the file
 	defer p.saveMu.Unlock()
 	p.mu.Lock()
-	if p.saveTimer = nil; p.saveClosed && !last {
+	if p.saveTimer = nil; p.saveClosed && !final {
 		p.mu.Unlock()
 		return
 	}
@@ -95,8 +100,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	failed := err != nil
-	if failed && !p.saveClosed && p.saveTimer == nil { // Danger: else the next start would not know of it until something else changes
-		p.saveTimer = time.AfterFunc(time.Second, func() { p.saveState(false) })
+	if failed && !p.saveClosed && p.saveTimer == nil { // otherwise the state would stay unsaved until its next change
+		p.saveTimer = time.AfterFunc(saveRetryDelay, func() { p.saveState(false) })
 	}
 	if failed == p.saveFailed {
 		return
@@ -108,7 +113,8 @@
 	}
 }
 
-// replaceFile puts data in a file's place. Danger: what is moved before it is on the disk is empty after a power cut.
+// replaceFile replaces a file's content by a rename. The new file is synced first; otherwise it could be empty after a power
+// failure.
 func replaceFile(path string, data []byte) error {
 	f, err := os.Create(path + ".new")
 	if err != nil {
@@ -118,8 +124,8 @@
 	if err == nil {
 		err = f.Sync()
 	}
-	if closed := f.Close(); err == nil {
-		err = closed
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
 		err = os.Rename(path+".new", path)
@@ -127,14 +133,14 @@
 	return err
 }
 
-// restoreState reads the last list, as an event with the platform's clock as it should be by now. One that is malformed is
-// named and not used.
-func (p *Process) restoreState() (list *api.WorkersEvent, news *logic.ReleaseUpdate) {
+// restoreState reads the saved state and returns it as events, with the platform's clock advanced to the present. An invalid
+// file is logged and ignored.
+func (p *Process) restoreState() (list *api.WorkersEvent, update *logic.ReleaseUpdate) {
 	if p.cfg.StateDir == "" {
 		return nil, nil
 	}
 	if err := os.MkdirAll(p.cfg.StateDir, 0o755); err != nil {
-		p.log.Warn("no folder for state", zap.Error(err))
+		p.log.Warn("state directory cannot be created", zap.Error(err))
 		return nil, nil
 	}
 	data, err := os.ReadFile(p.statePath())
@@ -163,15 +169,15 @@
 		p.workers[w.ID] = w
 	}
 	p.log.Info("last list restored", zap.Int("workers", len(k.Workers)), zap.Duration("age", time.Duration(age)))
-	// What was released stays so till the platform says otherwise. A build on trial may have lost its cap meanwhile,
-	// so it gets nothing until then.
+	// A released build stays released until the platform reports otherwise. A build on trial may have lost its cap in the
+	// meantime, so it gets no txns until then.
 	if k.Release != (api.Release{}) {
 		p.release = k.Release
 		n := toReleaseUpdate(api.ReleaseEvent{Release: k.Release}, false)
 		if n.Phase != logic.Released {
 			n.Cap = 0
 		}
-		news = &n
+		update = &n
 	}
-	return list, news
+	return list, update
 }
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -13,15 +13,15 @@
 	"dunegrade/config"
 )
 
-// Serve runs an edge by its settings file until SIGTERM or SIGINT, and reads its list anew at SIGHUP. It gives the
-// exit status: 0 after a clean drain, 1 where something was cut or broke, 2 for settings that are refused.
+// Serve runs an edge with the configuration file at path until SIGTERM or SIGINT, and reloads the worker list on SIGHUP. It
+// returns the exit status: 0 after a clean drain, 1 if something was cut or failed, 2 if the configuration is invalid.
 func Serve(path string) int {
-	plan, err := config.ReadEdge(path)
+	cfg, err := config.ReadEdge(path)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 2
 	}
-	log, err := NewLogger(plan.LogLevel)
+	log, err := NewLogger(cfg.LogLevel)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 2
@@ -29,16 +29,16 @@
 	defer log.Sync()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	p := New(plan, log)
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGHUP)
-	defer signal.Stop(again)
-	go func() { // ended by ctx
+	p := New(cfg, log)
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
+	defer signal.Stop(hangup)
+	go func() { // ends with ctx
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-again:
+			case <-hangup:
 				p.Refresh()
 			}
 		}
@@ -50,14 +50,14 @@
 	return 0
 }
 
-// NewLogger makes a logger of JSON lines on standard error, from a level on.
+// NewLogger returns a logger that writes JSON lines of at least the given level to standard error.
 func NewLogger(level string) (*zap.Logger, error) {
-	at, err := zapcore.ParseLevel(level)
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, fmt.Errorf("log level: %w", err)
 	}
 	c := zap.NewProductionConfig()
-	c.Level = zap.NewAtomicLevelAt(at)
+	c.Level = zap.NewAtomicLevelAt(minLevel)
 	c.Sampling = nil
 	c.DisableCaller, c.DisableStacktrace = true, true
 	c.EncoderConfig.EncodeTime = zapcore.RFC3339NanoTimeEncoder
--- a/edge/source.go
+++ b/edge/source.go
@@ -22,9 +22,13 @@
 
 // EventHandler receives the events of a source, on the source's goroutines.
 type EventHandler interface {
+	// Workers handles a whole worker list or a change to it.
 	Workers(api.WorkersEvent)
+	// Release handles the state of the newest release.
 	Release(api.ReleaseEvent)
+	// Report handles a client's report of a wrong answer.
 	Report(api.Report)
+	// Tally handles the platform's counts of sampled submissions.
 	Tally(api.Tally)
 }
 
@@ -38,7 +42,7 @@
 	Vote(ctx context.Context, v api.Vote) (api.ReleaseEvent, error)
 }
 
-// apiSource follows an HTTP API by watches. A broken watch resumes at its last revision.
+// apiSource follows an HTTP API by watches. Broken watches are opened again, the one of the worker list at its last revision.
 type apiSource struct {
 	client *api.Client
 	edge   string
