--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -22,15 +22,15 @@
 	"dunegrade/config"
 )
 
-// stubWorker is a worker that does what a test scripts, with raw bytes.
+// stubWorker is a worker that answers with the raw bytes of a test's handler.
 type stubWorker struct {
 	net.Listener
 	requests atomic.Int64 // requests read
-	ended    atomic.Int64 // connections that ended under it
+	ended    atomic.Int64 // connections ended by the other side
 	group    sync.WaitGroup
 }
 
-// handler answers one request on its connection, and tells whether the connection goes on.
+// handler answers one request on its connection. It reports whether the connection stays open.
 type handler func(c net.Conn, r *http.Request, body []byte) bool
 
 func newStubWorker(t *testing.T, do handler) *stubWorker {
@@ -86,7 +86,7 @@
 	return false
 }
 
-// idleSource tells nothing: tests hand the process its news.
+// idleSource delivers no events; tests pass events to the process directly.
 type idleSource struct{}
 
 func (idleSource) Run(ctx context.Context, _ EventHandler) { <-ctx.Done() }
@@ -95,6 +95,7 @@
 	return api.ReleaseEvent{}, api.ErrStaleVote
 }
 
+// testEdge is an edge that runs in the test's process.
 type testEdge struct {
 	t       *testing.T
 	p       *Process
@@ -110,7 +111,7 @@
   (route (prefix "/ask") (product "ask")) (route (prefix "/book") (product "book")) (route (prefix "/pay") (product "pay"))
   (release (caps 0.1 1) (shares 0.1 1) (window 6s)))`
 
-// startEdge runs an edge in this process with workers, and ends it with the test.
+// startEdge runs an edge in this process with the given further configuration and workers. It stops at the end of the test.
 func startEdge(t *testing.T, extra string, workers ...*stubWorker) *testEdge {
 	t.Helper()
 	return startLogged(t, zap.NewNop(), extra, workers...)
@@ -119,11 +120,11 @@
 func startLogged(t *testing.T, log *zap.Logger, extra string, workers ...*stubWorker) *testEdge {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	plan, err := config.ParseEdge("t.sexp", fmt.Sprintf(configTemplate, extra))
+	cfg, err := config.ParseEdge("t.sexp", fmt.Sprintf(configTemplate, extra))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testEdge{t: t, p: New(plan, log), done: make(chan error, 1)}
+	r := &testEdge{t: t, p: New(cfg, log), done: make(chan error, 1)}
 	r.p.source = idleSource{}
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
@@ -160,7 +161,7 @@
 	return r
 }
 
-// waitForLoops waits until the loops have done what was posted.
+// waitForLoops waits until the loops have run all functions posted so far.
 func (r *testEdge) waitForLoops() {
 	for _, l := range r.p.loops {
 		done := make(chan struct{})
@@ -169,7 +170,7 @@
 	}
 }
 
-// stats reads a loop's counts on the loop.
+// stats returns the first loop's stats, read on the loop.
 func (r *testEdge) stats() (s stats) {
 	done := make(chan struct{})
 	r.p.loops[0].post(func() { s = r.p.loops[0].stats; close(done) })
@@ -188,7 +189,7 @@
 	return c
 }
 
-// roundTrip sends raw bytes and reads answers to requests of these methods.
+// roundTrip sends raw bytes and reads the answers to requests of the given methods.
 func (r *testEdge) roundTrip(raw string, methods ...string) (answers []*http.Response, bodies []string) {
 	r.t.Helper()
 	c := r.dial()
@@ -201,7 +202,7 @@
 		}
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
-			body = append(body, " cut: "+err.Error()...)
+			body = append(body, " truncated: "+err.Error()...)
 		}
 		answers, bodies = append(answers, resp), append(bodies, string(body))
 	}
@@ -214,7 +215,7 @@
 }
 
 func TestAnswers(t *testing.T) {
-	big := strings.Repeat("0123456789abcdef", 1<<17) // 2 MiB: a carrier's
+	big := strings.Repeat("0123456789abcdef", 1<<17) // 2 MiB: too large to buffer, so relayed by a carrier
 	cases := []struct {
 		name   string
 		worker handler
@@ -230,9 +231,9 @@
 			return false
 		},
 			get("/ask"), "GET", 200, "hi"},
-		{"to HEAD", respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"), "HEAD /ask HTTP/1.1\r\nHost: t\r\n\r\n", "HEAD", 200, ""},
+		{"to a HEAD request", respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"), "HEAD /ask HTTP/1.1\r\nHost: t\r\n\r\n", "HEAD", 200, ""},
 		{"without body", respond("HTTP/1.1 204 No\r\n\r\n"), get("/ask"), "GET", 204, ""},
-		{"after a hint", respond("HTTP/1.1 103 Hint\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), get("/ask"), "GET", 200, "hi"},
+		{"after an interim response", respond("HTTP/1.1 103 Hint\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), get("/ask"), "GET", 200, "hi"},
 		{"large", respond("HTTP/1.1 200 OK\r\nContent-Length: 2097152\r\n\r\n" + big), get("/ask"), "GET", 200, big},
 		{"large, chunked", respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n200000\r\n" + big + "\r\n0\r\n\r\n"), get("/ask"), "GET", 200, big},
 		{"large, until close", func(c net.Conn, r *http.Request, b []byte) bool {
@@ -240,20 +241,20 @@
 			return false
 		},
 			get("/ask"), "GET", 200, big},
-		{"a client's fault", respond("HTTP/1.1 422 No\r\nContent-Length: 2\r\n\r\nno"), get("/ask"), "GET", 422, "no"},
-		{"an error", respond("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
+		{"client error", respond("HTTP/1.1 422 No\r\nContent-Length: 2\r\n\r\nno"), get("/ask"), "GET", 422, "no"},
+		{"server error", respond("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
 		{"garbage", respond("\x00\x01\r\n\r\n"), post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
-		{"too little", func(c net.Conn, r *http.Request, b []byte) bool {
+		{"truncated body", func(c net.Conn, r *http.Request, b []byte) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi")
 			return false
 		}, post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
-		{"turned away unseen", respond("HTTP/1.1 503 No\r\nDunegrade-Unseen: 1\r\nContent-Length: 0\r\n\r\n"), post("/pay"), "POST", 503, declinedBody},
+		{"rejected unseen", respond("HTTP/1.1 503 No\r\nDunegrade-Unseen: 1\r\nContent-Length: 0\r\n\r\n"), post("/pay"), "POST", 503, declinedBody},
 		{"nothing", hang, post("/pay"), "POST", 504, "voided: no answer in time; it may have had its effect\n"},
 		{"no route", echo, get("/other"), "GET", 404, "no route fits this request\n"},
 		{"a body", echo, "POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 3\r\n\r\nabc", "POST", 200, "/payabc"},
 		{"a chunked body", echo, "POST /pay HTTP/1.1\r\nHost: t\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n", "POST", 200, "/payabcde"},
 		{"absolute target", echo, "GET http://t/ask/x?y HTTP/1.1\r\nHost: t\r\n\r\n", "GET", 200, "/ask/x"},
-		{"old client", echo, "GET /ask HTTP/1.0\r\n\r\n", "GET", 200, "/ask"},
+		{"HTTP/1.0 client", echo, "GET /ask HTTP/1.0\r\n\r\n", "GET", 200, "/ask"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -269,8 +270,8 @@
 	}
 }
 
-// A submission that may have run goes again only where that does no harm, whatever came of it.
-func TestSecondSubmissions(t *testing.T) {
+// A submission that may have run must be repeated only if that does no harm, whatever its ending.
+func TestResubmission(t *testing.T) {
 	for _, c := range []struct {
 		name, raw string
 		first     handler
@@ -283,7 +284,7 @@
 		{"once-only, error", post("/pay"), respond("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
 		{"once-only, unseen", post("/pay"), respond("HTTP/1.1 503 No\r\nDunegrade-Unseen: 1\r\nContent-Length: 0\r\n\r\n"), 200, 2},
 		{"once-only, 503 that may have run", post("/pay"), respond("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
-		{"inquiry, silence: a second copy", get("/ask"), hang, 200, 2},
+		{"inquiry, no answer: a second copy", get("/ask"), hang, 200, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var seen atomic.Int64
@@ -311,13 +312,13 @@
 	}
 }
 
-func TestRefusedConnectHasNotRun(t *testing.T) {
-	gone := newStubWorker(t, echo)
-	gone.Close()
-	gone.group.Wait()
-	r := startEdge(t, "", gone)
+func TestConnectFailureIsDeclined(t *testing.T) {
+	closed := newStubWorker(t, echo)
+	closed.Close()
+	closed.group.Wait()
+	r := startEdge(t, "", closed)
 	if answers, _ := r.roundTrip(post("/pay"), "POST"); answers[0].StatusCode != 503 {
-		t.Errorf("a once-only txn that reached nobody got %d, want a decline", answers[0].StatusCode)
+		t.Errorf("a once-only txn that reached no worker got %d, want 503", answers[0].StatusCode)
 	}
 }
 
@@ -336,10 +337,10 @@
 	}
 }
 
-func TestRequestAfterACarriedAnswer(t *testing.T) {
-	n := 0
+func TestRequestAfterStreamedAnswer(t *testing.T) {
+	requests := 0
 	r := startEdge(t, "(door (answer-buffer 1KiB))", newStubWorker(t, func(c net.Conn, r *http.Request, b []byte) bool {
-		if n++; n == 1 {
+		if requests++; requests == 1 {
 			return respond("HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n"+strings.Repeat("x", 4000))(c, r, b)
 		}
 		return echo(c, r, b)
@@ -350,7 +351,7 @@
 	}
 }
 
-func TestExpectedBodyIsAskedFor(t *testing.T) {
+func TestExpectContinue(t *testing.T) {
 	r := startEdge(t, "", newStubWorker(t, echo))
 	c := r.dial()
 	io.WriteString(c, "POST /pay HTTP/1.1\r\nHost: t\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
@@ -368,7 +369,7 @@
 	const limits = "(door (head 1KiB) (body 4KiB) (slow-head 150ms) (slow-body 150ms) (idle 300ms) (pipeline 1KiB) (unsent 64KiB) (slow-reader 200ms))"
 	for _, c := range []struct {
 		name, raw string
-		status    int // of the answer before the end; 0: just the end
+		status    int // of the answer before the connection ends; 0 when it just ends
 	}{
 		{"two lengths", "POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400},
 		{"length and coding", "POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /ask HTTP/1.1\r\n", 400},
@@ -387,15 +388,15 @@
 			r := startEdge(t, limits, w)
 			conn := r.dial()
 			io.WriteString(conn, c.raw)
-			got, err := io.ReadAll(conn) // up to the end, which must come
+			got, err := io.ReadAll(conn) // the edge must end the connection
 			if err != nil && c.status == 0 || c.status > 0 && !strings.HasPrefix(string(got), fmt.Sprintf("HTTP/1.1 %d ", c.status)) {
 				t.Errorf("got %q, %v", got, err)
 			}
 			if w.requests.Load() != 0 {
-				t.Error("a worker saw it")
+				t.Error("the request reached a worker")
 			}
 			if answers, _ := r.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
-				t.Errorf("an honest txn got %d", answers[0].StatusCode)
+				t.Errorf("a valid request got %d", answers[0].StatusCode)
 			}
 		})
 	}
@@ -406,23 +407,23 @@
 	c := r.dial()
 	io.WriteString(c, get("/ask"))
 	flood := []byte(strings.Repeat(get("/ask"), 2000))
-	go func() { // until the edge closes
+	go func() { // until the edge closes the connection
 		for {
 			if _, err := c.Write(flood); err != nil {
 				return
 			}
 		}
 	}()
-	if _, err := io.ReadAll(c); err == nil { // the one answer, then the end
+	if _, err := io.ReadAll(c); err == nil { // one answer, then the end of the connection
 		t.Log("closed cleanly")
 	}
-	if taken := r.stats().admitted; taken > 40 {
-		t.Errorf("%d txns were taken of a flood behind one that waits", taken)
+	if admitted := r.stats().admitted; admitted > 40 {
+		t.Errorf("%d txns admitted that were pipelined behind one without an answer", admitted)
 	}
 }
 
-// A client that reads nothing of an answer larger than all buffers is cut, and the worker let go.
-func TestSlowReaderIsCut(t *testing.T) {
+// A client that reads nothing of an answer larger than all buffers must be disconnected, and the worker's connection freed.
+func TestSlowReaderIsDisconnected(t *testing.T) {
 	const size = 64 << 20
 	r := startEdge(t, "(door (slow-reader 200ms))", newStubWorker(t, func(c net.Conn, req *http.Request, b []byte) bool {
 		if req.URL.Path != "/ask/big" {
@@ -444,25 +445,25 @@
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatal("the carrier still waits for a client that reads nothing")
+			t.Fatal("the carrier still serves a client that reads nothing")
 		}
 	}
 	if n, err := io.Copy(io.Discard, c); err == nil || n >= size {
-		t.Errorf("the cut answer looks whole: %d bytes, %v", n, err)
+		t.Errorf("the truncated answer looks complete: %d bytes, %v", n, err)
 	}
-	// The only worker has failed its only txn, so the module may hold back for a moment.
+	// The only worker has failed its only txn, so the module may avoid it for a moment.
 	for until := time.Now().Add(5 * time.Second); ; {
 		answers, _ := r.roundTrip(get("/ask"), "GET")
 		if answers[0].StatusCode == 200 {
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatalf("an honest txn got %d", answers[0].StatusCode)
+			t.Fatalf("a later request got %d", answers[0].StatusCode)
 		}
 	}
 }
 
-func TestClientLeaves(t *testing.T) {
+func TestClientDisconnectCancelsSubmission(t *testing.T) {
 	asked := make(chan struct{}, 8)
 	w := newStubWorker(t, func(c net.Conn, r *http.Request, b []byte) bool { asked <- struct{}{}; return hang(c, r, b) })
 	r := startEdge(t, "", w)
@@ -473,13 +474,13 @@
 	until := time.Now().Add(300 * time.Millisecond) // well before the expiry
 	for r.stats().clientLeft == 0 || r.stats().endings[1] == 0 {
 		if time.Now().After(until) {
-			t.Fatal("the submission of a client that left was not called off")
+			t.Fatal("the submission was not cancelled after its client left")
 		}
 		runtime.Gosched()
 	}
 }
 
-func TestPatienceShortensTheExpiry(t *testing.T) {
+func TestClientTimeoutShortensExpiry(t *testing.T) {
 	r := startEdge(t, "", newStubWorker(t, hang))
 	began := time.Now()
 	answers, _ := r.roundTrip("POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\nx-envoy-upstream-rq-timeout-ms: 100\r\n\r\n", "POST")
@@ -488,12 +489,12 @@
 	}
 	answers, _ = r.roundTrip("POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\nx-envoy-upstream-rq-timeout-ms: 60000\r\n\r\n", "POST")
 	if took := time.Since(began); answers[0].StatusCode != 504 || took > 3*time.Second {
-		t.Errorf("a longer wish got %d after %v", answers[0].StatusCode, took)
+		t.Errorf("with a timeout longer than the expiry: got %d after %v", answers[0].StatusCode, took)
 	}
 }
 
-func TestBytesNobodyAskedFor(t *testing.T) {
-	// The second answer must not be taken for the next txn's.
+func TestUnsolicitedBytes(t *testing.T) {
+	// The worker sends each answer twice. The second copy must not be taken for the next txn's answer.
 	r := startEdge(t, "", newStubWorker(t, func(c net.Conn, req *http.Request, b []byte) bool {
 		a := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(req.URL.Path), req.URL.Path)
 		io.WriteString(c, a+a)
@@ -506,7 +507,7 @@
 		}
 	}
 	if r.stats().malformedAnswers == 0 {
-		t.Error("the bytes were not noticed")
+		t.Error("the unsolicited bytes were not counted")
 	}
 }
 
@@ -526,12 +527,12 @@
 	}
 	if c, err := net.Dial("tcp", r.address); err == nil {
 		c.Close()
-		t.Error("a new connection was taken")
+		t.Error("a new connection was accepted")
 	}
 	close(release)
 	resp, err := http.ReadResponse(bufio.NewReader(busy), nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("the txn in hand got %v, %v", resp, err)
+		t.Errorf("the open txn got %v, %v", resp, err)
 	}
 	if err := <-r.done; err != nil {
 		t.Error(err)
@@ -539,7 +540,7 @@
 	r.done = nil
 }
 
-func TestListOutlivesARestart(t *testing.T) {
+func TestWorkerListSurvivesRestart(t *testing.T) {
 	state := fmt.Sprintf("(state %q)", t.TempDir())
 	w := newStubWorker(t, echo)
 	r := startEdge(t, state, w)
@@ -548,13 +549,13 @@
 		t.Fatal(err)
 	}
 	r.done = nil
-	again := startEdge(t, state) // nobody tells it of workers
-	if answers, _ := again.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
+	restarted := startEdge(t, state) // its source delivers no worker list
+	if answers, _ := restarted.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
 		t.Errorf("got %d", answers[0].StatusCode)
 	}
 }
 
-func TestDrainingWorkerGetsNothingNew(t *testing.T) {
+func TestDrainingWorkerGetsNoNewTxns(t *testing.T) {
 	a, b := newStubWorker(t, echo), newStubWorker(t, echo)
 	r := startEdge(t, "", a, b)
 	r.roundTrip(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
@@ -563,11 +564,11 @@
 	before := a.requests.Load()
 	r.roundTrip(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
 	if a.requests.Load() != before || before == 0 {
-		t.Errorf("a draining worker went from %d to %d", before, a.requests.Load())
+		t.Errorf("requests of a draining worker: %d before, %d after", before, a.requests.Load())
 	}
 }
 
-// serveFixedAnswer is a worker that answers without allocating, and drive a client of the same kind.
+// serveFixedAnswer is a worker that answers every request on a connection without allocating.
 func serveFixedAnswer(c net.Conn) {
 	buf := make([]byte, 4096)
 	out := []byte("HTTP/1.1 200 OK\r\nContent-Length: 64\r\nendpoint-load-metrics: TEXT cpu_utilization=0.2, named_metrics.queue=0\r\n\r\n" + strings.Repeat("x", 64))
@@ -582,7 +583,7 @@
 	}
 }
 
-func TestOrdinaryPathAllocatesNothing(t *testing.T) {
+func TestRequestPathDoesNotAllocate(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -600,8 +601,8 @@
 	t.Cleanup(group.Wait)
 	r := startEdge(t, "", &stubWorker{Listener: ln})
 	c := r.dial()
-	raw, buf := []byte(post("/pay/1")), make([]byte, 4096) // no second copies of these
-	one := func() {
+	raw, buf := []byte(post("/pay/1")), make([]byte, 4096) // once-only, so that there are no second submissions
+	sendTxn := func() {
 		c.Write(raw)
 		for n := 0; ; {
 			k, err := c.Read(buf[n:])
@@ -611,17 +612,17 @@
 		}
 	}
 	for i := 0; i < 3000; i++ {
-		one()
+		sendTxn()
 	}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	const many = 5000
-	for i := 0; i < many; i++ {
-		one()
+	const txns = 5000
+	for i := 0; i < txns; i++ {
+		sendTxn()
 	}
 	runtime.ReadMemStats(&after)
-	// Beats, the alarm and the runtime allocate by time, not by txn.
-	if per := float64(after.Mallocs-before.Mallocs) / many; per > 0.1 {
-		t.Errorf("%.3f allocations a txn", per)
+	// The housekeeping tick, the alarm and the runtime allocate in proportion to time, not to txns.
+	if perTxn := float64(after.Mallocs-before.Mallocs) / txns; perTxn > 0.1 {
+		t.Errorf("%.3f allocations per txn", perTxn)
 	}
 }
--- a/edge/source_test.go
+++ b/edge/source_test.go
@@ -22,7 +22,7 @@
 	"dunegrade/logic"
 )
 
-// recordingHandler keeps what a source tells.
+// recordingHandler keeps the events of a source.
 type recordingHandler struct {
 	lists    chan api.WorkersEvent
 	releases chan api.ReleaseEvent
@@ -38,7 +38,7 @@
 func (e *recordingHandler) Report(x api.Report)        { e.reports <- x }
 func (e *recordingHandler) Tally(x api.Tally)          { e.tallies <- x }
 
-// runSource runs a source until the test ends.
+// runSource runs a source until the end of the test and returns its events.
 func runSource(t *testing.T, s Source) *recordingHandler {
 	e, done := newRecordingHandler(), make(chan struct{})
 	ctx, stop := context.WithCancel(context.Background())
@@ -47,23 +47,23 @@
 	return e
 }
 
-// await takes the next value, or fails.
+// await returns the next value, or fails the test after 10 s.
 func await[T any](t *testing.T, c chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("nothing arrived")
 	}
 	return v
 }
 
-func TestWatchResumesAndNoticesGaps(t *testing.T) {
+func TestWatchResumesAndDetectsGaps(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	asked := make(chan string, 64)
 	scripts := make(chan []string, 8)
 	scripts <- []string{`{"type":"whole","revision":5,"workers":[{"id":"a","state":"up"}]}`, `{"type":"change","revision":6}`, `{"type":"change","revision":8}`, "hold"}
-	scripts <- []string{`{"type":"whole","revision":9}`, `{"type":"bookmark","revision":9}`} // then it breaks
+	scripts <- []string{`{"type":"whole","revision":9}`, `{"type":"bookmark","revision":9}`} // then the watch ends
 	scripts <- []string{`{"type":"change","revision":10}`, "this is no JSON", "hold"}
 	scripts <- []string{`{"type":"change","revision":11}`, "silence"}
 	scripts <- []string{`{"type":"change","revision":12}`, "hold"}
@@ -96,7 +96,7 @@
 	}
 	for i, want := range []string{"0", "0", "9", "10", "11"} {
 		if got := await(t, asked); got != want {
-			t.Errorf("watch %d asks from revision %s, want %s", i, got, want)
+			t.Errorf("watch %d starts at revision %s, want %s", i, got, want)
 		}
 	}
 	stop()
@@ -105,7 +105,7 @@
 	goleak.VerifyNone(t, before)
 }
 
-func TestVotesEndAsToldByThePlatform(t *testing.T) {
+func TestVoteResults(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		body   string
@@ -114,7 +114,7 @@
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			var v api.Vote
 			if json.NewDecoder(r.Body).Decode(&v) != nil || v.Verdict != api.VoteBack || r.URL.Path != "/v1/releases/7/votes" {
-				t.Errorf("voted %+v at %s", v, r.URL.Path)
+				t.Errorf("got vote %+v at %s", v, r.URL.Path)
 			}
 			if c.status == 0 {
 				<-r.Context().Done()
@@ -133,14 +133,14 @@
 		case c.want == nil && c.status == 200 && strings.HasPrefix(c.body, "{") && (err != nil || e.Release.Build != 7):
 			t.Errorf("got %+v, %v", e, err)
 		case c.want == nil && (c.status != 200 || !strings.HasPrefix(c.body, "{")) && err == nil:
-			t.Errorf("%d %q was taken", c.status, c.body)
+			t.Errorf("status %d with body %q was accepted", c.status, c.body)
 		}
 		s.client.Close()
 		server.Close()
 	}
 }
 
-func TestFileIsReadAnewAndABadOneLosesNothing(t *testing.T) {
+func TestFileSourceReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.sexp")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -151,21 +151,21 @@
 	s := newFileSource(path, zap.NewNop())
 	e := runSource(t, s)
 	if got := await(t, e.lists); len(got.Workers) != 1 {
-		t.Errorf("told %+v", got)
+		t.Errorf("got list %+v, want 1 worker", got)
 	}
 	write(`(worker a`)
 	s.Refresh()
-	for len(s.refreshRequested) > 0 { // until the bad one was looked at
+	for len(s.refreshRequested) > 0 { // until the invalid file has been read
 		time.Sleep(time.Millisecond)
 	}
 	write(`(worker a (address "127.0.0.1:1")) (worker b (address "127.0.0.1:2")) (release (build 2) (phase on-trial) (cap 10%))`)
 	s.Refresh()
 	if got := await(t, e.lists); len(got.Workers) != 2 {
-		t.Errorf("told %+v", got)
+		t.Errorf("got list %+v, want 2 workers", got)
 	}
 	await(t, e.releases)
 	if got := await(t, e.releases); got.Release.Cap != 0.1 || got.Release.Phase != api.OnTrial {
-		t.Errorf("told %+v", got)
+		t.Errorf("got release %+v, want a build on trial with a cap of 0.1", got)
 	}
 }
 
@@ -207,15 +207,15 @@
 	const given = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
 	r.roundTrip("GET /ask HTTP/1.1\r\nHost: t\r\nTraceParent: "+given+"\r\n\r\n", "GET")
 	if got := <-seen; got != given {
-		t.Errorf("passed on %q", got)
+		t.Errorf("the worker got traceparent %q, want the client's", got)
 	}
 	r.roundTrip(get("/ask"), "GET")
 	if got := <-seen; len(got) != len(given) || !strings.HasPrefix(got, "00-") || !strings.HasSuffix(got, "-01") {
-		t.Errorf("gave %q", got)
+		t.Errorf("the worker got traceparent %q, want a generated one", got)
 	}
 }
 
-// Two loops are two sentries: both serve, and messages reach the one they are for.
+// Each loop is a sentry of its own: both serve txns, and messages between sentries reach the addressed one.
 func TestLoopsAreSentries(t *testing.T) {
 	a, b := freeUDPAddress(t), freeUDPAddress(t)
 	w := newStubWorker(t, echo)
@@ -227,13 +227,13 @@
 	}
 	r.waitForLoops()
 	for _, l := range r.p.loops {
-		taken := make(chan uint64)
-		l.post(func() { taken <- l.stats.admitted })
-		if n := <-taken; n != 4 {
-			t.Errorf("sentry %d took %d of 8", l.sentryIndex, n)
+		admitted := make(chan uint64)
+		l.post(func() { admitted <- l.stats.admitted })
+		if n := <-admitted; n != 4 {
+			t.Errorf("sentry %d admitted %d of 8 txns, want 4", l.sentryIndex, n)
 		}
 	}
-	// What the third sentry is told arrives at its address, with both numbers before it.
+	// A message to the third sentry arrives at its address, preceded by the indexes of sender and receiver.
 	addr, _ := net.ResolveUDPAddr("udp", b)
 	third, err := net.ListenUDP("udp", addr)
 	if err != nil {
@@ -247,12 +247,12 @@
 	if err != nil || string(buf[:n]) != "\x00\x01\x00\x02seen" {
 		t.Errorf("got %q, %v", buf[:n], err)
 	}
-	// Nonsense on the same port does no harm.
-	for _, junk := range []string{"", "x", "\x00\x02\x00\x00" + strings.Repeat("x", 300), "\x00\x63\x00\x01evidence", "\xff\xff\xff\xff"} {
-		third.WriteToUDP([]byte(junk), r.p.peerAddrs[0])
+	// Invalid messages on the same port must do no harm.
+	for _, invalid := range []string{"", "x", "\x00\x02\x00\x00" + strings.Repeat("x", 300), "\x00\x63\x00\x01evidence", "\xff\xff\xff\xff"} {
+		third.WriteToUDP([]byte(invalid), r.p.peerAddrs[0])
 	}
 	if answers, _ := r.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
-		t.Errorf("after nonsense: %d", answers[0].StatusCode)
+		t.Errorf("after invalid messages: got %d", answers[0].StatusCode)
 	}
 }
 
@@ -265,7 +265,7 @@
 	return c.LocalAddr().String()
 }
 
-// serveWatch answers each watch of the list with these lines, and tells from which revision it was asked.
+// serveWatch answers each watch of the worker list with the given lines. The channel gets the revision that each one starts at.
 func serveWatch(t *testing.T, ln net.Listener, lines ...string) chan string {
 	asked := make(chan string, 64)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/edge/trace_test.go
+++ b/edge/trace_test.go
@@ -15,21 +15,21 @@
 	"dunegrade/trace"
 )
 
-// The folder of the traces goes away under a running edge, and comes back: every txn is answered, one line tells of each
-// change, and what the files lack is told in them.
-func TestTracesWithoutADisk(t *testing.T) {
+// The trace directory becomes unwritable under a running edge and is writable again later. Every txn must be answered, each
+// of the two changes logged once, and the number of txns missing from the traces recorded in them.
+func TestTraceDirectoryUnavailable(t *testing.T) {
 	core, lines := observer.New(zapcore.InfoLevel)
-	said := func(text string) int { return lines.FilterMessageSnippet(text).Len() }
+	logged := func(text string) int { return lines.FilterMessageSnippet(text).Len() }
 	parent := t.TempDir()
 	dir := filepath.Join(parent, "trace")
 	w := newStubWorker(t, echo)
 	r := startLogged(t, zap.New(core), fmt.Sprintf(`(trace (folder %q) (segment 64KiB) (age 1s) (total 1MiB) (tail none))`, dir), w)
-	asked := 0
-	until := func(what string, done func() bool) {
+	sent := 0
+	sendUntil := func(condition string, done func() bool) {
 		t.Helper()
-		for begun := time.Now(); !done(); asked += 20 {
+		for begun := time.Now(); !done(); sent += 20 {
 			if time.Since(begun) > 20*time.Second {
-				t.Fatalf("not within 20 s: %s; %v", what, lines.All())
+				t.Fatalf("not within 20 s: %s; %v", condition, lines.All())
 			}
 			r.roundTrip(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
 		}
@@ -38,44 +38,45 @@
 		list, _ := filepath.Glob(filepath.Join(dir, "*"+trace.Suffix))
 		return len(list)
 	}
-	until("a first segment", func() bool { return segments(dir) > 0 })
+	sendUntil("a first segment", func() bool { return segments(dir) > 0 })
 	aside := filepath.Join(parent, "aside")
 	if err := os.Rename(dir, aside); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(dir, nil, 0o644); err != nil { // a file stands where the folder should
+	if err := os.WriteFile(dir, nil, 0o644); err != nil { // a file in place of the directory
 		t.Fatal(err)
 	}
-	until("the first line", func() bool { return said("traces cannot be written") > 0 })
-	from := asked
-	until("txns while nothing is written", func() bool { return asked > from+400 })
+	sendUntil("the warning is logged", func() bool { return logged("traces cannot be written") > 0 })
+	before := sent
+	sendUntil("txns while nothing is written", func() bool { return sent > before+400 })
 	if err := os.Remove(dir); err != nil {
 		t.Fatal(err)
 	}
-	until("the second line", func() bool { return said("traces are written again") > 0 })
-	until("a segment after that", func() bool { return segments(dir) > 0 })
+	sendUntil("the recovery is logged", func() bool { return logged("traces are written again") > 0 })
+	sendUntil("a segment after the recovery", func() bool { return segments(dir) > 0 })
 	r.stop()
 	if err := <-r.done; err != nil {
 		t.Fatal(err)
 	}
 	r.done <- nil
-	if said("traces cannot be written") != 1 || said("traces are written again") != 1 {
-		t.Errorf("lines: %v", lines.All())
+	if logged("traces cannot be written") != 1 || logged("traces are written again") != 1 {
+		t.Errorf("log lines: %v", lines.All())
 	}
 	all, err := trace.Lives([]string{aside, dir})
 	if err != nil || len(all) != 1 {
-		t.Fatalf("%d lives, %v", len(all), err)
+		t.Fatalf("%d runs, %v", len(all), err)
 	}
 	s, err := trace.Summarise(all, func(string, trace.Damage) {})
-	if err != nil || int(s.Missing) == 0 || s.Products[0].Taken+int(s.Missing) != asked {
-		t.Errorf("%d txns recorded and %d told missing, of %d; %v", s.Products[0].Taken, s.Missing, asked, err)
+	if err != nil || int(s.Missing) == 0 || s.Products[0].Taken+int(s.Missing) != sent {
+		t.Errorf("%d txns recorded and %d recorded as missing, of %d; %v", s.Products[0].Taken, s.Missing, sent, err)
 	}
 }
 
-func TestSampledAndPlainEdgesRecordWhatTheySay(t *testing.T) {
+// Each trace level must record the txns that it promises, and only whole traces can be replayed.
+func TestTraceLevels(t *testing.T) {
 	for _, c := range []struct {
 		level  string
-		taken  int
+		recorded  int
 		replay bool
 	}{{"(level whole)", 40, true}, {"(level sampled) (one-in 1000000)", 20, false}, {"(level decisions)", 40, false}} {
 		t.Run(c.level, func(t *testing.T) {
@@ -95,22 +96,22 @@
 			}
 			all, err := trace.Lives([]string{dir})
 			if err != nil || len(all) != 2 {
-				t.Fatalf("%d lives, %v", len(all), err)
+				t.Fatalf("%d runs, %v", len(all), err)
 			}
 			s, err := trace.Summarise(all, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			taken := 0
+			recorded := 0
 			for _, p := range s.Products {
-				taken += p.Taken
+				recorded += p.Taken
 			}
-			if taken != c.taken || taken+int(s.LeftOut) != 40 {
-				t.Errorf("%d txns recorded, %d left out", taken, s.LeftOut)
+			if recorded != c.recorded || recorded+int(s.LeftOut) != 40 {
+				t.Errorf("%d txns recorded, %d left out", recorded, s.LeftOut)
 			}
 			for _, l := range all {
-				if again, err := trace.Replay(l); (err == nil && again.Differs == "") != c.replay {
-					t.Errorf("sentry %d replays as %+v, %v", l.Sentry, again, err)
+				if result, err := trace.Replay(l); (err == nil && result.Differs == "") != c.replay {
+					t.Errorf("sentry %d replays as %+v, %v", l.Sentry, result, err)
 				}
 			}
 		})
