--- a/edge/admin.go
+++ b/edge/admin.go
@@ -11,6 +11,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
+// serveAdmin starts the server for health, metrics and profiles, if the configuration has an address for it.
 func (p *Process) serveAdmin() (*http.Server, error) {
 	if p.cfg.Admin == "" {
 		return nil, nil
@@ -20,7 +21,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, r *http.Request) { fmt.Fprintln(w, "ok") })
 	mux.HandleFunc("/readyz", func(w http.ResponseWriter, r *http.Request) {
-		if !p.listed.Load() {
+		if !p.listReceived.Load() {
 			http.Error(w, "no list of workers yet", http.StatusServiceUnavailable)
 			return
 		}
@@ -34,6 +35,6 @@
 		return nil, fmt.Errorf("admin: %w", err)
 	}
 	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	go s.Serve(ln) // ended by Close
+	go s.Serve(ln) // ends on Close
 	return s, nil
 }
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -22,23 +22,23 @@
 	"dunegrade/config"
 )
 
-// stub is a worker that does what a test scripts, with raw bytes.
-type stub struct {
+// stubWorker is a worker that answers with the raw bytes of a test's handler.
+type stubWorker struct {
 	net.Listener
-	seen  atomic.Int64 // requests read
-	hung  atomic.Int64 // connections that ended under it
-	group sync.WaitGroup
+	requests atomic.Int64 // requests read
+	ended    atomic.Int64 // connections ended by the other side
+	group    sync.WaitGroup
 }
 
-// script answers one request on its connection, and tells whether the connection goes on.
-type script func(c net.Conn, r *http.Request, body []byte) bool
+// handler answers one request on its connection. It reports whether the connection stays open.
+type handler func(c net.Conn, r *http.Request, body []byte) bool
 
-func newStubWorker(t *testing.T, do script) *stub {
+func newStubWorker(t *testing.T, do handler) *stubWorker {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &stub{Listener: ln}
+	s := &stubWorker{Listener: ln}
 	s.group.Go(func() {
 		for {
 			c, err := ln.Accept()
@@ -51,11 +51,11 @@
 				for {
 					r, err := http.ReadRequest(in)
 					if err != nil {
-						s.hung.Add(1)
+						s.ended.Add(1)
 						return
 					}
 					body, _ := io.ReadAll(r.Body)
-					s.seen.Add(1)
+					s.requests.Add(1)
 					if !do(c, r, body) {
 						return
 					}
@@ -66,7 +66,7 @@
 	return s
 }
 
-func say(text string) script {
+func respond(text string) handler {
 	return func(c net.Conn, r *http.Request, body []byte) bool { io.WriteString(c, text); return true }
 }
 
@@ -81,20 +81,21 @@
 	return false
 }
 
-func reset(c net.Conn, r *http.Request, body []byte) bool {
+func resetConn(c net.Conn, r *http.Request, body []byte) bool {
 	c.(*net.TCPConn).SetLinger(0)
 	return false
 }
 
-// silentSource tells nothing: tests hand the process its news.
-type silentSource struct{}
+// idleSource delivers no events; tests pass events to the process directly.
+type idleSource struct{}
 
-func (silentSource) Run(ctx context.Context, _ EventHandler) { <-ctx.Done() }
-func (silentSource) Refresh()                                {}
-func (silentSource) Vote(context.Context, api.Vote) (api.ReleaseEvent, error) {
+func (idleSource) Run(ctx context.Context, _ EventHandler) { <-ctx.Done() }
+func (idleSource) Refresh()                                {}
+func (idleSource) Vote(context.Context, api.Vote) (api.ReleaseEvent, error) {
 	return api.ReleaseEvent{}, api.ErrStaleVote
 }
 
+// testEdge is an edge that runs in the test's process.
 type testEdge struct {
 	t       *testing.T
 	p       *Process
@@ -110,21 +111,21 @@
   (route (prefix "/ask") (product "ask")) (route (prefix "/book") (product "book")) (route (prefix "/pay") (product "pay"))
   (release (caps 0.1 1) (shares 0.1 1) (window 6s)))`
 
-// startEdge runs an edge in this process with workers, and ends it with the test.
-func startEdge(t *testing.T, extra string, workers ...*stub) *testEdge {
+// startEdge runs an edge in this process with the given further configuration and workers. It stops at the end of the test.
+func startEdge(t *testing.T, extra string, workers ...*stubWorker) *testEdge {
 	t.Helper()
 	return startLogged(t, zap.NewNop(), extra, workers...)
 }
 
-func startLogged(t *testing.T, log *zap.Logger, extra string, workers ...*stub) *testEdge {
+func startLogged(t *testing.T, log *zap.Logger, extra string, workers ...*stubWorker) *testEdge {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	plan, err := config.ParseEdge("t.sexp", fmt.Sprintf(configTemplate, extra))
+	cfg, err := config.ParseEdge("t.sexp", fmt.Sprintf(configTemplate, extra))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testEdge{t: t, p: New(plan, log), done: make(chan error, 1)}
-	r.p.source = silentSource{}
+	r := &testEdge{t: t, p: New(cfg, log), done: make(chan error, 1)}
+	r.p.source = idleSource{}
 	ctx, stop := context.WithCancel(context.Background())
 	r.stop = stop
 	listening := make(chan net.Addr, 1)
@@ -142,7 +143,7 @@
 		}
 		r.p.Workers(e)
 		r.p.Release(api.ReleaseEvent{Release: api.Release{Build: 1, Phase: api.Released, Cap: 1}})
-		r.settle()
+		r.waitForLoops()
 	}
 	t.Cleanup(func() {
 		stop()
@@ -160,8 +161,8 @@
 	return r
 }
 
-// settle waits until the loops have done what was posted.
-func (r *testEdge) settle() {
+// waitForLoops waits until the loops have run all functions posted so far.
+func (r *testEdge) waitForLoops() {
 	for _, l := range r.p.loops {
 		done := make(chan struct{})
 		l.post(func() { close(done) })
@@ -169,7 +170,7 @@
 	}
 }
 
-// stats reads a loop's counts on the loop.
+// stats returns the first loop's stats, read on the loop.
 func (r *testEdge) stats() (s stats) {
 	done := make(chan struct{})
 	r.p.loops[0].post(func() { s = r.p.loops[0].stats; close(done) })
@@ -188,7 +189,7 @@
 	return c
 }
 
-// roundTrip sends raw bytes and reads answers to requests of these methods.
+// roundTrip sends raw bytes and reads the answers to requests of the given methods.
 func (r *testEdge) roundTrip(raw string, methods ...string) (answers []*http.Response, bodies []string) {
 	r.t.Helper()
 	c := r.dial()
@@ -201,7 +202,7 @@
 		}
 		body, err := io.ReadAll(resp.Body)
 		if err != nil {
-			body = append(body, " cut: "+err.Error()...)
+			body = append(body, " truncated: "+err.Error()...)
 		}
 		answers, bodies = append(answers, resp), append(bodies, string(body))
 	}
@@ -214,46 +215,46 @@
 }
 
 func TestAnswers(t *testing.T) {
-	big := strings.Repeat("0123456789abcdef", 1<<17) // 2 MiB: a carrier's
+	big := strings.Repeat("0123456789abcdef", 1<<17) // 2 MiB: too large to buffer, so relayed by a carrier
 	cases := []struct {
 		name   string
-		worker script
+		worker handler
 		raw    string
 		method string
 		status int
 		body   string
 	}{
-		{"with a length", say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), get("/ask"), "GET", 200, "hi"},
-		{"chunked", say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), get("/ask"), "GET", 200, "hi"},
+		{"with a length", respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), get("/ask"), "GET", 200, "hi"},
+		{"chunked", respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), get("/ask"), "GET", 200, "hi"},
 		{"until close", func(c net.Conn, r *http.Request, b []byte) bool {
 			io.WriteString(c, "HTTP/1.0 200 OK\r\n\r\nhi")
 			return false
 		},
 			get("/ask"), "GET", 200, "hi"},
-		{"to HEAD", say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"), "HEAD /ask HTTP/1.1\r\nHost: t\r\n\r\n", "HEAD", 200, ""},
-		{"without body", say("HTTP/1.1 204 No\r\n\r\n"), get("/ask"), "GET", 204, ""},
-		{"after a hint", say("HTTP/1.1 103 Hint\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), get("/ask"), "GET", 200, "hi"},
-		{"large", say("HTTP/1.1 200 OK\r\nContent-Length: 2097152\r\n\r\n" + big), get("/ask"), "GET", 200, big},
-		{"large, chunked", say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n200000\r\n" + big + "\r\n0\r\n\r\n"), get("/ask"), "GET", 200, big},
+		{"to a HEAD request", respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"), "HEAD /ask HTTP/1.1\r\nHost: t\r\n\r\n", "HEAD", 200, ""},
+		{"without body", respond("HTTP/1.1 204 No\r\n\r\n"), get("/ask"), "GET", 204, ""},
+		{"after an interim response", respond("HTTP/1.1 103 Hint\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), get("/ask"), "GET", 200, "hi"},
+		{"large", respond("HTTP/1.1 200 OK\r\nContent-Length: 2097152\r\n\r\n" + big), get("/ask"), "GET", 200, big},
+		{"large, chunked", respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n200000\r\n" + big + "\r\n0\r\n\r\n"), get("/ask"), "GET", 200, big},
 		{"large, until close", func(c net.Conn, r *http.Request, b []byte) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+big)
 			return false
 		},
 			get("/ask"), "GET", 200, big},
-		{"a client's fault", say("HTTP/1.1 422 No\r\nContent-Length: 2\r\n\r\nno"), get("/ask"), "GET", 422, "no"},
-		{"an error", say("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
-		{"garbage", say("\x00\x01\r\n\r\n"), post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
-		{"too little", func(c net.Conn, r *http.Request, b []byte) bool {
+		{"client error", respond("HTTP/1.1 422 No\r\nContent-Length: 2\r\n\r\nno"), get("/ask"), "GET", 422, "no"},
+		{"server error", respond("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
+		{"garbage", respond("\x00\x01\r\n\r\n"), post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
+		{"truncated body", func(c net.Conn, r *http.Request, b []byte) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi")
 			return false
 		}, post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
-		{"turned away unseen", say("HTTP/1.1 503 No\r\nDunegrade-Unseen: 1\r\nContent-Length: 0\r\n\r\n"), post("/pay"), "POST", 503, declinedBody},
+		{"rejected unseen", respond("HTTP/1.1 503 No\r\nDunegrade-Unseen: 1\r\nContent-Length: 0\r\n\r\n"), post("/pay"), "POST", 503, declinedBody},
 		{"nothing", hang, post("/pay"), "POST", 504, "voided: no answer in time; it may have had its effect\n"},
 		{"no route", echo, get("/other"), "GET", 404, "no route fits this request\n"},
 		{"a body", echo, "POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 3\r\n\r\nabc", "POST", 200, "/payabc"},
 		{"a chunked body", echo, "POST /pay HTTP/1.1\r\nHost: t\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n", "POST", 200, "/payabcde"},
 		{"absolute target", echo, "GET http://t/ask/x?y HTTP/1.1\r\nHost: t\r\n\r\n", "GET", 200, "/ask/x"},
-		{"old client", echo, "GET /ask HTTP/1.0\r\n\r\n", "GET", 200, "/ask"},
+		{"HTTP/1.0 client", echo, "GET /ask HTTP/1.0\r\n\r\n", "GET", 200, "/ask"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -269,21 +270,21 @@
 	}
 }
 
-// A submission that may have run goes again only where that does no harm, whatever came of it.
-func TestSecondSubmissions(t *testing.T) {
+// A submission that may have run must be repeated only if that does no harm, whatever its ending.
+func TestResubmission(t *testing.T) {
 	for _, c := range []struct {
 		name, raw string
-		first     script
+		first     handler
 		status    int
 		seen      int64
 	}{
-		{"inquiry, reset", get("/ask"), reset, 200, 2},
-		{"referenced, reset", post("/book"), reset, 200, 2},
-		{"once-only, reset", post("/pay"), reset, 502, 1},
-		{"once-only, error", post("/pay"), say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
-		{"once-only, unseen", post("/pay"), say("HTTP/1.1 503 No\r\nDunegrade-Unseen: 1\r\nContent-Length: 0\r\n\r\n"), 200, 2},
-		{"once-only, 503 that may have run", post("/pay"), say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
-		{"inquiry, silence: a second copy", get("/ask"), hang, 200, 2},
+		{"inquiry, reset", get("/ask"), resetConn, 200, 2},
+		{"referenced, reset", post("/book"), resetConn, 200, 2},
+		{"once-only, reset", post("/pay"), resetConn, 502, 1},
+		{"once-only, error", post("/pay"), respond("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
+		{"once-only, unseen", post("/pay"), respond("HTTP/1.1 503 No\r\nDunegrade-Unseen: 1\r\nContent-Length: 0\r\n\r\n"), 200, 2},
+		{"once-only, 503 that may have run", post("/pay"), respond("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), 502, 1},
+		{"inquiry, no answer: a second copy", get("/ask"), hang, 200, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var seen atomic.Int64
@@ -311,13 +312,13 @@
 	}
 }
 
-func TestRefusedConnectHasNotRun(t *testing.T) {
-	gone := newStubWorker(t, echo)
-	gone.Close()
-	gone.group.Wait()
-	r := startEdge(t, "", gone)
+func TestConnectFailureIsDeclined(t *testing.T) {
+	closed := newStubWorker(t, echo)
+	closed.Close()
+	closed.group.Wait()
+	r := startEdge(t, "", closed)
 	if answers, _ := r.roundTrip(post("/pay"), "POST"); answers[0].StatusCode != 503 {
-		t.Errorf("a once-only txn that reached nobody got %d, want a decline", answers[0].StatusCode)
+		t.Errorf("a once-only txn that reached no worker got %d, want 503", answers[0].StatusCode)
 	}
 }
 
@@ -336,11 +337,11 @@
 	}
 }
 
-func TestRequestAfterACarriedAnswer(t *testing.T) {
-	n := 0
+func TestRequestAfterStreamedAnswer(t *testing.T) {
+	requests := 0
 	r := startEdge(t, "(door (answer-buffer 1KiB))", newStubWorker(t, func(c net.Conn, r *http.Request, b []byte) bool {
-		if n++; n == 1 {
-			return say("HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n"+strings.Repeat("x", 4000))(c, r, b)
+		if requests++; requests == 1 {
+			return respond("HTTP/1.1 200 OK\r\nContent-Length: 4000\r\n\r\n"+strings.Repeat("x", 4000))(c, r, b)
 		}
 		return echo(c, r, b)
 	}))
@@ -350,7 +351,7 @@
 	}
 }
 
-func TestExpectedBodyIsAskedFor(t *testing.T) {
+func TestExpectContinue(t *testing.T) {
 	r := startEdge(t, "", newStubWorker(t, echo))
 	c := r.dial()
 	io.WriteString(c, "POST /pay HTTP/1.1\r\nHost: t\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
@@ -368,7 +369,7 @@
 	const limits = "(door (head 1KiB) (body 4KiB) (slow-head 150ms) (slow-body 150ms) (idle 300ms) (pipeline 1KiB) (unsent 64KiB) (slow-reader 200ms))"
 	for _, c := range []struct {
 		name, raw string
-		status    int // of the answer before the end; 0: just the end
+		status    int // of the answer before the connection ends; 0 when it just ends
 	}{
 		{"two lengths", "POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400},
 		{"length and coding", "POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /ask HTTP/1.1\r\n", 400},
@@ -387,15 +388,15 @@
 			r := startEdge(t, limits, w)
 			conn := r.dial()
 			io.WriteString(conn, c.raw)
-			got, err := io.ReadAll(conn) // up to the end, which must come
+			got, err := io.ReadAll(conn) // the edge must end the connection
 			if err != nil && c.status == 0 || c.status > 0 && !strings.HasPrefix(string(got), fmt.Sprintf("HTTP/1.1 %d ", c.status)) {
 				t.Errorf("got %q, %v", got, err)
 			}
-			if w.seen.Load() != 0 {
-				t.Error("a worker saw it")
+			if w.requests.Load() != 0 {
+				t.Error("the request reached a worker")
 			}
 			if answers, _ := r.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
-				t.Errorf("an honest txn got %d", answers[0].StatusCode)
+				t.Errorf("a valid request got %d", answers[0].StatusCode)
 			}
 		})
 	}
@@ -406,23 +407,23 @@
 	c := r.dial()
 	io.WriteString(c, get("/ask"))
 	flood := []byte(strings.Repeat(get("/ask"), 2000))
-	go func() { // until the edge closes
+	go func() { // until the edge closes the connection
 		for {
 			if _, err := c.Write(flood); err != nil {
 				return
 			}
 		}
 	}()
-	if _, err := io.ReadAll(c); err == nil { // the one answer, then the end
+	if _, err := io.ReadAll(c); err == nil { // one answer, then the end of the connection
 		t.Log("closed cleanly")
 	}
-	if taken := r.stats().admitted; taken > 40 {
-		t.Errorf("%d txns were taken of a flood behind one that waits", taken)
+	if admitted := r.stats().admitted; admitted > 40 {
+		t.Errorf("%d txns admitted that were pipelined behind one without an answer", admitted)
 	}
 }
 
-// A client that reads nothing of an answer larger than all buffers is cut, and the worker let go.
-func TestSlowReaderIsCut(t *testing.T) {
+// A client that reads nothing of an answer larger than all buffers must be disconnected, and the worker's connection freed.
+func TestSlowReaderIsDisconnected(t *testing.T) {
 	const size = 64 << 20
 	r := startEdge(t, "(door (slow-reader 200ms))", newStubWorker(t, func(c net.Conn, req *http.Request, b []byte) bool {
 		if req.URL.Path != "/ask/big" {
@@ -444,25 +445,25 @@
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatal("the carrier still waits for a client that reads nothing")
+			t.Fatal("the carrier still serves a client that reads nothing")
 		}
 	}
 	if n, err := io.Copy(io.Discard, c); err == nil || n >= size {
-		t.Errorf("the cut answer looks whole: %d bytes, %v", n, err)
+		t.Errorf("the truncated answer looks complete: %d bytes, %v", n, err)
 	}
-	// The only worker has failed its only txn, so the module may hold back for a moment.
+	// The only worker has failed its only txn, so the module may avoid it for a moment.
 	for until := time.Now().Add(5 * time.Second); ; {
 		answers, _ := r.roundTrip(get("/ask"), "GET")
 		if answers[0].StatusCode == 200 {
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatalf("an honest txn got %d", answers[0].StatusCode)
+			t.Fatalf("a later request got %d", answers[0].StatusCode)
 		}
 	}
 }
 
-func TestClientLeaves(t *testing.T) {
+func TestClientDisconnectCancelsSubmission(t *testing.T) {
 	asked := make(chan struct{}, 8)
 	w := newStubWorker(t, func(c net.Conn, r *http.Request, b []byte) bool { asked <- struct{}{}; return hang(c, r, b) })
 	r := startEdge(t, "", w)
@@ -473,13 +474,13 @@
 	until := time.Now().Add(300 * time.Millisecond) // well before the expiry
 	for r.stats().clientLeft == 0 || r.stats().endings[1] == 0 {
 		if time.Now().After(until) {
-			t.Fatal("the submission of a client that left was not called off")
+			t.Fatal("the submission was not cancelled after its client left")
 		}
 		runtime.Gosched()
 	}
 }
 
-func TestPatienceShortensTheExpiry(t *testing.T) {
+func TestClientTimeoutShortensExpiry(t *testing.T) {
 	r := startEdge(t, "", newStubWorker(t, hang))
 	began := time.Now()
 	answers, _ := r.roundTrip("POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\nx-envoy-upstream-rq-timeout-ms: 100\r\n\r\n", "POST")
@@ -488,12 +489,12 @@
 	}
 	answers, _ = r.roundTrip("POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\nx-envoy-upstream-rq-timeout-ms: 60000\r\n\r\n", "POST")
 	if took := time.Since(began); answers[0].StatusCode != 504 || took > 3*time.Second {
-		t.Errorf("a longer wish got %d after %v", answers[0].StatusCode, took)
+		t.Errorf("with a timeout longer than the expiry: got %d after %v", answers[0].StatusCode, took)
 	}
 }
 
-func TestBytesNobodyAskedFor(t *testing.T) {
-	// The second answer must not be taken for the next txn's.
+func TestUnsolicitedBytes(t *testing.T) {
+	// The worker sends each answer twice. The second copy must not be taken for the next txn's answer.
 	r := startEdge(t, "", newStubWorker(t, func(c net.Conn, req *http.Request, b []byte) bool {
 		a := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(req.URL.Path), req.URL.Path)
 		io.WriteString(c, a+a)
@@ -506,7 +507,7 @@
 		}
 	}
 	if r.stats().malformedAnswers == 0 {
-		t.Error("the bytes were not noticed")
+		t.Error("the unsolicited bytes were not counted")
 	}
 }
 
@@ -526,12 +527,12 @@
 	}
 	if c, err := net.Dial("tcp", r.address); err == nil {
 		c.Close()
-		t.Error("a new connection was taken")
+		t.Error("a new connection was accepted")
 	}
 	close(release)
 	resp, err := http.ReadResponse(bufio.NewReader(busy), nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("the txn in hand got %v, %v", resp, err)
+		t.Errorf("the open txn got %v, %v", resp, err)
 	}
 	if err := <-r.done; err != nil {
 		t.Error(err)
@@ -539,7 +540,7 @@
 	r.done = nil
 }
 
-func TestListOutlivesARestart(t *testing.T) {
+func TestWorkerListSurvivesRestart(t *testing.T) {
 	state := fmt.Sprintf("(state %q)", t.TempDir())
 	w := newStubWorker(t, echo)
 	r := startEdge(t, state, w)
@@ -548,27 +549,27 @@
 		t.Fatal(err)
 	}
 	r.done = nil
-	again := startEdge(t, state) // nobody tells it of workers
-	if answers, _ := again.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
+	restarted := startEdge(t, state) // its source delivers no worker list
+	if answers, _ := restarted.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
 		t.Errorf("got %d", answers[0].StatusCode)
 	}
 }
 
-func TestDrainingWorkerGetsNothingNew(t *testing.T) {
+func TestDrainingWorkerGetsNoNewTxns(t *testing.T) {
 	a, b := newStubWorker(t, echo), newStubWorker(t, echo)
 	r := startEdge(t, "", a, b)
 	r.roundTrip(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
 	r.p.Workers(api.WorkersEvent{Type: api.Change, Revision: 2, Workers: []api.Worker{{ID: "w0", Address: a.Addr().String(), State: api.Draining, Build: 1}}})
-	r.settle()
-	before := a.seen.Load()
+	r.waitForLoops()
+	before := a.requests.Load()
 	r.roundTrip(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
-	if a.seen.Load() != before || before == 0 {
-		t.Errorf("a draining worker went from %d to %d", before, a.seen.Load())
+	if a.requests.Load() != before || before == 0 {
+		t.Errorf("requests of a draining worker: %d before, %d after", before, a.requests.Load())
 	}
 }
 
-// pump is a worker that answers without allocating, and drive a client of the same kind.
-func pump(c net.Conn) {
+// serveFixedAnswer is a worker that answers every request on a connection without allocating.
+func serveFixedAnswer(c net.Conn) {
 	buf := make([]byte, 4096)
 	out := []byte("HTTP/1.1 200 OK\r\nContent-Length: 64\r\nendpoint-load-metrics: TEXT cpu_utilization=0.2, named_metrics.queue=0\r\n\r\n" + strings.Repeat("x", 64))
 	for {
@@ -582,7 +583,7 @@
 	}
 }
 
-func TestOrdinaryPathAllocatesNothing(t *testing.T) {
+func TestRequestPathDoesNotAllocate(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -594,14 +595,14 @@
 			if err != nil {
 				return
 			}
-			group.Go(func() { defer c.Close(); pump(c) })
+			group.Go(func() { defer c.Close(); serveFixedAnswer(c) })
 		}
 	})
 	t.Cleanup(group.Wait)
-	r := startEdge(t, "", &stub{Listener: ln})
+	r := startEdge(t, "", &stubWorker{Listener: ln})
 	c := r.dial()
-	raw, buf := []byte(post("/pay/1")), make([]byte, 4096) // no second copies of these
-	one := func() {
+	raw, buf := []byte(post("/pay/1")), make([]byte, 4096) // once-only, so that there are no second submissions
+	sendTxn := func() {
 		c.Write(raw)
 		for n := 0; ; {
 			k, err := c.Read(buf[n:])
@@ -611,17 +612,17 @@
 		}
 	}
 	for i := 0; i < 3000; i++ {
-		one()
+		sendTxn()
 	}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	const many = 5000
-	for i := 0; i < many; i++ {
-		one()
+	const txns = 5000
+	for i := 0; i < txns; i++ {
+		sendTxn()
 	}
 	runtime.ReadMemStats(&after)
-	// Beats, the alarm and the runtime allocate by time, not by txn.
-	if per := float64(after.Mallocs-before.Mallocs) / many; per > 0.1 {
-		t.Errorf("%.3f allocations a txn", per)
+	// The housekeeping tick, the alarm and the runtime allocate in proportion to time, not to txns.
+	if perTxn := float64(after.Mallocs-before.Mallocs) / txns; perTxn > 0.1 {
+		t.Errorf("%.3f allocations per txn", perTxn)
 	}
 }
--- a/edge/loop.go
+++ b/edge/loop.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	keptBuffer = 64 << 10         // a buffer larger than that is not kept for reuse
-	wakeGap    = time.Millisecond // wakes come no closer than that
+	maxReusedBuffer = 64 << 10         // bytes; larger buffers are freed rather than kept for reuse
+	minWakeInterval = time.Millisecond // least time between two wake-ups of a loop by its timers
 )
 
-// eventKind says which of the module's methods an event is for.
+// eventKind selects the decision module's method that an event is passed to.
 type eventKind uint8
 
 const (
@@ -36,133 +36,141 @@
 	evStreaming
 	evAnswerBegun
 	evTimer
-	evCall // anything rare, as a function
+	evFunc // runs a function, for rare events
 )
 
+// event is an event queued for the decision module.
 type event struct {
 	kind    eventKind
 	call    *call
 	outcome logic.Outcome
 	load    logic.Load
-	loaded  bool
+	hasLoad bool
 	token   uint64
-	do      func(now logic.Nanos)
+	run     func(now logic.Nanos)
 }
 
-// actKind says what the module wants done.
-type actKind uint8
+// actionKind is the kind of an action that the module has decided on.
+type actionKind uint8
 
 const (
-	actSubmit actKind = iota
-	actCancel
-	actDecline
-	actVoid
-	actRemind
+	actionSubmit actionKind = iota
+	actionCancel
+	actionDecline
+	actionVoid
+	actionSetTimer
 )
 
-type act struct {
-	kind   actKind
-	txn    logic.TxnID
-	worker logic.WorkerID
-	span   logic.Nanos
-	n      int
-	token  uint64
+// action is one decision of the module that the loop has yet to carry out.
+type action struct {
+	kind     actionKind
+	txn      logic.TxnID
+	worker   logic.WorkerID
+	duration logic.Nanos
+	n        int
+	token    uint64
 }
 
-// loop is one event loop with the sentry that lives on it. Everything here is touched on that loop's goroutine
-// alone, but for what is marked otherwise.
+// loop is one event loop and the sentry that runs on it. Its fields are accessed only on the loop's goroutine, unless
+// marked otherwise.
 type loop struct {
 	gnet.BuiltinEventEngine
-	p         *Process
-	number    int // of the sentry among all
-	client    *gnet.Client
-	eventLoop gnet.EventLoop
-	log       *zap.Logger
-	rng       *rand.Rand
-	now       logic.Nanos
-	sentry    *logic.Sentry
-	rec       *trace.Recorder // nil: nothing is recorded
-	taking    logic.TxnID     // the txn that the module is being handed; 0: none
-	runID     uint64          // drawn at the start
-	serial    uint64          // of the last txn
-
-	calls        slab[call]
-	externalIDs  map[uint64]struct{} // ids of the calls in hand, where clients give them
-	clientConns  slab[clientConn]
-	workerConns  slab[workerConn]
-	pools        map[logic.WorkerID]*pool
-	workerStarts map[logic.WorkerID]workerStart
-	listSeen     bool // of a first list
-	startsTold   bool // by the source, for each worker; 0: long past
-	dialing      int
-	reuse        reuse
-	conns        int     // to workers, open or being opened
-	starved      []*pool // that wait for one of them to end
-	heldBytes    int     // bytes that came from clients and were not used yet
-	timers       timerHeap
-
-	events      []event
-	acts        []act
-	resumeReads []*clientConn // answered; their next request may be in hand
-	pumping     bool
-	depth       int // of calls from gnet within one another
-	load        logic.Load
-
-	req     http1.Request // of the moment
+	p           *Process
+	sentryIndex int // index of this sentry among the sentries of all edges
+	client      *gnet.Client
+	eventLoop   gnet.EventLoop
+	log         *zap.Logger
+	rng         *rand.Rand
+	now         logic.Nanos // time at the start of the current callback
+	sentry      *logic.Sentry
+	recorder    *trace.Recorder // nil when traces are off
+	admitting   logic.TxnID     // the txn that is being passed to the module; 0 when none is
+	runID       uint64          // identifies this run of the sentry; derived from name, start time and index
+	serial      uint64          // serial number of the last txn
+
+	calls       slab[call]
+	externalIDs map[uint64]struct{} // the clients' ids of the open calls, for protocols that have them
+	clientConns slab[clientConn]
+	workerConns slab[workerConn]
+
+	pools              map[logic.WorkerID]*pool
+	workerStarts       map[logic.WorkerID]workerStart
+	listSeen           bool       // whether a worker list has been applied, also a restored one
+	startTimesReported bool       // whether the source reports every worker's start, so that 0 means long past
+	numDialing         int        // worker connections being opened
+	reuseLimit         reuseLimit // limits how long an idle worker connection may be reused
+	numConns           int        // worker connections, open or being opened
+	starvedPools       []*pool    // pools that wait until numConns falls below its limit
+	heldBytes          int        // bytes received from clients and not consumed yet
+	timers             timerHeap
+
+	events        []event
+	actions       []action
+	resumeReads   []*clientConn // connections just answered, whose next request may be buffered
+	processing    bool          // whether processEvents is running
+	callbackDepth int           // nesting depth of callbacks from gnet
+	load          logic.Load    // the load report of the outcome being dispatched
+
+	// Reused between callbacks.
+	req     http1.Request
 	resp    http1.Response
 	scratch []byte
 	fields  []byte
 
-	connectTimeout, workerIdle logic.Nanos
-	draining, stopping         bool
-	answerDeadline             logic.Nanos   // in a drain: when what is in hand is answered at the latest
-	drained                    chan struct{} // closed when no request can be read any more
-	drainSignaled              bool
-	closingConns               []closingConn
-	closingTimerSet            bool
-	spareFD                    int  // a descriptor held for when none is left; -1: none
-	listed                     bool // the list of the moment has come
-	voting                     bool
-	stats                      stats
-	shown                      atomic.Pointer[stats] // for whoever asks; any goroutine
-	clientCount                atomic.Int64          // open connections of clients; any goroutine
-
-	// Work from other goroutines, and what wakes the loop for it.
-	mu     sync.Mutex
-	posted []func()
-	waker  net.Conn
-	armed  atomic.Int64 // when the alarm goes off; 0: it does not
-	rearm  chan struct{}
-	lastWk logic.Nanos
-	group  sync.WaitGroup // dials, votes, carriers, the alarm
-	quit   chan struct{}
-}
-
-// workerStart is what tells one process from the next under its id, with its start by this host's clock.
+	connectTimeout    logic.Nanos
+	workerIdleTimeout logic.Nanos
+	draining          bool
+	stopping          bool
+	answerDeadline    logic.Nanos   // in a drain: when open txns are answered at the latest
+	drained           chan struct{} // closed when no request can be read any more
+	drainSignaled     bool          // whether drained is closed
+	closingConns      []closingConn
+	closingTimerSet   bool
+	spareFD           int  // a descriptor held in reserve for when the process runs out of them; -1 when there is none
+	listCurrent       bool // whether a worker list from the source has been applied
+	voteInFlight      bool
+	stats             stats
+	statsSnapshot     atomic.Pointer[stats] // copy of stats for readers on any goroutine
+	clientCount       atomic.Int64          // open client connections; read and written by any goroutine
+
+	// Functions posted by other goroutines, and what wakes the loop to run them.
+	mu           sync.Mutex // guards postedFuncs
+	postedFuncs  []func()
+	wakeConn     net.Conn       // a byte written here wakes the loop
+	alarmAt      atomic.Int64   // when runAlarm wakes the loop next; 0 when it is not set
+	alarmChanged chan struct{}  // tells runAlarm that alarmAt has changed
+	lastWake     logic.Nanos    // when the loop was last woken
+	group        sync.WaitGroup // dials, votes, carriers and runAlarm
+	quit         chan struct{}  // closed by halt
+}
+
+// workerStart identifies one process of a worker id, so that a replacement under the same id is recognized.
 type workerStart struct {
-	stamp     int64
+	reported  int64 // start time as reported, by the platform's clock; 0 when none was
 	address   string
 	build     int
-	startedAt logic.Nanos
+	startedAt logic.Nanos // start time by the local clock; 0 when long past
 }
 
 func newLoop(p *Process, i int) *loop {
-	number := int(p.cfg.Module["index"].(float64)) + i
-	// One seed for each sentry, and nothing that two sentries share.
+	sentryIndex := int(p.cfg.Module["index"].(float64)) + i
+	// Each sentry has a seed of its own, so that no two share a random sequence.
 	seed := int64(xxhash.Sum64(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil,
-		uint64(p.cfg.Seed)), uint64(number))) >> 1)
-	l := &loop{p: p, number: number, log: p.log.With(zap.Int("sentry", number)), rng: rand.New(rand.NewSource(seed)),
-		externalIDs: map[uint64]struct{}{}, pools: map[logic.WorkerID]*pool{}, workerStarts: map[logic.WorkerID]workerStart{}, rearm: make(chan struct{}, 1), drained: make(chan struct{}), spareFD: -1,
-		startsTold: p.platform != nil, quit: make(chan struct{}), connectTimeout: logic.Nanos(p.cfg.WorkerLimits.ConnectTimeout),
-		workerIdle: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout), reuse: reuse{upTo: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout), most: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout)}}
-	l.runID = xxhash.Sum64(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64([]byte(p.cfg.Name), uint64(p.epoch)), uint64(number)))
+		uint64(p.cfg.Seed)), uint64(sentryIndex))) >> 1)
+	l := &loop{p: p, sentryIndex: sentryIndex, log: p.log.With(zap.Int("sentry", sentryIndex)), rng: rand.New(rand.NewSource(seed)),
+		externalIDs: map[uint64]struct{}{}, pools: map[logic.WorkerID]*pool{}, workerStarts: map[logic.WorkerID]workerStart{},
+		alarmChanged: make(chan struct{}, 1), drained: make(chan struct{}), spareFD: -1,
+		startTimesReported: p.platform != nil, quit: make(chan struct{}), connectTimeout: logic.Nanos(p.cfg.WorkerLimits.ConnectTimeout),
+		workerIdleTimeout: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout),
+		reuseLimit:        reuseLimit{idleLimit: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout), maxIdle: logic.Nanos(p.cfg.WorkerLimits.IdleTimeout)}}
+	l.runID = xxhash.Sum64(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64([]byte(p.cfg.Name), uint64(p.epoch)), uint64(sentryIndex)))
 	return l
 }
 
-// start brings up the event loop and its sentry; list and news are what was known before a restart.
-func (l *loop) start(list *api.WorkersEvent, news *logic.ReleaseUpdate) error {
+// start starts the event loop and its sentry. list and update are the state restored from the previous run, or nil.
+func (l *loop) start(list *api.WorkersEvent, update *logic.ReleaseUpdate) error {
 	var err error
-	l.client, err = gnet.NewClient(l, gnet.WithLogger(quiet{l.p.log}), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
+	l.client, err = gnet.NewClient(l, gnet.WithLogger(gnetLogger{l.p.log}), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
 		gnet.WithReadBufferCap(64<<10), gnet.WithNumEventLoop(1))
 	if err != nil {
 		return err
@@ -170,33 +178,33 @@
 	if err := l.client.Start(); err != nil {
 		return err
 	}
-	ours, theirs, err := wakePair()
+	ours, theirs, err := newWakePair()
 	if err != nil {
 		return err
 	}
-	l.waker = ours
+	l.wakeConn = ours
 	l.reserveFD()
-	c, err := l.client.EnrollContext(theirs, wakeMark{})
+	c, err := l.client.EnrollContext(theirs, wakeContext{})
 	if err != nil {
 		return err
 	}
 	l.eventLoop = c.EventLoop()
 	l.group.Add(1)
-	go l.alarm()
+	go l.runAlarm()
 	ready := make(chan struct{})
 	l.post(func() {
-		l.hand(event{kind: evCall, do: func(now logic.Nanos) {
+		l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
 			settings := map[string]any{}
 			for k, v := range l.p.cfg.Module {
 				settings[k] = v
 			}
-			settings["index"] = float64(l.number)
+			settings["index"] = float64(l.sentryIndex)
 			seed := l.rng.Int63()
-			if err = l.record(settings); err != nil {
+			if err = l.openRecorder(settings); err != nil {
 				return
 			}
-			if l.rec != nil {
-				l.rec.Start(now, seed)
+			if l.recorder != nil {
+				l.recorder.Start(now, seed)
 			}
 			l.sentry = logic.New(now, seed, settings, l)
 		}})
@@ -205,10 +213,10 @@
 			return
 		}
 		if list != nil {
-			l.list(logic.Restored, *list)
+			l.applyWorkerList(logic.Restored, *list)
 		}
-		if news != nil {
-			l.tellNews(*news)
+		if update != nil {
+			l.deliverRelease(*update)
 		}
 		close(ready)
 	})
@@ -216,13 +224,13 @@
 	return err
 }
 
-// record opens the recorder where the plan wants one.
-func (l *loop) record(settings map[string]any) (err error) {
+// openRecorder opens the trace recorder if the configuration has one.
+func (l *loop) openRecorder(settings map[string]any) (err error) {
 	t := &l.p.cfg.Trace
 	if t.Dir == "" {
 		return nil
 	}
-	h := &tracepb.Header{Edge: l.p.cfg.Name, Sentry: uint32(l.number), Customers: l.p.cfg.Customers, Life: l.runID,
+	h := &tracepb.Header{Edge: l.p.cfg.Name, Sentry: uint32(l.sentryIndex), Customers: l.p.cfg.Customers, Life: l.runID,
 		Wall: time.Now().UnixNano(), Start: int64(l.p.clock())}
 	switch t.Level {
 	case "sampled":
@@ -233,80 +241,82 @@
 	for i := range l.p.cfg.Products {
 		h.Products = append(h.Products, l.p.cfg.Products[i].Name)
 	}
-	l.rec, err = trace.NewTailed(trace.Disk(t.Dir), t.TailDir, trace.Keep{SegmentBytes: t.SegmentBytes, SegmentAge: t.SegmentAge,
+	l.recorder, err = trace.NewTailed(trace.Disk(t.Dir), t.TailDir, trace.Keep{SegmentBytes: t.SegmentBytes, SegmentAge: t.SegmentAge,
 		TotalBytes: t.TotalBytes}, h, settings, l.log)
 	return err
 }
 
-// tellList and the methods below hand rare events to the module, and record them first.
-func (l *loop) tellList(mode logic.ListMode, list []logic.Worker) {
-	l.hand(event{kind: evCall, do: func(now logic.Nanos) {
-		if l.rec != nil {
-			l.rec.List(now, mode, list)
+// deliverWorkers and the methods below record a rare event and pass it to the module.
+func (l *loop) deliverWorkers(mode logic.ListMode, list []logic.Worker) {
+	l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
+		if l.recorder != nil {
+			l.recorder.List(now, mode, list)
 		}
 		l.sentry.UpdateWorkers(now, mode, list)
 	}})
 }
 
-func (l *loop) tellNews(n logic.ReleaseUpdate) {
-	l.hand(event{kind: evCall, do: func(now logic.Nanos) {
-		if l.rec != nil {
-			l.rec.News(now, n)
+func (l *loop) deliverRelease(n logic.ReleaseUpdate) {
+	l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
+		if l.recorder != nil {
+			l.recorder.News(now, n)
 		}
 		l.sentry.ReleaseUpdate(now, n)
 	}})
 }
 
-func (l *loop) tellTally(t logic.Tally) {
-	l.hand(event{kind: evCall, do: func(now logic.Nanos) {
-		if l.rec != nil {
-			l.rec.Tally(now, t)
+func (l *loop) deliverTally(t logic.Tally) {
+	l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
+		if l.recorder != nil {
+			l.recorder.Tally(now, t)
 		}
 		l.sentry.Tally(now, t)
 	}})
 }
 
-func (l *loop) tellContested(p logic.ProductID, w logic.WorkerID, age logic.Nanos) {
-	l.hand(event{kind: evCall, do: func(now logic.Nanos) {
-		if l.rec != nil {
-			l.rec.Contested(now, p, w, age)
+func (l *loop) deliverContested(p logic.ProductID, w logic.WorkerID, age logic.Nanos) {
+	l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
+		if l.recorder != nil {
+			l.recorder.Contested(now, p, w, age)
 		}
 		l.sentry.Contested(now, p, w, age)
 	}})
 }
 
-func (l *loop) tellTold(from int, data []byte) {
-	l.hand(event{kind: evCall, do: func(now logic.Nanos) {
-		if l.rec != nil {
-			l.rec.Told(now, from, data)
+func (l *loop) deliverPeerMessage(from int, data []byte) {
+	l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
+		if l.recorder != nil {
+			l.recorder.Told(now, from, data)
 		}
 		l.sentry.PeerMessage(now, from, data)
 	}})
 }
 
-type wakeMark struct{}
+// wakeContext is the gnet context of the loop's end of the wake-up socket pair.
+type wakeContext struct{}
 
-// post runs a function on the loop. Any goroutine may call it.
+// post runs a function on the loop's goroutine. Any goroutine may call it.
 func (l *loop) post(do func()) {
 	l.mu.Lock()
-	first := len(l.posted) == 0
-	l.posted = append(l.posted, do)
+	first := len(l.postedFuncs) == 0
+	l.postedFuncs = append(l.postedFuncs, do)
 	l.mu.Unlock()
 	if first {
 		l.wake()
 	}
 }
 
-var oneByte = []byte{1}
+var wakeByte = []byte{1}
 
 func (l *loop) wake() {
-	// Danger: a full pipe would block whoever posts; but then the loop has a wake to read already.
-	l.waker.SetWriteDeadline(time.Now().Add(time.Second))
-	l.waker.Write(oneByte)
+	// A full socket buffer would block the caller, so the write has a deadline. Nothing is lost then, as the loop has a
+	// wake-up pending already.
+	l.wakeConn.SetWriteDeadline(time.Now().Add(time.Second))
+	l.wakeConn.Write(wakeByte)
 }
 
-// wakePair gives two ends of a pipe for waking a loop: ours to write, and the loop's.
-func wakePair() (ours, theirs net.Conn, err error) {
+// newWakePair returns a socket pair for waking a loop: ours is written to, theirs is read by the loop.
+func newWakePair() (ours, theirs net.Conn, err error) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC|syscall.SOCK_NONBLOCK, 0)
 	if err != nil {
 		return nil, nil, fmt.Errorf("socketpair: %w", err)
@@ -318,8 +328,8 @@
 	return ours, theirs, err
 }
 
-// alarm wakes the loop when its next timer is due. One a loop, ended by quit.
-func (l *loop) alarm() {
+// runAlarm wakes the loop when its next timer is due. Each loop has one such goroutine, which ends when quit is closed.
+func (l *loop) runAlarm() {
 	defer l.group.Done()
 	t := time.NewTimer(time.Hour)
 	defer t.Stop()
@@ -327,88 +337,88 @@
 		select {
 		case <-l.quit:
 			return
-		case <-l.rearm:
-			if at := l.armed.Load(); at != 0 {
+		case <-l.alarmChanged:
+			if at := l.alarmAt.Load(); at != 0 {
 				t.Reset(max(0, time.Duration(at-int64(l.p.clock()))))
 			}
 		case <-t.C:
-			if l.armed.Swap(0) != 0 {
+			if l.alarmAt.Swap(0) != 0 {
 				l.wake()
 			}
 		}
 	}
 }
 
-// enter notes the time; every call from gnet begins with it.
-func (l *loop) enter() {
+// beginCallback updates the loop's time. Every callback from gnet begins with it.
+func (l *loop) beginCallback() {
 	l.now = l.p.clock()
-	l.depth++
+	l.callbackDepth++
 }
 
-// leave runs what is due and sets the alarm for what comes next; every call from gnet ends with it.
-func (l *loop) leave() {
-	l.due()
+// endCallback runs the due timers and sets the alarm for the next one. Every callback from gnet ends with it.
+func (l *loop) endCallback() {
+	l.runDueTimers()
 	l.checkDrained()
-	l.depth--
+	l.callbackDepth--
 	if len(l.timers) == 0 {
 		return
 	}
-	at := int64(max(l.timers[0].at, l.lastWk+logic.Nanos(wakeGap)))
-	if armed := l.armed.Load(); armed == 0 || at < armed {
-		l.armed.Store(at)
+	at := int64(max(l.timers[0].at, l.lastWake+logic.Nanos(minWakeInterval)))
+	if alarmAt := l.alarmAt.Load(); alarmAt == 0 || at < alarmAt {
+		l.alarmAt.Store(at)
 		select {
-		case l.rearm <- struct{}{}:
+		case l.alarmChanged <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// due runs the timers whose time has come, and drops those that no longer matter.
-func (l *loop) due() {
+// runDueTimers fires the timers that are due and removes obsolete ones from the top of the heap.
+func (l *loop) runDueTimers() {
 	for len(l.timers) > 0 {
 		t := l.timers[0]
-		if t.at > l.now && !l.stale(t) {
+		if t.at > l.now && !l.timerObsolete(t) {
 			return
 		}
 		l.timers.pop()
-		if t.at > l.now || l.stale(t) {
+		if t.at > l.now || l.timerObsolete(t) {
 			continue
 		}
-		l.fire(t)
+		l.fireTimer(t)
 		l.processEvents()
 	}
 }
 
-// stale tells whether what a timer was set for has ended.
-func (l *loop) stale(t timer) bool {
+// timerObsolete reports whether the txn or submission that a timer was set for has ended.
+func (l *loop) timerObsolete(t timer) bool {
 	switch t.kind {
-	case timerExpiry, timerHalfClose, subEnd, connWait:
-		c := l.callOf(logic.TxnID(t.token))
-		return c == nil || t.kind != timerExpiry && t.kind != timerHalfClose && c.subs[t.n].state == subOver
-	case remind: // about a txn that is over: the module has nothing to do
-		return t.of != 0 && l.callOf(t.of) == nil
+	case timerExpiry, timerHalfClose, timerSubTimeout, timerConnWait:
+		c := l.findCall(logic.TxnID(t.token))
+		return c == nil || t.kind != timerExpiry && t.kind != timerHalfClose && c.subs[t.n].state == subEnded
+	case timerModule: // the module has nothing to do for a txn that is over
+		return t.txnID != 0 && l.findCall(t.txnID) == nil
 	}
 	return false
 }
 
-func (l *loop) fire(t timer) {
+func (l *loop) fireTimer(t timer) {
 	switch t.kind {
-	case remind:
-		if t.token == 0 { // the module's beat
-			l.show()
-			if l.rec != nil {
-				l.rec.Flush(l.now)
+	case timerModule:
+		if t.token == 0 { // the module's housekeeping tick
+			l.publishStats()
+			if l.recorder != nil {
+				l.recorder.Flush(l.now)
 			}
 		}
 		l.enqueue(event{kind: evTimer, token: t.token})
 	case timerExpiry:
-		l.expired(l.callOf(logic.TxnID(t.token)))
+		l.expireCall(l.findCall(logic.TxnID(t.token)))
 	case timerHalfClose:
-		l.lastCall(l.callOf(logic.TxnID(t.token)))
-	case subEnd:
-		l.stop(l.callOf(logic.TxnID(t.token)), int(t.n), logic.TimedOut)
-	case connWait:
-		if c := l.callOf(logic.TxnID(t.token)); c.subs[t.n].state == subWaiting {
+		l.halfCloseOutstanding(l.findCall(logic.TxnID(t.token)))
+	case timerSubTimeout:
+		l.stopSubmission(l.findCall(logic.TxnID(t.token)), int(t.n), logic.TimedOut)
+	case timerConnWait:
+		if c := l.findCall(logic.TxnID(t.token)); c.subs[t.n].state == subWaiting {
 			l.endSubmission(c, int(t.n), logic.ConnectFailed, nil)
 		}
 	case timerClientConn:
@@ -420,23 +430,23 @@
 		l.checkClosing()
 	case timerDrainEnd:
 		l.endDrain()
-	case workerAt:
-		if wc := l.workerOf(t.token); wc != nil {
+	case timerWorkerConn:
+		if wc := l.workerByToken(t.token); wc != nil {
 			wc.armed = 0
-			l.lookAtWorker(wc)
+			l.checkWorkerConn(wc)
 		}
 	}
 }
 
-// expired ends what is out of a call whose client gives up, so that the module answers at once.
-func (l *loop) expired(c *call) {
+// expireCall ends the outstanding submissions of a call at its expiry, so that the module answers it at once.
+func (l *loop) expireCall(c *call) {
 	id := c.id()
 	for n := 0; n < c.n; n++ {
-		l.stop(c, n, logic.TimedOut)
+		l.stopSubmission(c, n, logic.TimedOut)
 	}
 	l.processEvents()
-	if c = l.callOf(id); c != nil && c.admitted && !c.answered && !c.clientLeft {
-		// Danger: a txn that the module holds with nothing out would never be answered.
+	if c = l.findCall(id); c != nil && c.admitted && !c.answered && !c.clientLeft {
+		// The module still holds the txn although nothing of it is outstanding. Without this it would never be answered.
 		l.stats.hostVoided++
 		l.log.Error("txn held past its expiry, voided by the host", zap.Uint64("txn", uint64(c.id())))
 		l.enqueue(event{kind: evClientLeft, call: c})
@@ -445,24 +455,24 @@
 	}
 }
 
-// enqueue lines up an event for the module; pump hands it over.
+// enqueue appends an event to the module's queue, which processEvents works off.
 func (l *loop) enqueue(e event) {
 	if e.call != nil {
-		e.call.pending++
+		e.call.pendingEvents++
 	}
 	l.events = append(l.events, e)
 }
 
-// processEvents hands queued events to the module, one by one, and does what it decides before the next.
-// Danger: doing what was decided can end connections, and so bring events, in the middle of a decision; they wait here.
+// processEvents passes queued events to the module one by one, and executes the actions of each before the next. Executing
+// an action can end connections and so cause further events; these are queued, so that calls into the module don't nest.
 func (l *loop) processEvents() {
-	if l.pumping {
+	if l.processing {
 		return
 	}
-	l.pumping = true
+	l.processing = true
 	for len(l.events) > 0 || len(l.resumeReads) > 0 {
 		for i := 0; i < len(l.events); i++ {
-			l.hand(l.events[i])
+			l.dispatch(l.events[i])
 		}
 		l.events = l.events[:0]
 		for i := 0; i < len(l.resumeReads); i++ {
@@ -472,195 +482,196 @@
 		}
 		l.resumeReads = l.resumeReads[:0]
 	}
-	if l.rec != nil {
-		l.rec.Settle()
+	if l.recorder != nil {
+		l.recorder.Settle()
 	}
-	l.pumping = false
+	l.processing = false
 }
 
-// hand gives one event to the module and does what it decides.
-func (l *loop) hand(e event) {
+// dispatch passes one event to the module and executes the resulting actions.
+func (l *loop) dispatch(e event) {
 	c := e.call
 	switch e.kind {
 	case evAdmit:
-		if l.rec != nil {
-			c.traced = l.rec.Take(l.now, &c.txn, c.serial, c.traceID[0], c.traceID[1])
+		if l.recorder != nil {
+			c.traced = l.recorder.Take(l.now, &c.txn, c.serial, c.traceID[0], c.traceID[1])
 		}
-		l.taking = c.id() // what it wants to be reminded of now is this txn
+		l.admitting = c.id() // timers that the module sets during this call are about this txn
 		l.sentry.Take(l.now, c.txn)
-		l.taking = 0
+		l.admitting = 0
 	case evOutcome:
-		if e.loaded {
+		if e.hasLoad {
 			l.load = e.load
 			e.outcome.Load = &l.load
 		}
 		if c.traced {
-			l.rec.Outcome(l.now, &e.outcome, c.status)
+			l.recorder.Outcome(l.now, &e.outcome, c.status)
 			c.status = 0
 		}
 		l.sentry.Outcome(l.now, e.outcome)
 	case evClientLeft:
 		if c.traced {
-			l.rec.Event(l.now, tracepb.Kind_LEFT, c.id(), 0, 0, 0)
+			l.recorder.Event(l.now, tracepb.Kind_LEFT, c.id(), 0, 0, 0)
 		}
 		l.sentry.ClientLeft(l.now, c.id())
 	case evStreaming:
 		if c.traced {
-			l.rec.Event(l.now, tracepb.Kind_STREAMING, c.id(), e.outcome.Number, 0, 0)
+			l.recorder.Event(l.now, tracepb.Kind_STREAMING, c.id(), e.outcome.Number, 0, 0)
 		}
 		l.sentry.StreamStarted(l.now, c.id(), e.outcome.Number)
-	case evAnswerBegun: // not recorded: no protocol that is has it
+	case evAnswerBegun: // not recorded: no protocol with traces has this event
 		l.sentry.ResponseStarted(l.now, c.id(), e.outcome.Number)
 	case evTimer:
-		if l.rec != nil {
-			l.rec.Event(l.now, tracepb.Kind_TIMER, 0, 0, e.token, 0)
+		if l.recorder != nil {
+			l.recorder.Event(l.now, tracepb.Kind_TIMER, 0, 0, e.token, 0)
 		}
 		l.sentry.TimerFired(l.now, e.token)
-	case evCall:
-		e.do(l.now)
+	case evFunc:
+		e.run(l.now)
 	}
-	for i := 0; i < len(l.acts); i++ {
-		l.perform(l.acts[i])
+	for i := 0; i < len(l.actions); i++ {
+		l.execute(l.actions[i])
 	}
-	l.acts = l.acts[:0]
+	l.actions = l.actions[:0]
 	if c != nil {
-		c.pending--
+		c.pendingEvents--
 		l.releaseCall(c)
 	}
 }
 
-// perform does one thing that the module decided.
-func (l *loop) perform(a act) {
-	if a.kind == actRemind {
-		l.timers.push(timer{at: l.now + a.span, token: a.token, kind: remind, of: a.txn})
+// execute carries out one action of the module.
+func (l *loop) execute(a action) {
+	if a.kind == actionSetTimer {
+		l.timers.push(timer{at: l.now + a.duration, token: a.token, kind: timerModule, txnID: a.txn})
 		return
 	}
-	c := l.callOf(a.txn)
+	c := l.findCall(a.txn)
 	if c == nil {
 		return
 	}
 	switch a.kind {
-	case actSubmit:
-		l.send(c, a.worker, a.span)
-	case actCancel:
+	case actionSubmit:
+		l.startSubmission(c, a.worker, a.duration)
+	case actionCancel:
 		if a.n >= 0 && a.n < c.n {
-			l.stop(c, a.n, logic.Cancelled)
+			l.stopSubmission(c, a.n, logic.Cancelled)
 		}
-	case actDecline:
-		l.respondDeclined(c, a.span)
-	case actVoid:
+	case actionDecline:
+		l.respondDeclined(c, a.duration)
+	case actionVoid:
 		l.respondVoided(c)
 	}
 }
 
-// The methods below are the module's Sink. They only note what is wanted: it is done when the module is through.
+// The methods below implement logic.Sink. Actions on txns and timers are only queued, and executed once the module's
+// method has returned.
 
-// Submit is a part of logic.Sink, as are the methods below.
+// Submit implements logic.Sink.
 func (l *loop) Submit(t logic.TxnID, w logic.WorkerID, timeout logic.Nanos) {
 	if l.traced(t) {
-		l.rec.Submit(l.now, t, w, timeout)
+		l.recorder.Submit(l.now, t, w, timeout)
 	}
-	l.acts = append(l.acts, act{kind: actSubmit, txn: t, worker: w, span: timeout})
+	l.actions = append(l.actions, action{kind: actionSubmit, txn: t, worker: w, duration: timeout})
 }
 func (l *loop) Cancel(t logic.TxnID, number int) {
 	if l.traced(t) {
-		l.rec.Event(l.now, tracepb.Kind_CANCEL, t, number, 0, 0)
+		l.recorder.Event(l.now, tracepb.Kind_CANCEL, t, number, 0, 0)
 	}
-	l.acts = append(l.acts, act{kind: actCancel, txn: t, n: number})
+	l.actions = append(l.actions, action{kind: actionCancel, txn: t, n: number})
 }
 func (l *loop) Decline(t logic.TxnID, retryAfter logic.Nanos) {
 	if l.traced(t) {
-		l.rec.Event(l.now, tracepb.Kind_DECLINE, t, 0, 0, uint64(retryAfter))
+		l.recorder.Event(l.now, tracepb.Kind_DECLINE, t, 0, 0, uint64(retryAfter))
 	}
-	l.acts = append(l.acts, act{kind: actDecline, txn: t, span: retryAfter})
+	l.actions = append(l.actions, action{kind: actionDecline, txn: t, duration: retryAfter})
 }
 func (l *loop) Void(t logic.TxnID) {
 	if l.traced(t) {
-		l.rec.Event(l.now, tracepb.Kind_VOID, t, 0, 0, 0)
+		l.recorder.Event(l.now, tracepb.Kind_VOID, t, 0, 0, 0)
 	}
-	l.acts = append(l.acts, act{kind: actVoid, txn: t})
+	l.actions = append(l.actions, action{kind: actionVoid, txn: t})
 }
 func (l *loop) SetTimer(after logic.Nanos, token uint64) {
-	if l.rec != nil {
-		l.rec.Event(l.now, tracepb.Kind_REMIND, 0, 0, token, uint64(after))
+	if l.recorder != nil {
+		l.recorder.Event(l.now, tracepb.Kind_REMIND, 0, 0, token, uint64(after))
 	}
-	of := l.taking
-	if token == 0 { // the beat is about no txn
-		of = 0
+	id := l.admitting
+	if token == 0 { // the housekeeping tick belongs to no txn
+		id = 0
 	}
-	l.acts = append(l.acts, act{kind: actRemind, span: after, token: token, txn: of})
+	l.actions = append(l.actions, action{kind: actionSetTimer, duration: after, token: token, txn: id})
 }
 func (l *loop) Vote(v logic.Verdict, rel logic.RelID, stage int) {
-	if l.rec != nil {
-		l.rec.Event(l.now, tracepb.Kind_VOTE, 0, int(v), uint64(rel), uint64(stage))
+	if l.recorder != nil {
+		l.recorder.Event(l.now, tracepb.Kind_VOTE, 0, int(v), uint64(rel), uint64(stage))
 	}
-	l.vote(v, rel, stage)
+	l.castVote(v, rel, stage)
 }
 func (l *loop) WatchWorkers() {
-	if l.rec != nil {
-		l.rec.Event(l.now, tracepb.Kind_WATCH, 0, 0, 0, 0)
+	if l.recorder != nil {
+		l.recorder.Event(l.now, tracepb.Kind_WATCH, 0, 0, 0, 0)
 	}
 	l.p.source.Refresh()
 }
 func (l *loop) SendToPeer(to int, data []byte) {
-	if l.rec != nil {
-		l.rec.Tell(l.now, to, data)
+	if l.recorder != nil {
+		l.recorder.Tell(l.now, to, data)
 	}
-	l.p.tell(l.number, to, data)
+	l.p.sendToPeer(l.sentryIndex, to, data)
 }
 func (l *loop) Log(text string) {
-	if l.rec != nil {
-		l.rec.Log(l.now, text)
+	if l.recorder != nil {
+		l.recorder.Log(l.now, text)
 	}
 	l.log.Info(text)
 }
 
-// traced tells whether a txn is recorded.
+// traced reports whether a txn is recorded.
 func (l *loop) traced(t logic.TxnID) bool {
-	if l.rec == nil {
+	if l.recorder == nil {
 		return false
 	}
-	c := l.callOf(t)
+	c := l.findCall(t)
 	return c != nil && c.traced
 }
 
-// ---- gnet's side ----
+// ---- gnet callbacks ----
 
-// OnOpen takes a new connection, of a client or to a worker.
+// OnOpen handles a new connection, from a client or to a worker.
 func (l *loop) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
-	l.enter()
+	l.beginCallback()
 	switch ctx := c.Context().(type) {
 	case *acceptedClient:
 		l.openClient(c, ctx)
 	case *pool:
-		l.openWorker(c, ctx)
+		l.openWorkerConn(c, ctx)
 	case *returnedWorker:
-		ctx.pool.conns++
-		l.conns++
-		ctx.pool.dialing++
-		l.dialing++
-		l.openWorker(c, ctx.pool)
+		ctx.pool.numConns++
+		l.numConns++
+		ctx.pool.numDialing++
+		l.numDialing++
+		l.openWorkerConn(c, ctx.pool)
 	}
 	l.processEvents()
-	l.leave()
+	l.endCallback()
 	return nil, gnet.None
 }
 
-// OnTraffic takes bytes.
+// OnTraffic handles received bytes.
 func (l *loop) OnTraffic(c gnet.Conn) gnet.Action {
-	l.enter()
+	l.beginCallback()
 	switch ctx := c.Context().(type) {
 	case *clientConn:
 		ctx.recordArrival()
 		ctx.read()
 	case *workerConn:
 		ctx.read()
-	case wakeMark:
+	case wakeContext:
 		c.Discard(-1)
-		l.lastWk = l.now
+		l.lastWake = l.now
 		l.mu.Lock()
-		todo := l.posted
-		l.posted = nil
+		todo := l.postedFuncs
+		l.postedFuncs = nil
 		l.mu.Unlock()
 		for _, do := range todo {
 			do()
@@ -668,15 +679,15 @@
 		}
 	}
 	l.processEvents()
-	l.leave()
+	l.endCallback()
 	return gnet.None
 }
 
-// OnClose takes the end of a connection.
+// OnClose handles the end of a connection.
 func (l *loop) OnClose(c gnet.Conn, err error) gnet.Action {
-	outer := l.depth == 0
-	if outer {
-		l.enter()
+	outermost := l.callbackDepth == 0
+	if outermost {
+		l.beginCallback()
 	}
 	switch ctx := c.Context().(type) {
 	case *clientConn:
@@ -685,40 +696,41 @@
 		}
 	case *workerConn:
 		if !ctx.closed {
-			ctx.gone(err)
+			ctx.handleClose(err)
 		}
 	}
-	// Danger: a write that fails closes its connection in the middle of whatever wrote; what follows waits till that
-	// is through.
-	if outer {
+	// A failed write closes its connection from within the code that wrote. The resulting events wait until the outermost
+	// callback processes them.
+	if outermost {
 		l.processEvents()
-		l.leave()
+		l.endCallback()
 	}
 	return gnet.None
 }
 
-// halt ends the loop: what it still holds is cut. Call it from outside, once, when nothing more is handed in.
+// halt ends the loop and cuts the connections that it still has. It is called once, from another goroutine, when no new
+// connections are passed to the loop any more.
 func (l *loop) halt() {
 	done := make(chan struct{})
 	l.post(func() { l.stopping = true; close(done) })
 	<-done
 	close(l.quit)
-	l.group.Wait() // dials and carriers come back to a loop that still runs
+	l.group.Wait() // dials and carriers post their results to the loop, so they must end before it
 	l.client.Stop()
 	l.closeAllClosing()
-	l.waker.Close()
-	if l.rec != nil {
-		l.rec.Close(l.p.clock())
+	l.wakeConn.Close()
+	if l.recorder != nil {
+		l.recorder.Close(l.p.clock())
 	}
 }
 
-// quiet passes gnet's own lines on as debug: what matters is logged by whoever decides on it.
-type quiet struct{ log *zap.Logger }
+// gnetLogger logs gnet's messages at debug level, since the caller that handles an error also logs it.
+type gnetLogger struct{ log *zap.Logger }
 
-func (q quiet) Debugf(format string, args ...any) { q.log.Sugar().Debugf(format, args...) }
-func (q quiet) Infof(format string, args ...any)  { q.log.Sugar().Debugf(format, args...) }
-func (q quiet) Warnf(format string, args ...any)  { q.log.Sugar().Debugf(format, args...) }
-func (q quiet) Errorf(format string, args ...any) { q.log.Sugar().Debugf(format, args...) }
-func (q quiet) Fatalf(format string, args ...any) { q.log.Sugar().Errorf(format, args...) }
+func (q gnetLogger) Debugf(format string, args ...any) { q.log.Sugar().Debugf(format, args...) }
+func (q gnetLogger) Infof(format string, args ...any)  { q.log.Sugar().Debugf(format, args...) }
+func (q gnetLogger) Warnf(format string, args ...any)  { q.log.Sugar().Debugf(format, args...) }
+func (q gnetLogger) Errorf(format string, args ...any) { q.log.Sugar().Debugf(format, args...) }
+func (q gnetLogger) Fatalf(format string, args ...any) { q.log.Sugar().Errorf(format, args...) }
 
 var _ logic.Sink = (*loop)(nil)
--- a/edge/routes.go
+++ b/edge/routes.go
@@ -7,16 +7,17 @@
 	"dunegrade/config"
 )
 
-// classifier gives a request its route, or nil. Written rules will take the place of the plain table.
+// classifier finds the route of a request, or returns nil. It is an interface so that written rules can replace routeTable.
 type classifier interface {
 	match(method, path []byte) *config.Route
 }
 
-// table is the plain classifier: the longest prefix wins, a stated method before any.
-type table []config.Route
+// routeTable is a classifier by prefix and method. The longest prefix wins; of equal prefixes, a route with a method comes
+// before one for any method.
+type routeTable []config.Route
 
-func newTable(routes []config.Route) table {
-	t := append(table(nil), routes...)
+func newRouteTable(routes []config.Route) routeTable {
+	t := append(routeTable(nil), routes...)
 	sort.SliceStable(t, func(i, j int) bool {
 		if len(t[i].Prefix) != len(t[j].Prefix) {
 			return len(t[i].Prefix) > len(t[j].Prefix)
@@ -31,18 +32,18 @@
 	return t
 }
 
-func (t table) match(method, path []byte) *config.Route {
+func (t routeTable) match(method, path []byte) *config.Route {
 	for i := range t {
 		r := &t[i]
-		if (r.Method == "" || r.Method == unsafeString(method)) && under(path, r.Prefix) {
+		if (r.Method == "" || r.Method == unsafeString(method)) && hasPathPrefix(path, r.Prefix) {
 			return r
 		}
 	}
 	return nil
 }
 
-// under tells whether a path lies under a prefix, at the border of a segment.
-func under(path []byte, prefix string) bool {
+// hasPathPrefix reports whether a path equals a prefix or continues it at the border of a segment.
+func hasPathPrefix(path []byte, prefix string) bool {
 	if len(path) < len(prefix) || unsafeString(path[:len(prefix)]) != prefix {
 		return false
 	}
--- a/edge/stats.go
+++ b/edge/stats.go
@@ -6,32 +6,57 @@
 	"dunegrade/logic"
 )
 
-// stats are a loop's plain counts. The loop writes them; others get a copy once a beat.
+// stats holds a loop's counters and gauges. Only the loop writes them; publishStats copies them for readers on other
+// goroutines at every housekeeping tick.
 type stats struct {
-	clientsAccepted, admitted, settled, declined, voided, clientLeft uint64
-	refused, noRoute, overLimit, slowReaders                         uint64
-	sent, dials, dialsFailed, malformedAnswers, hostVoided           uint64
-	streamed, bytesToWorkers, shed, rested, stale, overHeldBytes     uint64
-	streaming                                                        int64
-	endings                                                          [16]uint64
-	repliesByClass                                                   [6]uint64
-	clientEnds, owedAtEnd                                            [numEndReasons]uint64 // of clients' connections, and requests unanswered then
-	// As it is now.
-	open, inHand, toWorkers int64
+	clientsAccepted uint64 // client connections, also those that come back from a carrier
+	admitted        uint64 // txns passed to the module
+	settled         uint64
+	declined        uint64
+	voided          uint64
+	clientLeft      uint64 // txns whose client left before the answer
+
+	refused       uint64 // malformed or too slow requests
+	noRoute       uint64
+	overLimit     uint64 // requests declined because too many txns were open, or too late in a drain
+	slowReaders   uint64 // client connections ended because answers were not read
+	overHeldBytes uint64 // connections that had to give up their bytes, as all held too many
+	shed          uint64 // idle client connections ended to make room for new ones
+
+	sent             uint64 // submissions written to a worker
+	dials            uint64
+	dialsFailed      uint64
+	malformedAnswers uint64 // also unsolicited bytes
+	hostVoided       uint64 // txns voided by expireCall; any is a defect
+	bytesToWorkers   uint64
+	idleClosed       uint64 // worker connections closed at their idle timeout
+	stale            uint64 // idle worker connections found ended, or with unsolicited bytes, on reuse
+
+	streamed       uint64 // answers passed to a carrier
+	streaming      int64  // answers that carriers are relaying now
+	endings        [16]uint64
+	repliesByClass [6]uint64             // the edge's own HTTP replies by the status's first digit
+	clientEnds     [numEndReasons]uint64 // ended client connections
+	owedAtEnd      [numEndReasons]uint64 // requests unanswered when their connection ended
+
+	// Gauges, filled in by publishStats.
+	openClients     int64
+	openTxns        int64
+	openWorkerConns int64
 }
 
 var endingNames = map[logic.Ending]string{logic.OK: "ok", logic.Cancelled: "cancelled", logic.TimedOut: "timed-out",
 	logic.Rejected: "full", logic.Skipped: "moot", logic.Disconnected: "broken", logic.ErrorResponse: "erred",
 	logic.ConnectFailed: "connect-failed", logic.MalformedResponse: "spoilt"}
 
-// show copies the counts for whoever asks.
-func (l *loop) show() {
+// publishStats fills in the gauges and publishes a copy of the stats.
+func (l *loop) publishStats() {
 	s := l.stats
-	s.open, s.inHand, s.toWorkers = l.clientCount.Load(), int64(l.calls.inUse()), int64(l.workerConns.inUse())
-	l.shown.Store(&s)
+	s.openClients, s.openTxns, s.openWorkerConns = l.clientCount.Load(), int64(l.calls.inUse()), int64(l.workerConns.inUse())
+	l.statsSnapshot.Store(&s)
 }
 
-// collector gives the loops' counts to Prometheus, which asks when it likes.
+// collector exports the loops' published stats to Prometheus.
 type collector struct{ p *Process }
 
 func desc(name, help string, labels ...string) *prometheus.Desc {
@@ -39,51 +64,51 @@
 }
 
 var (
-	descTxns    = desc("txns_total", "Txns by how they ended.", "outcome")
-	descTaken   = desc("txns_taken_total", "Txns handed to the sentry.")
-	descEndings = desc("submissions_ended_total", "Submissions by how they ended.", "ending")
-	descSent    = desc("submissions_sent_total", "Submissions written to a worker.")
-	descRefused = desc("requests_refused_total", "Requests that were never taken.", "why")
-	descDials   = desc("dials_total", "Connections asked of workers.", "ok")
-	descGarbage = desc("worker_garbage_total", "Answers that made no sense.")
-	descEnds    = desc("client_connections_ended_total", "Connections of clients by why they ended.", "reason")
-	descOwed    = desc("requests_owed_at_end_total", "Requests unanswered when this process ended their connection; any is a defect, but for slow readers.", "reason")
-	descGauge   = desc("now", "Things held at this moment.", "what")
-	descBug     = desc("unanswered_total", "Txns that the host had to void at their expiry; any is a defect.")
+	descTxns             = desc("txns_total", "Txns by how they ended.", "outcome")
+	descAdmitted         = desc("txns_taken_total", "Txns handed to the sentry.")
+	descEndings          = desc("submissions_ended_total", "Submissions by how they ended.", "ending")
+	descSent             = desc("submissions_sent_total", "Submissions written to a worker.")
+	descRefused          = desc("requests_refused_total", "Requests that were never taken.", "why")
+	descDials            = desc("dials_total", "Connections asked of workers.", "ok")
+	descMalformedAnswers = desc("worker_garbage_total", "Answers that made no sense.")
+	descClientEnds       = desc("client_connections_ended_total", "Connections of clients by why they ended.", "reason")
+	descOwedAtEnd        = desc("requests_owed_at_end_total", "Requests unanswered when this process ended their connection; any is a defect, but for slow readers.", "reason")
+	descGauge            = desc("now", "Things held at this moment.", "what")
+	descHostVoided       = desc("unanswered_total", "Txns that the host had to void at their expiry; any is a defect.")
 )
 
 func (c collector) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{descTxns, descTaken, descEndings, descSent, descRefused, descDials, descGarbage,
-		descEnds, descOwed, descGauge, descBug} {
+	for _, d := range []*prometheus.Desc{descTxns, descAdmitted, descEndings, descSent, descRefused, descDials, descMalformedAnswers,
+		descClientEnds, descOwedAtEnd, descGauge, descHostVoided} {
 		ch <- d
 	}
 }
 
 func (c collector) Collect(ch chan<- prometheus.Metric) {
 	for _, l := range c.p.loops {
-		s := l.shown.Load()
+		s := l.statsSnapshot.Load()
 		if s == nil {
 			continue
 		}
-		name := itoa(l.number)
+		name := itoa(l.sentryIndex)
 		count := func(d *prometheus.Desc, v uint64, labels ...string) {
 			ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), append([]string{name}, labels...)...)
 		}
-		gauge := func(what string, v int64) {
-			ch <- prometheus.MustNewConstMetric(descGauge, prometheus.GaugeValue, float64(v), name, what)
+		gauge := func(kind string, v int64) {
+			ch <- prometheus.MustNewConstMetric(descGauge, prometheus.GaugeValue, float64(v), name, kind)
 		}
 		count(descTxns, s.settled, "settled")
 		count(descTxns, s.declined, "declined")
 		count(descTxns, s.voided, "voided")
 		count(descTxns, s.clientLeft, "left")
-		count(descTaken, s.admitted)
+		count(descAdmitted, s.admitted)
 		for e, text := range endingNames {
 			count(descEndings, s.endings[e], text)
 		}
 		count(descSent, s.sent)
-		for why, name := range endReasonNames {
-			count(descEnds, s.clientEnds[why], name)
-			count(descOwed, s.owedAtEnd[why], name)
+		for reason, name := range endReasonNames {
+			count(descClientEnds, s.clientEnds[reason], name)
+			count(descOwedAtEnd, s.owedAtEnd[reason], name)
 		}
 		count(descRefused, s.refused, "malformed")
 		count(descRefused, s.noRoute, "no-route")
@@ -92,11 +117,11 @@
 		count(descRefused, s.overHeldBytes, "held-bytes")
 		count(descDials, s.dials-s.dialsFailed, "true")
 		count(descDials, s.dialsFailed, "false")
-		count(descGarbage, s.malformedAnswers)
-		count(descBug, s.hostVoided)
-		gauge("client-connections", s.open)
-		gauge("worker-connections", s.toWorkers)
-		gauge("txns", s.inHand)
+		count(descMalformedAnswers, s.malformedAnswers)
+		count(descHostVoided, s.hostVoided)
+		gauge("client-connections", s.openClients)
+		gauge("worker-connections", s.openWorkerConns)
+		gauge("txns", s.openTxns)
 		gauge("streams", s.streaming)
 	}
 }
