--- a/pgwire/back.go
+++ b/pgwire/back.go
@@ -8,17 +8,17 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// EncodeStartup is the start-up message to a worker.
+// EncodeStartup returns the start-up message for a connection to a worker.
 func EncodeStartup(user, database string) []byte {
-	m := pgproto3.StartupMessage{ProtocolVersion: version3, Parameters: map[string]string{"user": user, "database": database}}
+	m := pgproto3.StartupMessage{ProtocolVersion: protocolVersion3, Parameters: map[string]string{"user": user, "database": database}}
 	out, err := m.Encode(nil)
 	if err != nil {
-		panic(err) // of constants
+		panic(err) // impossible: both arguments are short constants
 	}
 	return out
 }
 
-// AppendQuery adds a query of three parts that follow one another.
+// AppendQuery appends a query whose text is the concatenation of head, middle and tail.
 func AppendQuery(out, head, middle, tail []byte) []byte {
 	out = append(out, 'Q')
 	out = binary.BigEndian.AppendUint32(out, uint32(4+len(head)+len(middle)+len(tail)+1))
@@ -26,180 +26,185 @@
 	return append(out, 0)
 }
 
-// Told says what a worker's bytes came to.
-type Told uint8
+// BackendEvent is the result of parsing a worker's message.
+type BackendEvent uint8
 
-// What can be told.
+// Events that BackendParser.Next returns.
 const (
-	Nothing       Told = iota // yet
-	SessionReady              // the start-up is through: it may be asked
-	ValueReceived             // a whole answer with one value: Pass holds it
-	ErrorReceived             // an error; Code holds its SQLSTATE
+	NoEvent       BackendEvent = iota // the message completes nothing
+	SessionReady                      // the start-up is complete: queries may be sent
+	ValueReceived                     // a complete answer with one value, held in Answer
+	ErrorReceived                     // an error, with its SQLSTATE in Code
 )
 
-type backStage uint8
+// backendState is the message that a BackendParser expects next.
+type backendState uint8
 
 const (
-	greeting backStage = iota // AuthenticationOk
-	settling                  // parameters, till ReadyForQuery
-	quiet                     // nothing was asked
-	wantDescription
-	wantRow
-	wantRest // of a long row
-	wantComplete
-	wantReady
-	afterError // the error's ReadyForQuery
+	expectAuthentication backendState = iota // AuthenticationOk
+	expectSessionReady                       // parameters up to ReadyForQuery
+	idle                                     // no query is outstanding
+	expectDescription
+	expectRow
+	expectRowRest // the remaining bytes of a long row
+	expectComplete
+	expectReady
+	expectReadyAfterError // ReadyForQuery after an error
 )
 
-// BackendParser follows what one worker sends. Reset makes it fit for a new connection.
+// BackendParser parses the messages of one worker. Reset prepares it for a new connection.
 type BackendParser struct {
-	stage  backStage
-	Answer []byte // the answer as the client gets it, but for ReadyForQuery
-	Code   string // of the last error
-	Load   []byte // what the parameter of that name said in this answer; nil: nothing
-	gauge  string
-	most   int // bytes of a value
-	left   int // of a long row
-	fatal  bool
-	load   []byte
-	row    pgproto3.RowDescription
-	data   pgproto3.DataRow
-	end    pgproto3.CommandComplete
-	status pgproto3.ReadyForQuery
-	fault  pgproto3.ErrorResponse
+	state        backendState
+	Answer       []byte // the answer as sent to the client, without ReadyForQuery
+	Code         string // SQLSTATE of the last error
+	Load         []byte // value of the load parameter in this answer; nil: not reported
+	loadParam    string
+	maxValue     int // bytes
+	rowRemaining int // bytes of a long row that are still to come
+	fatal        bool
+	loadBuf      []byte // backing array of Load, reused between answers
+	row          pgproto3.RowDescription
+	data         pgproto3.DataRow
+	complete     pgproto3.CommandComplete
+	ready        pgproto3.ReadyForQuery
+	failure      pgproto3.ErrorResponse
 }
 
-// Reset begins a new connection; gauge names the parameter that holds load reports, empty: none does; no value may be
-// longer than most bytes.
-func (b *BackendParser) Reset(gauge string, most int) {
-	b.stage, b.Answer, b.Code, b.Load, b.gauge, b.fatal = greeting, b.Answer[:0], "", nil, gauge, false
-	b.most, b.left = most, 0
-	if cap(b.Answer) > 8<<10 { // one long value must not pin its memory for good
+// Reset prepares the parser for a new connection. loadParam is the name of the parameter that carries load reports, or
+// empty if there is none. Values longer than maxValue bytes are rejected.
+func (b *BackendParser) Reset(loadParam string, maxValue int) {
+	b.state, b.Answer, b.Code, b.Load, b.loadParam, b.fatal = expectAuthentication, b.Answer[:0], "", nil, loadParam, false
+	b.maxValue, b.rowRemaining = maxValue, 0
+	if cap(b.Answer) > 8<<10 { // releases the memory of a long value
 		b.Answer = nil
 	}
 }
 
-// BeginQuery notes that a query is being written. It tells whether one may be.
+// BeginQuery prepares for the answer to a query that is about to be written. It reports whether the connection is idle; if
+// not, the query must not be written.
 func (b *BackendParser) BeginQuery() bool {
-	if b.stage != quiet {
+	if b.state != idle {
 		return false
 	}
-	b.stage, b.Answer, b.Load, b.Code = wantDescription, b.Answer[:0], nil, ""
+	b.state, b.Answer, b.Load, b.Code = expectDescription, b.Answer[:0], nil, ""
 	return true
 }
 
-// AnswerStarted tells whether a part of an answer has come, but for what may still be unread.
+// AnswerStarted reports whether a part of an answer has been parsed; more may be waiting to be read from the connection.
 func (b *BackendParser) AnswerStarted() bool {
-	return b.stage > wantDescription && b.stage != afterError
+	return b.state > expectDescription && b.state != expectReadyAfterError
 }
 
-// Idle tells whether nothing is owed on the connection.
-func (b *BackendParser) Idle() bool { return b.stage == quiet }
+// Idle reports whether no query is outstanding on the connection.
+func (b *BackendParser) Idle() bool { return b.state == idle }
 
-// ErrorPending tells whether an error has come whose end has not, so that the connection's end is its end as well.
-func (b *BackendParser) ErrorPending() bool { return b.stage == afterError }
+// ErrorPending reports whether an error has been received but not its ReadyForQuery. If the connection ends in this state,
+// the error still is the complete answer.
+func (b *BackendParser) ErrorPending() bool { return b.state == expectReadyAfterError }
 
-// Next takes the message that in begins with: how many bytes it has, and what it told. The error is ErrMore or a *Fault;
-// after a fault the connection cannot be used any further, and what was asked may have run.
-func (b *BackendParser) Next(in []byte) (size int, told Told, err error) {
+// Next parses the message at the start of in and returns its size and the resulting event. The error is ErrIncomplete or a
+// *ProtocolError; after a *ProtocolError the connection must be closed, and the outstanding query may have been executed.
+func (b *BackendParser) Next(in []byte) (size int, event BackendEvent, err error) {
 	switch {
-	case b.stage == wantRest:
-		return b.rest(in)
-	case b.stage == wantRow && len(in) >= rowHead && in[0] == 'D' && binary.BigEndian.Uint32(in[1:]) >= longRow:
-		return b.long(in)
+	case b.state == expectRowRest:
+		return b.continueLongRow(in)
+	case b.state == expectRow && len(in) >= rowHeaderBytes && in[0] == 'D' && binary.BigEndian.Uint32(in[1:]) >= longRowBytes:
+		return b.startLongRow(in)
 	}
-	kind, body, size, err := frame(in, b.bounds)
+	kind, body, size, err := splitMessage(in, b.bodyLimit)
 	if err != nil {
-		return 0, Nothing, err
+		return 0, NoEvent, err
 	}
 	switch kind {
 	case 'N':
-		return size, Nothing, nil
+		return size, NoEvent, nil
 	case 'S':
 		b.parameter(body)
-		return size, Nothing, nil
+		return size, NoEvent, nil
 	case 'K':
-		return size, Nothing, nil
+		return size, NoEvent, nil
 	case 'E':
-		if b.fault.Decode(body) != nil || b.fault.Code == "" {
-			return 0, Nothing, violation("an error cannot be read")
+		if b.failure.Decode(body) != nil || b.failure.Code == "" {
+			return 0, NoEvent, violation("an error cannot be read")
 		}
-		b.Code, b.fatal = b.fault.Code, b.fault.Severity == "FATAL" || b.fault.Severity == "PANIC"
-		if b.stage <= settling || b.fatal { // no ReadyForQuery follows
-			b.stage = afterError
+		b.Code, b.fatal = b.failure.Code, b.failure.Severity == "FATAL" || b.failure.Severity == "PANIC"
+		if b.state <= expectSessionReady || b.fatal { // no ReadyForQuery follows
+			b.state = expectReadyAfterError
 			return size, ErrorReceived, nil
 		}
-		b.stage = afterError
-		return size, Nothing, nil
+		b.state = expectReadyAfterError
+		return size, NoEvent, nil
 	}
-	switch b.stage {
-	case greeting: // 'R'
+	switch b.state {
+	case expectAuthentication: // 'R'
 		if len(body) != 4 || binary.BigEndian.Uint32(body) != 0 {
-			return 0, Nothing, violation("a worker wants a password")
+			return 0, NoEvent, violation("a worker wants a password")
 		}
-		b.stage = settling
-	case settling, wantReady, afterError: // 'Z'
-		if b.status.Decode(body) != nil || b.status.TxStatus != 'I' {
-			return 0, Nothing, violation("ReadyForQuery cannot be read")
+		b.state = expectSessionReady
+	case expectSessionReady, expectReady, expectReadyAfterError: // 'Z'
+		if b.ready.Decode(body) != nil || b.ready.TxStatus != 'I' {
+			return 0, NoEvent, violation("ReadyForQuery cannot be read")
 		}
-		was := b.stage
-		b.stage = quiet
-		switch was {
-		case settling:
+		previous := b.state
+		b.state = idle
+		switch previous {
+		case expectSessionReady:
 			return size, SessionReady, nil
-		case wantReady:
+		case expectReady:
 			return size, ValueReceived, nil
 		}
 		return size, ErrorReceived, nil
-	case wantDescription: // 'T'
-		if !soleField(body) || b.row.Decode(body) != nil || len(b.row.Fields) != 1 {
-			return 0, Nothing, violation("a description is not of one column")
+	case expectDescription: // 'T'
+		if !isSingleColumn(body) || b.row.Decode(body) != nil || len(b.row.Fields) != 1 {
+			return 0, NoEvent, violation("a description is not of one column")
 		}
-		b.Answer, b.stage = append(b.Answer, in[:size]...), wantRow
-	case wantRow: // 'D'
+		b.Answer, b.state = append(b.Answer, in[:size]...), expectRow
+	case expectRow: // 'D'
 		if b.data.Decode(body) != nil || len(b.data.Values) != 1 || b.data.Values[0] == nil ||
 			len(b.data.Values[0]) != len(body)-6 {
-			return 0, Nothing, violation("a row is not of one value")
+			return 0, NoEvent, violation("a row is not of one value")
 		}
 		b.data.Values[0] = nil
-		b.Answer, b.stage = append(b.Answer, in[:size]...), wantComplete
-	case wantComplete: // 'C'
-		if bytes.IndexByte(body, 0) != len(body)-1 || b.end.Decode(body) != nil || !oneRow(b.end.CommandTag) {
-			return 0, Nothing, violation("an answer's end is not that of one row")
+		b.Answer, b.state = append(b.Answer, in[:size]...), expectComplete
+	case expectComplete: // 'C'
+		if bytes.IndexByte(body, 0) != len(body)-1 || b.complete.Decode(body) != nil || !isOneRowTag(b.complete.CommandTag) {
+			return 0, NoEvent, violation("an answer's end is not that of one row")
 		}
-		b.Answer, b.stage = append(b.Answer, in[:size]...), wantReady
+		b.Answer, b.state = append(b.Answer, in[:size]...), expectReady
 	}
-	return size, Nothing, nil
+	return size, NoEvent, nil
 }
 
-// rowHead is what a row of one value has before the value.
-const rowHead = 5 + 2 + 4
+// rowHeaderBytes is the size of everything before the value in a row of one column: type and length of the message, number
+// of columns, length of the value.
+const rowHeaderBytes = 5 + 2 + 4
 
-// long begins a row that is taken in parts: all that can be wrong with it stands in its head.
-// Danger: kept whole till its end has come, a long answer would lie in memory twice.
-func (b *BackendParser) long(in []byte) (size int, told Told, err error) {
+// startLongRow begins a row that is copied into Answer as it arrives, since its header is all that needs checking. If it
+// stayed in the input buffer until complete, a long value would be in memory twice.
+func (b *BackendParser) startLongRow(in []byte) (size int, event BackendEvent, err error) {
 	n, value := binary.BigEndian.Uint32(in[1:]), binary.BigEndian.Uint32(in[7:])
-	if int64(value) > int64(b.most) || n != value+rowHead-1 || binary.BigEndian.Uint16(in[5:]) != 1 {
-		return 0, Nothing, violation("a row is not of one value that may be so long: %d bytes", value)
+	if int64(value) > int64(b.maxValue) || n != value+rowHeaderBytes-1 || binary.BigEndian.Uint16(in[5:]) != 1 {
+		return 0, NoEvent, violation("a row is not of one value that may be so long: %d bytes", value)
 	}
-	b.left, b.stage = int(value)+rowHead, wantRest
-	return b.rest(in)
+	b.rowRemaining, b.state = int(value)+rowHeaderBytes, expectRowRest
+	return b.continueLongRow(in)
 }
 
-func (b *BackendParser) rest(in []byte) (size int, told Told, err error) {
+func (b *BackendParser) continueLongRow(in []byte) (size int, event BackendEvent, err error) {
 	if len(in) == 0 {
-		return 0, Nothing, ErrIncomplete
+		return 0, NoEvent, ErrIncomplete
 	}
-	size = min(b.left, len(in))
+	size = min(b.rowRemaining, len(in))
 	b.Answer = append(b.Answer, in[:size]...)
-	if b.left -= size; b.left == 0 {
-		b.stage = wantComplete
+	if b.rowRemaining -= size; b.rowRemaining == 0 {
+		b.state = expectComplete
 	}
-	return size, Nothing, nil
+	return size, NoEvent, nil
 }
 
-// soleField tells whether a description says one column and holds just that; pgproto3 lets bytes after it pass.
-func soleField(body []byte) bool {
+// isSingleColumn reports whether a row description has exactly one column and nothing after it; pgproto3 ignores trailing
+// bytes.
+func isSingleColumn(body []byte) bool {
 	if len(body) < 2 || binary.BigEndian.Uint16(body) != 1 {
 		return false
 	}
@@ -207,57 +212,57 @@
 	return end >= 0 && len(body) == 2+end+1+18
 }
 
-var tags = [][]byte{[]byte("SELECT 1"), []byte("INSERT 0 1")}
+var commandTags = [][]byte{[]byte("SELECT 1"), []byte("INSERT 0 1")}
 
-func oneRow(tag []byte) bool {
-	return slices.ContainsFunc(tags, func(t []byte) bool { return bytes.Equal(t, tag) })
+func isOneRowTag(tag []byte) bool {
+	return slices.ContainsFunc(commandTags, func(t []byte) bool { return bytes.Equal(t, tag) })
 }
 
-// bounds gives what may come at this stage.
-func (b *BackendParser) bounds(kind byte) int {
-	if b.stage == quiet { // Danger: what nobody asked for would pass for the next answer
+// bodyLimit returns the maximum body size of a message type in the current state, or 0 if the type is not allowed.
+func (b *BackendParser) bodyLimit(kind byte) int {
+	if b.state == idle { // an unsolicited message would be taken for the answer to the next query
 		return 0
 	}
 	switch kind {
 	case 'S', 'N', 'E':
-		if kind == 'E' && b.stage == afterError {
+		if kind == 'E' && b.state == expectReadyAfterError {
 			return 0
 		}
-		return longestControl
+		return maxControlBytes
 	case 'K':
-		if b.stage == settling {
+		if b.state == expectSessionReady {
 			return 64
 		}
 		return 0
 	}
-	want, bound := byte(0), longestControl
-	switch b.stage {
-	case greeting:
-		want, bound = 'R', 64
-	case settling, wantReady, afterError:
-		want, bound = 'Z', 1
-	case wantDescription:
-		want = 'T'
-	case wantRow:
-		want, bound = 'D', b.most+rowHead
-	case wantComplete:
-		want, bound = 'C', 64
+	expected, limit := byte(0), maxControlBytes
+	switch b.state {
+	case expectAuthentication:
+		expected, limit = 'R', 64
+	case expectSessionReady, expectReady, expectReadyAfterError:
+		expected, limit = 'Z', 1
+	case expectDescription:
+		expected = 'T'
+	case expectRow:
+		expected, limit = 'D', b.maxValue+rowHeaderBytes
+	case expectComplete:
+		expected, limit = 'C', 64
 	}
-	if kind != want {
+	if kind != expected {
 		return 0
 	}
-	return bound
+	return limit
 }
 
-// parameter keeps what the load parameter says. One that cannot be read is no report, and the answer stands.
+// parameter stores the value of the load parameter. A malformed value is ignored; the answer remains valid.
 func (b *BackendParser) parameter(body []byte) {
 	name, value, ok := bytes.Cut(body, []byte{0})
-	if !ok || b.gauge == "" || string(name) != b.gauge {
+	if !ok || b.loadParam == "" || string(name) != b.loadParam {
 		return
 	}
 	value, ok = bytes.CutSuffix(value, []byte{0})
 	if ok && bytes.IndexByte(value, 0) < 0 {
-		b.load = append(b.load[:0], value...)
-		b.Load = b.load
+		b.loadBuf = append(b.loadBuf[:0], value...)
+		b.Load = b.loadBuf
 	}
 }
--- a/pgwire/frame.go
+++ b/pgwire/frame.go
@@ -1,6 +1,7 @@
-// Package pgwire speaks version 3 of PostgreSQL's wire protocol on both sides of an edge, as far as simple queries of one
-// value go. Its machines do no I/O: they are fed with bytes, cut anywhere, and give whole messages. The frames and
-// their bounds are checked here, before anything is held or allocated for them; message bodies are pgproto3's.
+// Package pgwire implements version 3 of the PostgreSQL wire protocol for both sides of an edge, limited to simple
+// queries that return a single value. Its parsers do no I/O: they accept bytes split at any point and return whole
+// messages. Message framing and size limits are checked here, before anything is buffered or allocated for a message;
+// pgproto3 encodes and decodes the message bodies.
 package pgwire
 
 import (
@@ -9,50 +10,55 @@
 	"fmt"
 )
 
-// ErrIncomplete says that the bytes so far are sound and end in the middle of a message.
+// ErrIncomplete reports that the input is valid so far but ends in the middle of a message.
 var ErrIncomplete = errors.New("pgwire: more bytes are needed")
 
-// MaxValueBytes is the most bytes that a client's value may have.
+// MaxValueBytes is the maximum size of a value in a client's statement.
 const MaxValueBytes = 64 << 10
 
 const (
-	longestStart   = 10_000                 // as PostgreSQL itself has it
-	longestQuery   = 2*MaxValueBytes + 4096 // a value in hex, and what stands around it
-	longestControl = 8 << 10                // errors, notices, descriptions, parameters
-	longRow        = 16 << 10               // a row from that size on is taken in parts
+	// maxStartupBytes is the maximum size of a start-up message, the same as in PostgreSQL.
+	maxStartupBytes = 10_000
+	// maxQueryBytes is the maximum body size of a query: a value in hex and the statement text around it.
+	maxQueryBytes = 2*MaxValueBytes + 4096
+	// maxControlBytes is the maximum body size of errors, notices, row descriptions and parameters.
+	maxControlBytes = 8 << 10
+	// longRowBytes is the message length from which a row is forwarded in parts.
+	longRowBytes = 16 << 10
 )
 
-// ProtocolError is a message that breaks the protocol. Nothing after it can be trusted to be a message.
+// ProtocolError describes a message that is rejected. After a framing error the rest of the input cannot be parsed.
 type ProtocolError struct {
 	Code    string // SQLSTATE
 	Message string
 }
 
-func (f *ProtocolError) Error() string { return "pgwire: " + f.Message }
+func (e *ProtocolError) Error() string { return "pgwire: " + e.Message }
 
 func violation(format string, args ...any) *ProtocolError {
 	return &ProtocolError{Code: "08P01", Message: fmt.Sprintf(format, args...)}
 }
 
-// most gives the bound of a message's body by its kind; 0 for a kind that has no place there.
-type bounds func(kind byte) int
+// bodyLimits returns the maximum body size in bytes for a message type, or 0 if the type is not allowed at this point.
+type bodyLimits func(kind byte) int
 
-// frame finds the message that in begins with: its kind, its body and its size with the head.
-// Danger: a length is a claim. It is held against its bound as soon as it is read, so that nothing waits for 3 GB.
-func frame(in []byte, most bounds) (kind byte, body []byte, size int, err error) {
+// splitMessage returns the type and body of the message at the start of in, and its size including the header. The
+// length field is checked against the limit as soon as it is read: otherwise a peer could claim a message of 3 GB and
+// make the connection buffer it.
+func splitMessage(in []byte, limits bodyLimits) (kind byte, body []byte, size int, err error) {
 	if len(in) == 0 {
 		return 0, nil, 0, ErrIncomplete
 	}
 	kind = in[0]
-	bound := most(kind)
-	if bound == 0 {
+	limit := limits(kind)
+	if limit == 0 {
 		return kind, nil, 0, violation("a message of kind %q has no place here", kind)
 	}
 	if len(in) < 5 {
 		return kind, nil, 0, ErrIncomplete
 	}
 	n := binary.BigEndian.Uint32(in[1:])
-	if n < 4 || n > uint32(bound)+4 {
+	if n < 4 || n > uint32(limit)+4 {
 		return kind, nil, 0, &ProtocolError{Code: "54000", Message: fmt.Sprintf("a message of kind %q says that it has %d bytes", kind, n)}
 	}
 	if size = int(n) + 1; len(in) < size {
--- a/pgwire/front.go
+++ b/pgwire/front.go
@@ -7,41 +7,42 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// Want says what a client asks for.
-type Want uint8
+// Request is the kind of a client's message.
+type Request uint8
 
-// Wants.
+// Kinds of client requests.
 const (
-	EncryptionRequest Want = iota // answer with NoEncryption
-	Startup                       // answer with Welcome
-	EmptyQuery                    // a query without a statement: answer with EmptyAnswer
-	Query                         // a query; its text is given
-	Terminate                     // it ends the connection, or asks for a cancel, which is not heeded
+	EncryptionRequest Request = iota // answered with NoEncryption
+	Startup                          // answered with StartupResponse
+	EmptyQuery                       // a query without a statement, answered with EmptyQueryAnswer
+	Query                            // a query; its text is returned with it
+	Terminate                        // ends the connection; also a cancel request, which is ignored
 )
 
-// FrontendParser follows what one client sends. The zero value waits for the start-up message.
+// FrontendParser parses the messages of one client. The zero value expects the start-up message.
 type FrontendParser struct {
-	started bool
-	asked   int // for encryption
+	started            bool
+	encryptionRequests int
 }
 
-// Started tells whether the client has sent its start-up message.
+// Started reports whether the client has sent its start-up message.
 func (f *FrontendParser) Started() bool { return f.started }
 
-// Next takes the message that in begins with: how many bytes it has, what it wants, and the text of a statement, which
-// is a part of in. The error is ErrMore, or a *Fault after which the connection is to be ended.
-func (f *FrontendParser) Next(in []byte) (size int, want Want, text []byte, err error) {
+// Next parses the message at the start of in. It returns the size of the message, the kind of request and, for a Query,
+// the statement's text as a slice of in. The error is ErrIncomplete or a *ProtocolError; after a *ProtocolError the
+// connection must be closed.
+func (f *FrontendParser) Next(in []byte) (size int, request Request, text []byte, err error) {
 	if !f.started {
-		return f.start(in)
+		return f.startup(in)
 	}
-	kind, body, size, err := frame(in, frontBounds)
+	kind, body, size, err := splitMessage(in, frontendBodyLimit)
 	if err != nil {
 		return 0, 0, nil, err
 	}
 	if kind == 'X' {
 		return size, Terminate, nil, nil
 	}
-	// Danger: a text that ends before its message does hides something behind it.
+	// A NUL before the end of the body is rejected: readers that treat the text as a C string would not see what follows.
 	if len(body) == 0 || bytes.IndexByte(body, 0) != len(body)-1 {
 		return 0, 0, nil, violation("the text of a query does not end with its message")
 	}
@@ -52,54 +53,55 @@
 	return size, Query, text, nil
 }
 
-func frontBounds(kind byte) int {
+func frontendBodyLimit(kind byte) int {
 	switch kind {
 	case 'Q':
-		return longestQuery
+		return maxQueryBytes
 	case 'X':
 		return 16
 	}
 	return 0
 }
 
+// Protocol versions and request codes in the start-up packet.
 const (
-	version3   = 3 << 16
-	codeCancel = 80877102
-	codeSSL    = 80877103
-	codeGSS    = 80877104
+	protocolVersion3  = 3 << 16
+	cancelRequestCode = 80877102
+	sslRequestCode    = 80877103
+	gssEncRequestCode = 80877104
 )
 
-func (f *FrontendParser) start(in []byte) (size int, want Want, text []byte, err error) {
-	if len(in) > 0 && in[0] != 0 { // a length of 16 MB and more: another protocol
+func (f *FrontendParser) startup(in []byte) (size int, request Request, text []byte, err error) {
+	if len(in) > 0 && in[0] != 0 { // a length of 16 MB or more: the client speaks another protocol
 		return 0, 0, nil, violation("this is no start-up message")
 	}
 	if len(in) < 4 {
 		return 0, 0, nil, ErrIncomplete
 	}
 	n := binary.BigEndian.Uint32(in)
-	if n < 8 || n > longestStart {
+	if n < 8 || n > maxStartupBytes {
 		return 0, 0, nil, violation("a start-up message says that it has %d bytes", n)
 	}
 	if len(in) < 8 {
 		return 0, 0, nil, ErrIncomplete
 	}
 	code := binary.BigEndian.Uint32(in[4:])
-	if code>>16 != 3 && code != codeCancel && code != codeSSL && code != codeGSS {
+	if code>>16 != 3 && code != cancelRequestCode && code != sslRequestCode && code != gssEncRequestCode {
 		return 0, 0, nil, violation("protocol %d.%d is not spoken here", code>>16, code&0xffff)
 	}
 	if size = int(n); len(in) < size {
 		return 0, 0, nil, ErrIncomplete
 	}
 	switch code {
-	case codeCancel:
+	case cancelRequestCode:
 		return size, Terminate, nil, nil
-	case codeSSL, codeGSS:
-		if f.asked++; n != 8 || f.asked > 2 {
+	case sslRequestCode, gssEncRequestCode:
+		if f.encryptionRequests++; n != 8 || f.encryptionRequests > 2 {
 			return 0, 0, nil, violation("a request for encryption has no place here")
 		}
 		return size, EncryptionRequest, nil, nil
 	}
-	if code == version3 {
+	if code == protocolVersion3 {
 		var m pgproto3.StartupMessage
 		if m.Decode(in[4:size]) != nil {
 			return 0, 0, nil, violation("the start-up message cannot be read")
@@ -109,7 +111,7 @@
 	return size, Startup, nil, nil
 }
 
-// What clients are sent, whole.
+// Complete, pre-encoded responses to clients.
 var (
 	NoEncryption    = []byte{'N'}
 	StartupResponse = encode(&pgproto3.AuthenticationOk{},
@@ -127,26 +129,26 @@
 	for _, m := range messages {
 		var err error
 		if out, err = m.Encode(out); err != nil {
-			panic(err) // of constants
+			panic(err) // impossible: the messages are constant
 		}
 	}
 	return out
 }
 
-// AppendError adds an ErrorResponse; detail may be empty. A fatal one ends the connection, any other is followed by
-// ReadyForQuery.
+// AppendError appends an ErrorResponse; detail may be empty. A fatal error ends the connection; any other error is
+// followed by ReadyForQuery.
 func AppendError(out []byte, fatal bool, code, text, detail string) []byte {
 	severity := "ERROR"
 	if fatal {
 		severity = "FATAL"
 	}
 	m := pgproto3.ErrorResponse{Severity: severity, SeverityUnlocalized: severity, Code: code, Message: text, Detail: detail}
-	more, err := m.Encode(out)
-	if err != nil { // only a text without bound could be
+	appended, err := m.Encode(out)
+	if err != nil { // the message exceeds pgproto3's size limit, which our texts never do
 		return out
 	}
 	if !fatal {
-		more = append(more, ReadyForQuery...)
+		appended = append(appended, ReadyForQuery...)
 	}
-	return more
+	return appended
 }
