--- a/http1/chunk.go
+++ b/http1/chunk.go
@@ -2,100 +2,101 @@
 
 import "bytes"
 
-// Dechunker takes a chunked body apart, however it is cut into reads. The zero value is at the body's start.
-// Trailers are read and dropped; chunk extensions are passed over.
+// Dechunker decodes a chunked body that arrives in pieces of any size. The zero value expects the start of a body.
+// Trailers are parsed and discarded; chunk extensions are ignored.
 type Dechunker struct {
-	left  int64 // of the chunk
-	state chunkState
-	line  int // bytes of the line in hand
+	remaining    int64 // bytes of the current chunk
+	state        chunkState
+	trailerBytes int
 }
 
 type chunkState uint8
 
 const (
-	atSize chunkState = iota
+	expectSize chunkState = iota
 	inData
-	afterData
+	expectDataEnd // the CRLF after the data of a chunk
 	inTrailer
 	finished
 )
 
-const longestChunkLine = 1024
+// maxChunkLine is the maximum length in bytes of a chunk-size or trailer line.
+const maxChunkLine = 1024
 
-// Next reads from src: it gives how many bytes it took, the data among them, and whether the body is over. It
-// takes as much as leads to one piece of data; call it again while it takes something. ErrMore: src holds a part
-// of a line only, keep it. A *Fault: the body is malformed.
-func (d *Dechunker) Next(src []byte) (took int, data []byte, done bool, err error) {
-	at := 0
+// Next decodes the start of src. It returns the number of bytes consumed, the body data among them, and whether the body
+// is complete. Each call returns at most one piece of data; the caller repeats it while bytes are consumed. The error is
+// ErrIncomplete if the rest of src is an incomplete line, which the caller must keep, or a *ParseError.
+func (d *Dechunker) Next(src []byte) (consumed int, data []byte, done bool, err error) {
+	pos := 0
 	for {
-		rest := src[at:]
+		rest := src[pos:]
 		switch d.state {
-		case atSize, inTrailer, afterData:
+		case expectSize, inTrailer, expectDataEnd:
 			nl := bytes.IndexByte(rest, '\n')
 			if nl < 0 {
-				if len(rest) > longestChunkLine {
-					return at, nil, false, ErrChunk
+				if len(rest) > maxChunkLine {
+					return pos, nil, false, ErrChunk
 				}
-				return at, nil, false, ErrIncomplete
+				return pos, nil, false, ErrIncomplete
 			}
-			if nl == 0 || rest[nl-1] != '\r' || nl > longestChunkLine || bytes.IndexByte(rest[:nl-1], '\r') >= 0 {
-				return at, nil, false, ErrChunk
+			if nl == 0 || rest[nl-1] != '\r' || nl > maxChunkLine || bytes.IndexByte(rest[:nl-1], '\r') >= 0 {
+				return pos, nil, false, ErrChunk
 			}
-			l := rest[:nl-1]
-			at += nl + 1
+			line := rest[:nl-1]
+			pos += nl + 1
 			switch d.state {
-			case afterData:
-				if len(l) != 0 {
-					return at, nil, false, ErrChunk
+			case expectDataEnd:
+				if len(line) != 0 {
+					return pos, nil, false, ErrChunk
 				}
-				d.state = atSize
+				d.state = expectSize
 			case inTrailer:
-				if d.line += nl; d.line > 16*longestChunkLine {
-					return at, nil, false, ErrChunk
+				if d.trailerBytes += nl; d.trailerBytes > 16*maxChunkLine {
+					return pos, nil, false, ErrChunk
 				}
-				if len(l) == 0 {
+				if len(line) == 0 {
 					d.state = finished
-					return at, nil, true, nil
+					return pos, nil, true, nil
 				}
-				if l[0] == ' ' || l[0] == '\t' || bytes.IndexByte(l, ':') <= 0 {
-					return at, nil, false, ErrChunk
+				if line[0] == ' ' || line[0] == '\t' || bytes.IndexByte(line, ':') <= 0 {
+					return pos, nil, false, ErrChunk
 				}
 			default:
-				n, ok := chunkSize(l)
+				n, ok := chunkSize(line)
 				if !ok {
-					return at, nil, false, ErrChunk
+					return pos, nil, false, ErrChunk
 				}
-				if d.left = n; n == 0 {
+				if d.remaining = n; n == 0 {
 					d.state = inTrailer
 				} else {
 					d.state = inData
 				}
 			}
 		case inData:
-			n := min(int64(len(rest)), d.left)
+			n := min(int64(len(rest)), d.remaining)
 			if n == 0 {
-				return at, nil, false, ErrIncomplete
+				return pos, nil, false, ErrIncomplete
 			}
-			if d.left -= n; d.left == 0 {
-				d.state = afterData
+			if d.remaining -= n; d.remaining == 0 {
+				d.state = expectDataEnd
 			}
-			return at + int(n), rest[:n], false, nil
+			return pos + int(n), rest[:n], false, nil
 		case finished:
-			return at, nil, true, nil
+			return pos, nil, true, nil
 		}
 	}
 }
 
-// chunkSize reads a chunk's size in hex digits, up to 15 of them, and passes over extensions.
-func chunkSize(l []byte) (n int64, ok bool) {
-	if at := bytes.IndexByte(l, ';'); at >= 0 {
-		l = l[:at]
-		l = bytes.TrimRight(l, " \t")
+// chunkSize parses a chunk size of up to 15 hex digits and ignores chunk extensions.
+func chunkSize(line []byte) (n int64, ok bool) {
+	if semicolon := bytes.IndexByte(line, ';'); semicolon >= 0 {
+		line = line[:semicolon]
+		line = bytes.TrimRight(line, " \t")
 	}
-	if len(l) == 0 || len(l) > 15 {
+	if len(line) == 0 || len(line) > 15 {
 		return 0, false
 	}
-	for _, c := range l {
+	for _, c := range line {
 		switch {
 		case '0' <= c && c <= '9':
 			n = n<<4 | int64(c-'0')
@@ -110,18 +111,18 @@
 	return n, true
 }
 
-// AppendChunk appends data as one chunk; empty data would end the body and is left out.
+// AppendChunk appends data as one chunk. Empty data is omitted, since an empty chunk would end the body.
 func AppendChunk(out, data []byte) []byte {
 	if len(data) == 0 {
 		return out
 	}
 	var digits [16]byte
-	at := len(digits)
+	start := len(digits)
 	for n := len(data); n > 0; n >>= 4 {
-		at--
-		digits[at] = "0123456789abcdef"[n&15]
+		start--
+		digits[start] = "0123456789abcdef"[n&15]
 	}
-	out = append(out, digits[at:]...)
+	out = append(out, digits[start:]...)
 	out = append(out, "\r\n"...)
 	out = append(out, data...)
 	return append(out, "\r\n"...)
--- a/http1/head.go
+++ b/http1/head.go
@@ -1,5 +1,5 @@
-// Package http1 is the codec of HTTP/1.1 heads and chunked bodies for both sides of the edge. It works on bytes
-// in hand, allocates nothing on the ordinary path and refuses whatever two readers could understand
+// Package http1 implements HTTP/1.1 message heads and chunked bodies for both sides of an edge. It parses from memory
+// without I/O, does not allocate on the usual path and rejects every message that two parsers could interpret
 // differently (RFC 9112, sections 2.2, 5, 6 and 11.2).
 package http1
 
@@ -11,157 +11,160 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// ErrIncomplete says that the head or body in hand is not complete yet.
+// ErrIncomplete reports that the head or body is not complete yet.
 var ErrIncomplete = errors.New("http1: more bytes are needed")
 
-// ParseError is why a message is refused; Status is what a client is answered.
+// ParseError is the reason for rejecting a message; Status is the HTTP status of the response to a client.
 type ParseError struct {
 	Status  int
 	Message string
 }
 
-func (f *ParseError) Error() string { return "http1: " + f.Message }
+func (e *ParseError) Error() string { return "http1: " + e.Message }
 
-// What a message can be refused for.
+// Reasons for rejecting a message.
 var (
-	ErrTooLarge   = &ParseError{431, "the head is larger than the limit"}
-	ErrLine       = &ParseError{400, "the first line is malformed"}
-	ErrVersion    = &ParseError{505, "the version is neither HTTP/1.0 nor HTTP/1.1"}
-	ErrMethod     = &ParseError{501, "the method is not carried here"}
-	ErrBare       = &ParseError{400, "a bare CR or LF"}
-	ErrFold       = &ParseError{400, "an obsolete line folding"}
-	ErrName       = &ParseError{400, "a malformed header name"}
-	ErrValue      = &ParseError{400, "a malformed header value"}
-	ErrLengths    = &ParseError{400, "more than one length, or both a length and a coding"}
-	ErrLength     = &ParseError{400, "a malformed Content-Length"}
-	ErrCoding     = &ParseError{501, "a Transfer-Encoding other than chunked"}
-	ErrCodingOld  = &ParseError{400, "a Transfer-Encoding under HTTP/1.0"}
-	ErrHost       = &ParseError{400, "no Host, or more than one"}
-	ErrMany       = &ParseError{431, "more header lines than the limit"}
-	ErrChunk      = &ParseError{400, "a malformed chunk"}
-	ErrStatusLine = &ParseError{502, "the status line is malformed"}
+	ErrHeadTooLarge            = &ParseError{431, "the head is larger than the limit"}
+	ErrRequestLine             = &ParseError{400, "the first line is malformed"}
+	ErrVersion                 = &ParseError{505, "the version is neither HTTP/1.0 nor HTTP/1.1"}
+	ErrMethod                  = &ParseError{501, "the method is not carried here"}
+	ErrBareNewline             = &ParseError{400, "a bare CR or LF"}
+	ErrLineFolding             = &ParseError{400, "an obsolete line folding"}
+	ErrHeaderName              = &ParseError{400, "a malformed header name"}
+	ErrHeaderValue             = &ParseError{400, "a malformed header value"}
+	ErrAmbiguousLength         = &ParseError{400, "more than one length, or both a length and a coding"}
+	ErrContentLength           = &ParseError{400, "a malformed Content-Length"}
+	ErrTransferEncoding        = &ParseError{501, "a Transfer-Encoding other than chunked"}
+	ErrTransferEncodingVersion = &ParseError{400, "a Transfer-Encoding under HTTP/1.0"}
+	ErrHost                    = &ParseError{400, "no Host, or more than one"}
+	ErrTooManyHeaders          = &ParseError{431, "more header lines than the limit"}
+	ErrChunk                   = &ParseError{400, "a malformed chunk"}
+	ErrStatusLine              = &ParseError{502, "the status line is malformed"}
 )
 
+// maxHeaders is the maximum number of header lines in a message.
+const maxHeaders = 128
+
+// Special values of Length for bodies of unknown length.
 const (
-	maxHeaders = 128
-	// Bodies of unknown length.
 	Chunked    int64 = -1
 	UntilClose int64 = -2
 )
 
-// Header is one header line; its parts point into the bytes that were parsed.
+// Header is one header line. Name and Value are slices of the parsed buffer.
 type Header struct{ Name, Value []byte }
 
-// head is what requests and answers have in common.
+// head is the part that requests and responses have in common.
 type head struct {
-	Headers []Header
-	Minor   int   // of the version, 1.Minor
-	Length  int64 // of the body, Chunked, or UntilClose (answers only)
-	Close   bool  // the sender closes after this message
-	named   [8][]byte
-	lengths int
-	codings int
-	hosts   int
+	Headers           []Header
+	Minor             int       // minor HTTP version, of 1.Minor
+	Length            int64     // of the body in bytes, Chunked, or UntilClose (responses only)
+	Close             bool      // the sender closes the connection after this message
+	named             [8][]byte // header names listed in Connection, which are hop-by-hop
+	contentLengths    int       // number of Content-Length headers
+	transferEncodings int       // number of Transfer-Encoding headers
+	hosts             int       // number of Host headers
 }
 
-// Request is a parsed request head. It points into the bytes it was parsed from. The zero value is ready.
+// Request is a parsed request head. Its fields are slices of the parsed buffer. The zero value is ready for use.
 type Request struct {
 	head
 	Method, Target []byte
-	ExpectContinue bool // the client waits for a 100
-	ExpectOther    bool // it expects anything else
+	ExpectContinue bool // the client waits for a 100 response
+	ExpectOther    bool // the Expect header has any other value
 }
 
-// Response is a parsed answer head.
+// Response is a parsed response head.
 type Response struct {
 	head
 	Status int
 	Reason []byte
 }
 
-// text views bytes as a string for the length of a call, without copying.
-func text(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
+// stringView returns b as a string without copying. The string must not outlive the call it is passed to.
+func stringView(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
 
-// line cuts the next line off buf: without its CRLF, or ErrMore, or a fault.
-func line(buf []byte, limit int) (l, rest []byte, err error) {
+// cutLine returns the first line of buf without its CRLF, and the rest of buf. The error is ErrIncomplete or a
+// *ParseError. limit is the maximum size in bytes.
+func cutLine(buf []byte, limit int) (line, rest []byte, err error) {
 	nl := bytes.IndexByte(buf, '\n')
 	if nl < 0 {
 		if len(buf) > limit {
-			return nil, nil, ErrTooLarge
+			return nil, nil, ErrHeadTooLarge
 		}
 		return nil, nil, ErrIncomplete
 	}
 	if nl >= limit {
-		return nil, nil, ErrTooLarge
+		return nil, nil, ErrHeadTooLarge
 	}
 	if nl == 0 || buf[nl-1] != '\r' {
-		return nil, nil, ErrBare
+		return nil, nil, ErrBareNewline
 	}
-	l = buf[:nl-1]
-	if bytes.IndexByte(l, '\r') >= 0 {
-		return nil, nil, ErrBare
+	line = buf[:nl-1]
+	if bytes.IndexByte(line, '\r') >= 0 {
+		return nil, nil, ErrBareNewline
 	}
-	return l, buf[nl+1:], nil
+	return line, buf[nl+1:], nil
 }
 
 func (h *head) reset() {
 	*h = head{Headers: h.Headers[:0]}
 }
 
-// Parse reads a request head from the front of buf and gives how many bytes it took. It gives ErrMore while the
-// head is not complete, and a *Fault for one that is refused. limit bounds the head's bytes.
+// Parse parses a request head at the start of buf and returns its size in bytes. The error is ErrIncomplete while the head
+// is incomplete, or a *ParseError for a head that is rejected. limit is the maximum size of the head in bytes.
 func (r *Request) Parse(buf []byte, limit int) (int, error) {
 	h := r.head
 	h.reset()
 	*r = Request{head: h}
 	rest := buf
-	// One empty line before a request is passed over (RFC 9112, 2.2).
+	// One empty line before a request is ignored (RFC 9112, section 2.2).
 	if len(rest) >= 2 && rest[0] == '\r' && rest[1] == '\n' {
 		rest = rest[2:]
 	}
-	l, rest, err := line(rest, limit)
+	line, rest, err := cutLine(rest, limit)
 	if err != nil {
 		return 0, err
 	}
-	a := bytes.IndexByte(l, ' ')
-	if a <= 0 {
-		return 0, ErrLine
+	methodEnd := bytes.IndexByte(line, ' ')
+	if methodEnd <= 0 {
+		return 0, ErrRequestLine
 	}
-	b := bytes.IndexByte(l[a+1:], ' ')
-	if b <= 0 {
-		return 0, ErrLine
+	targetSize := bytes.IndexByte(line[methodEnd+1:], ' ')
+	if targetSize <= 0 {
+		return 0, ErrRequestLine
 	}
-	r.Method, r.Target = l[:a], l[a+1:a+1+b]
-	if !httpguts.ValidHeaderFieldName(text(r.Method)) { // a method is a token as well
-		return 0, ErrLine
+	r.Method, r.Target = line[:methodEnd], line[methodEnd+1:methodEnd+1+targetSize]
+	if !httpguts.ValidHeaderFieldName(stringView(r.Method)) { // a method is a token, like a header name
+		return 0, ErrRequestLine
 	}
 	for _, c := range r.Target {
 		if c <= ' ' || c >= 0x7f {
-			return 0, ErrLine
+			return 0, ErrRequestLine
 		}
 	}
-	if r.Minor, err = version(l[a+2+b:]); err != nil {
+	if r.Minor, err = parseVersion(line[methodEnd+2+targetSize:]); err != nil {
 		return 0, err
 	}
-	if text(r.Method) == "CONNECT" {
+	if stringView(r.Method) == "CONNECT" {
 		return 0, ErrMethod
 	}
-	if r.Target[0] != '/' && !(text(r.Target) == "*" && text(r.Method) == "OPTIONS") &&
+	if r.Target[0] != '/' && !(stringView(r.Target) == "*" && stringView(r.Method) == "OPTIONS") &&
 		!bytes.HasPrefix(r.Target, []byte("http://")) {
-		return 0, ErrLine
+		return 0, ErrRequestLine
 	}
-	rest, err = r.fields(rest, limit-(len(buf)-len(rest)))
+	rest, err = r.parseFields(rest, limit-(len(buf)-len(rest)))
 	if err != nil {
 		return 0, err
 	}
 	r.Length = 0
 	for i := range r.Headers {
-		v := r.Headers[i].Value
-		switch f := &r.Headers[i]; {
-		case is(f.Name, "host"):
+		value := r.Headers[i].Value
+		switch header := &r.Headers[i]; {
+		case equalFold(header.Name, "host"):
 			r.hosts++
-		case is(f.Name, "expect"):
-			if is(v, "100-continue") {
+		case equalFold(header.Name, "expect"):
+			if equalFold(value, "100-continue") {
 				r.ExpectContinue = true
 			} else {
 				r.ExpectOther = true
@@ -171,7 +174,7 @@
 	if r.hosts > 1 || r.hosts == 0 && r.Minor == 1 {
 		return 0, ErrHost
 	}
-	if err := r.body(); err != nil {
+	if err := r.parseFraming(); err != nil {
 		return 0, err
 	}
 	if r.Length == UntilClose {
@@ -180,8 +183,8 @@
 	return len(buf) - len(rest), nil
 }
 
-func version(v []byte) (int, error) {
-	switch text(v) {
+func parseVersion(v []byte) (int, error) {
+	switch stringView(v) {
 	case "HTTP/1.1":
 		return 1, nil
 	case "HTTP/1.0":
@@ -190,26 +193,26 @@
 	if len(v) == 8 && bytes.HasPrefix(v, []byte("HTTP/")) {
 		return 0, ErrVersion
 	}
-	return 0, ErrLine
+	return 0, ErrRequestLine
 }
 
-// Parse reads an answer head from the front of buf and gives how many bytes it took. toHead: the request was a
-// HEAD, whose answer has no body.
+// Parse parses a response head at the start of buf and returns its size in bytes. toHead is set for the response to a HEAD
+// request, which has no body. limit and errors are as in Request.Parse.
 func (r *Response) Parse(buf []byte, limit int, toHead bool) (int, error) {
 	h := r.head
 	h.reset()
 	*r = Response{head: h}
-	l, rest, err := line(buf, limit)
+	line, rest, err := cutLine(buf, limit)
 	if err != nil {
 		return 0, err
 	}
-	if len(l) < 12 || l[8] != ' ' || len(l) > 12 && l[12] != ' ' {
+	if len(line) < 12 || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
 		return 0, ErrStatusLine
 	}
-	if r.Minor, err = version(l[:8]); err != nil {
+	if r.Minor, err = parseVersion(line[:8]); err != nil {
 		return 0, ErrStatusLine
 	}
-	for _, c := range l[9:12] {
+	for _, c := range line[9:12] {
 		if c < '0' || c > '9' {
 			return 0, ErrStatusLine
 		}
@@ -218,17 +221,17 @@
 	if r.Status < 100 || r.Status > 599 {
 		return 0, ErrStatusLine
 	}
-	if len(l) > 13 {
-		r.Reason = l[13:]
-		if !httpguts.ValidHeaderFieldValue(text(r.Reason)) {
+	if len(line) > 13 {
+		r.Reason = line[13:]
+		if !httpguts.ValidHeaderFieldValue(stringView(r.Reason)) {
 			return 0, ErrStatusLine
 		}
 	}
-	rest, err = r.fields(rest, limit-(len(buf)-len(rest)))
+	rest, err = r.parseFields(rest, limit-(len(buf)-len(rest)))
 	if err != nil {
 		return 0, err
 	}
-	if err := r.body(); err != nil {
+	if err := r.parseFraming(); err != nil {
 		return 0, err
 	}
 	if toHead || r.Status < 200 || r.Status == 204 || r.Status == 304 {
@@ -239,93 +242,94 @@
 	return len(buf) - len(rest), nil
 }
 
-// fields reads header lines up to the empty one.
-func (h *head) fields(rest []byte, limit int) ([]byte, error) {
+// parseFields parses header lines up to and including the empty line and returns the rest of the buffer.
+func (h *head) parseFields(rest []byte, limit int) ([]byte, error) {
 	size := len(rest)
 	for {
-		l, after, err := line(rest, limit-(size-len(rest)))
+		line, after, err := cutLine(rest, limit-(size-len(rest)))
 		if err != nil {
 			return nil, err
 		}
 		rest = after
-		if len(l) == 0 {
+		if len(line) == 0 {
 			return rest, nil
 		}
-		if l[0] == ' ' || l[0] == '\t' {
-			return nil, ErrFold
+		if line[0] == ' ' || line[0] == '\t' {
+			return nil, ErrLineFolding
 		}
 		if len(h.Headers) >= maxHeaders {
-			return nil, ErrMany
+			return nil, ErrTooManyHeaders
 		}
-		colon := bytes.IndexByte(l, ':')
-		if colon <= 0 || !httpguts.ValidHeaderFieldName(text(l[:colon])) {
-			return nil, ErrName
+		colon := bytes.IndexByte(line, ':')
+		if colon <= 0 || !httpguts.ValidHeaderFieldName(stringView(line[:colon])) {
+			return nil, ErrHeaderName
 		}
-		value := bytes.Trim(l[colon+1:], " \t")
-		if !httpguts.ValidHeaderFieldValue(text(value)) {
-			return nil, ErrValue
+		value := bytes.Trim(line[colon+1:], " \t")
+		if !httpguts.ValidHeaderFieldValue(stringView(value)) {
+			return nil, ErrHeaderValue
 		}
-		h.Headers = append(h.Headers, Header{l[:colon], value})
+		h.Headers = append(h.Headers, Header{line[:colon], value})
 	}
 }
 
-// body works out the length of the body and whether the connection closes. Danger: two readers that see two
-// lengths see two messages where there is one, so anything but one plain length or one plain coding is refused.
-func (h *head) body() error {
+// parseFraming determines the length of the body and whether the connection closes after the message. Two parsers that
+// disagree about the length would find different messages in the same bytes (request smuggling), so a message with anything
+// but one plain Content-Length or one plain chunked coding is rejected.
+func (h *head) parseFraming() error {
 	h.Length = UntilClose
 	h.Close = h.Minor == 0
 	named := 0
 	for i := range h.Headers {
-		f := &h.Headers[i]
+		header := &h.Headers[i]
 		switch {
-		case is(f.Name, "content-length"):
-			if h.lengths++; h.lengths > 1 {
-				return ErrLengths
+		case equalFold(header.Name, "content-length"):
+			if h.contentLengths++; h.contentLengths > 1 {
+				return ErrAmbiguousLength
 			}
-			n, ok := number(f.Value)
+			n, ok := parseLength(header.Value)
 			if !ok {
-				return ErrLength
+				return ErrContentLength
 			}
 			h.Length = n
-		case is(f.Name, "transfer-encoding"):
-			if h.codings++; h.codings > 1 || !is(f.Value, "chunked") {
-				return ErrCoding
+		case equalFold(header.Name, "transfer-encoding"):
+			if h.transferEncodings++; h.transferEncodings > 1 || !equalFold(header.Value, "chunked") {
+				return ErrTransferEncoding
 			}
 			if h.Minor == 0 {
-				return ErrCodingOld
+				return ErrTransferEncodingVersion
 			}
 			h.Length = Chunked
-		case is(f.Name, "connection"):
-			for rest := f.Value; len(rest) > 0; {
-				var one []byte
-				if at := bytes.IndexByte(rest, ','); at >= 0 {
-					one, rest = rest[:at], rest[at+1:]
+		case equalFold(header.Name, "connection"):
+			for rest := header.Value; len(rest) > 0; {
+				var option []byte
+				if comma := bytes.IndexByte(rest, ','); comma >= 0 {
+					option, rest = rest[:comma], rest[comma+1:]
 				} else {
-					one, rest = rest, nil
+					option, rest = rest, nil
 				}
-				one = bytes.Trim(one, " \t")
+				option = bytes.Trim(option, " \t")
 				switch {
-				case is(one, "close"):
+				case equalFold(option, "close"):
 					h.Close = true
-				case is(one, "keep-alive"):
+				case equalFold(option, "keep-alive"):
 					h.Close = false
-				case len(one) > 0 && named < len(h.named):
-					h.named[named] = one
+				case len(option) > 0 && named < len(h.named):
+					h.named[named] = option
 					named++
-				case len(one) > 0:
-					return ErrMany
+				case len(option) > 0:
+					return ErrTooManyHeaders
 				}
 			}
 		}
 	}
-	if h.lengths > 0 && h.codings > 0 {
-		return ErrLengths
+	if h.contentLengths > 0 && h.transferEncodings > 0 {
+		return ErrAmbiguousLength
 	}
 	return nil
 }
 
-// number reads digits only: no sign, no space, no more than 18 of them.
-func number(b []byte) (n int64, ok bool) {
+// parseLength parses up to 18 decimal digits, without sign or spaces.
+func parseLength(b []byte) (n int64, ok bool) {
 	if len(b) == 0 || len(b) > 18 {
 		return 0, false
 	}
@@ -338,8 +342,8 @@
 	return n, true
 }
 
-// is compares without regard to case; want is in lower case.
-func is(b []byte, want string) bool {
+// equalFold compares ASCII without regard to case. want must be in lower case.
+func equalFold(b []byte, want string) bool {
 	if len(b) != len(want) {
 		return false
 	}
@@ -355,45 +359,45 @@
 	return true
 }
 
-// Get gives the value of the first header of a name in lower case, or nil.
+// Get returns the value of the first header with the given name, which must be in lower case, or nil.
 func (h *head) Get(name string) []byte {
 	for i := range h.Headers {
-		if is(h.Headers[i].Name, name) {
+		if equalFold(h.Headers[i].Name, name) {
 			return h.Headers[i].Value
 		}
 	}
 	return nil
 }
 
-// hop tells whether a header is of this connection alone and must not be handed on (RFC 9110, 7.6.1).
-func (h *head) hop(name []byte) bool {
+// isHopByHop reports whether a header applies to this connection only and must not be forwarded (RFC 9110, section 7.6.1).
+func (h *head) isHopByHop(name []byte) bool {
 	switch len(name) {
 	case 2:
-		if is(name, "te") {
+		if equalFold(name, "te") {
 			return true
 		}
 	case 6:
-		if is(name, "expect") {
+		if equalFold(name, "expect") {
 			return true
 		}
 	case 7:
-		if is(name, "trailer") || is(name, "upgrade") {
+		if equalFold(name, "trailer") || equalFold(name, "upgrade") {
 			return true
 		}
 	case 10:
-		if is(name, "connection") || is(name, "keep-alive") {
+		if equalFold(name, "connection") || equalFold(name, "keep-alive") {
 			return true
 		}
 	case 14:
-		if is(name, "content-length") {
+		if equalFold(name, "content-length") {
 			return true
 		}
 	case 16:
-		if is(name, "proxy-connection") {
+		if equalFold(name, "proxy-connection") {
 			return true
 		}
 	case 17:
-		if is(name, "transfer-encoding") {
+		if equalFold(name, "transfer-encoding") {
 			return true
 		}
 	}
@@ -408,33 +412,33 @@
 	return false
 }
 
-// AppendFields appends the headers that are handed on, without the empty line.
+// AppendFields appends the headers that are forwarded, without the final empty line.
 func (h *head) AppendFields(out []byte) []byte {
 	for i := range h.Headers {
-		f := &h.Headers[i]
-		if h.hop(f.Name) {
+		header := &h.Headers[i]
+		if h.isHopByHop(header.Name) {
 			continue
 		}
-		out = append(out, f.Name...)
+		out = append(out, header.Name...)
 		out = append(out, ": "...)
-		out = append(out, f.Value...)
+		out = append(out, header.Value...)
 		out = append(out, "\r\n"...)
 	}
 	return out
 }
 
-// Path is the target's path, without query and, in absolute form, without scheme and host.
+// Path returns the path of the request target, without the query and, in absolute form, without scheme and host.
 func (r *Request) Path() []byte {
-	t := r.Target
-	if after, found := bytes.CutPrefix(t, []byte("http://")); found {
+	target := r.Target
+	if after, found := bytes.CutPrefix(target, []byte("http://")); found {
 		at := bytes.IndexByte(after, '/')
 		if at < 0 {
 			return []byte("/")
 		}
-		t = after[at:]
+		target = after[at:]
 	}
-	if at := bytes.IndexByte(t, '?'); at >= 0 {
-		t = t[:at]
+	if at := bytes.IndexByte(target, '?'); at >= 0 {
+		target = target[:at]
 	}
-	return t
+	return target
 }
--- a/http1/http1_test.go
+++ b/http1/http1_test.go
@@ -12,44 +12,44 @@
 
 const limit = 1024
 
-func TestRequestRefused(t *testing.T) {
+func TestParseRequestErrors(t *testing.T) {
 	long := strings.Repeat("a", limit)
 	cases := []struct {
 		name, in string
 		want     error
 	}{
-		{"both lengths", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", ErrLengths},
-		{"coding before length", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n", ErrLengths},
-		{"two lengths", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n", ErrLengths},
-		{"two equal lengths", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\n", ErrLengths},
-		{"a list of lengths", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3, 3\r\n\r\n", ErrLength},
-		{"a plus sign", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: +3\r\n\r\n", ErrLength},
-		{"a minus sign", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: -3\r\n\r\n", ErrLength},
-		{"a hex length", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0x3\r\n\r\n", ErrLength},
-		{"an empty length", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length:\r\n\r\n", ErrLength},
-		{"a length that overflows", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999999999999999\r\n\r\n", ErrLength},
-		{"two codings", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", ErrCoding},
-		{"coding twice", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", ErrCoding},
-		{"an odd coding", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: xchunked\r\n\r\n", ErrCoding},
-		{"coding under 1.0", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", ErrCodingOld},
-		{"a bare LF in a header", "GET / HTTP/1.1\r\nHost: x\nA: b\r\n\r\n", ErrBare},
-		{"a bare LF after the first line", "GET / HTTP/1.1\nHost: x\r\n\r\n", ErrBare},
-		{"a bare CR in a value", "GET / HTTP/1.1\r\nHost: x\r\nA: b\rc\r\n\r\n", ErrBare},
-		{"folding by space", "GET / HTTP/1.1\r\nHost: x\r\nA: b\r\n c\r\n\r\n", ErrFold},
-		{"folding by tab", "GET / HTTP/1.1\r\nHost: x\r\nA: b\r\n\tc\r\n\r\n", ErrFold},
-		{"a space before the colon", "GET / HTTP/1.1\r\nHost : x\r\n\r\n", ErrName},
-		{"no name", "GET / HTTP/1.1\r\n: x\r\n\r\n", ErrName},
-		{"no colon", "GET / HTTP/1.1\r\nHost\r\n\r\n", ErrName},
-		{"a NUL in a value", "GET / HTTP/1.1\r\nHost: x\r\nA: \x00\r\n\r\n", ErrValue},
-		{"no host", "GET / HTTP/1.1\r\n\r\n", ErrHost},
-		{"two hosts", "GET / HTTP/1.1\r\nHost: x\r\nHost: x\r\n\r\n", ErrHost},
-		{"a space in the target", "GET /a b HTTP/1.1\r\nHost: x\r\n\r\n", ErrLine},
-		{"a target without slash", "GET a HTTP/1.1\r\nHost: x\r\n\r\n", ErrLine},
+		{"Content-Length and Transfer-Encoding", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n", ErrAmbiguousLength},
+		{"Transfer-Encoding before Content-Length", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n", ErrAmbiguousLength},
+		{"two lengths", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n", ErrAmbiguousLength},
+		{"two equal Content-Lengths", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\n", ErrAmbiguousLength},
+		{"list of lengths", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3, 3\r\n\r\n", ErrContentLength},
+		{"length with a plus sign", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: +3\r\n\r\n", ErrContentLength},
+		{"length with a minus sign", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: -3\r\n\r\n", ErrContentLength},
+		{"length in hex", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0x3\r\n\r\n", ErrContentLength},
+		{"empty length", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length:\r\n\r\n", ErrContentLength},
+		{"length that overflows", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999999999999999\r\n\r\n", ErrContentLength},
+		{"two codings in one header", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", ErrTransferEncoding},
+		{"two Transfer-Encoding headers", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", ErrTransferEncoding},
+		{"unknown coding", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: xchunked\r\n\r\n", ErrTransferEncoding},
+		{"coding under HTTP/1.0", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", ErrTransferEncodingVersion},
+		{"bare LF in a header", "GET / HTTP/1.1\r\nHost: x\nA: b\r\n\r\n", ErrBareNewline},
+		{"bare LF after the request line", "GET / HTTP/1.1\nHost: x\r\n\r\n", ErrBareNewline},
+		{"bare CR in a value", "GET / HTTP/1.1\r\nHost: x\r\nA: b\rc\r\n\r\n", ErrBareNewline},
+		{"line folding with a space", "GET / HTTP/1.1\r\nHost: x\r\nA: b\r\n c\r\n\r\n", ErrLineFolding},
+		{"line folding with a tab", "GET / HTTP/1.1\r\nHost: x\r\nA: b\r\n\tc\r\n\r\n", ErrLineFolding},
+		{"space before the colon", "GET / HTTP/1.1\r\nHost : x\r\n\r\n", ErrHeaderName},
+		{"no header name", "GET / HTTP/1.1\r\n: x\r\n\r\n", ErrHeaderName},
+		{"no colon", "GET / HTTP/1.1\r\nHost\r\n\r\n", ErrHeaderName},
+		{"NUL in a value", "GET / HTTP/1.1\r\nHost: x\r\nA: \x00\r\n\r\n", ErrHeaderValue},
+		{"no Host", "GET / HTTP/1.1\r\n\r\n", ErrHost},
+		{"two Host headers", "GET / HTTP/1.1\r\nHost: x\r\nHost: x\r\n\r\n", ErrHost},
+		{"space in the target", "GET /a b HTTP/1.1\r\nHost: x\r\n\r\n", ErrRequestLine},
+		{"target without a slash", "GET a HTTP/1.1\r\nHost: x\r\n\r\n", ErrRequestLine},
 		{"HTTP/2", "GET / HTTP/2.0\r\nHost: x\r\n\r\n", ErrVersion},
 		{"CONNECT", "CONNECT a:1 HTTP/1.1\r\nHost: x\r\n\r\n", ErrMethod},
-		{"a head that is too large", "GET / HTTP/1.1\r\nHost: x\r\nA: " + long + "\r\n\r\n", ErrTooLarge},
-		{"a line without end", "GET /" + long + long, ErrTooLarge},
-		{"too many headers", "GET / HTTP/1.1\r\nHost: x\r\n" + strings.Repeat("a:b\r\n", 130) + "\r\n", ErrMany},
+		{"head above the limit", "GET / HTTP/1.1\r\nHost: x\r\nA: " + long + "\r\n\r\n", ErrHeadTooLarge},
+		{"unterminated line above the limit", "GET /" + long + long, ErrHeadTooLarge},
+		{"too many headers", "GET / HTTP/1.1\r\nHost: x\r\n" + strings.Repeat("a:b\r\n", 130) + "\r\n", ErrTooManyHeaders},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -61,20 +61,20 @@
 	}
 }
 
-func TestRequestRead(t *testing.T) {
+func TestParseRequest(t *testing.T) {
 	cases := []struct {
 		name, in, fields string
 		length           int64
 		close, cont      bool
 	}{
 		{"plain", "GET /a?b HTTP/1.1\r\nHost: x\r\nA:  b \r\n\r\nrest", "Host: x\r\nA: b\r\n", 0, false, false},
-		{"an empty line first", "\r\nGET / HTTP/1.1\r\nHost: x\r\n\r\n", "Host: x\r\n", 0, false, false},
+		{"leading empty line", "\r\nGET / HTTP/1.1\r\nHost: x\r\n\r\n", "Host: x\r\n", 0, false, false},
 		{"a body", "POST / HTTP/1.1\r\nHost: x\r\ncontent-LENGTH: 12\r\n\r\n", "Host: x\r\n", 12, false, false},
 		{"chunks", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: Chunked\r\nTrailer: a\r\n\r\n", "Host: x\r\n", Chunked, false, false},
-		{"hop by hop", "GET / HTTP/1.1\r\nHost: x\r\nConnection: close, Foo\r\nFoo: 1\r\nTE: trailers\r\nBar: 2\r\n\r\n", "Host: x\r\nBar: 2\r\n", 0, true,
+		{"hop-by-hop headers", "GET / HTTP/1.1\r\nHost: x\r\nConnection: close, Foo\r\nFoo: 1\r\nTE: trailers\r\nBar: 2\r\n\r\n", "Host: x\r\nBar: 2\r\n", 0, true,
 			false},
 		{"1.0", "GET / HTTP/1.0\r\n\r\n", "", 0, true, false},
-		{"1.0 kept alive", "GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", "", 0, false, false},
+		{"HTTP/1.0 keep-alive", "GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", "", 0, false, false},
 		{"expects", "POST / HTTP/1.1\r\nHost: x\r\nExpect: 100-Continue\r\nContent-Length: 1\r\n\r\n", "Host: x\r\n", 1, false, true},
 	}
 	for _, c := range cases {
@@ -85,7 +85,7 @@
 				t.Fatal(err)
 			}
 			if rest := c.in[n:]; rest != "" && rest != "rest" {
-				t.Errorf("left %q", rest)
+				t.Errorf("unparsed %q", rest)
 			}
 			if got := string(r.AppendFields(nil)); got != c.fields {
 				t.Errorf("fields %q, want %q", got, c.fields)
@@ -93,7 +93,7 @@
 			if r.Length != c.length || r.Close != c.close || r.ExpectContinue != c.cont {
 				t.Errorf("length %d close %t continue %t", r.Length, r.Close, r.ExpectContinue)
 			}
-			for cut := 0; cut < n; cut++ { // any part of it is incomplete, never refused
+			for cut := 0; cut < n; cut++ { // every prefix is incomplete, not invalid
 				if _, err := r.Parse([]byte(c.in[:cut]), limit); err != ErrIncomplete {
 					t.Fatalf("cut at %d: %v", cut, err)
 				}
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestResponseRead(t *testing.T) {
+func TestParseResponse(t *testing.T) {
 	cases := []struct {
 		name, in string
 		head     bool
@@ -111,12 +111,12 @@
 		want     error
 	}{
 		{"length", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", false, 5, 200, nil},
-		{"no reason", "HTTP/1.1 200\r\nContent-Length: 5\r\n\r\n", false, 5, 200, nil},
+		{"no reason phrase", "HTTP/1.1 200\r\nContent-Length: 5\r\n\r\n", false, 5, 200, nil},
 		{"until close", "HTTP/1.1 200 OK\r\n\r\n", false, UntilClose, 200, nil},
 		{"chunks", "HTTP/1.1 500 No\r\nTransfer-Encoding: chunked\r\n\r\n", false, Chunked, 500, nil},
-		{"no body by status", "HTTP/1.1 204 No\r\n\r\n", false, 0, 204, nil},
+		{"no body for the status", "HTTP/1.1 204 No\r\n\r\n", false, 0, 204, nil},
 		{"no body after HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n", true, 0, 200, nil},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n", false, 0, 0, ErrLengths},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n", false, 0, 0, ErrAmbiguousLength},
 		{"garbage", "\x00\x01 what is this\r\n\r\n", false, 0, 0, ErrStatusLine},
 		{"status with letters", "HTTP/1.1 2x0 OK\r\n\r\n", false, 0, 0, ErrStatusLine},
 		{"status out of range", "HTTP/1.1 999 OK\r\n\r\n", false, 0, 0, ErrStatusLine},
@@ -132,49 +132,49 @@
 	}
 }
 
-// dechunk feeds a body in pieces of a size, as reads would bring it.
+// dechunk decodes a body that arrives in pieces of the given size. rest is the number of bytes after the body.
 func dechunk(in []byte, size int) (body []byte, rest int, err error) {
 	var d Dechunker
-	have, at := []byte{}, 0
+	buf, pos := []byte{}, 0
 	for {
-		took, data, done, err := d.Next(have)
+		consumed, data, done, err := d.Next(buf)
 		body = append(body, data...)
-		have = have[took:]
+		buf = buf[consumed:]
 		if done {
-			return body, len(have) + len(in) - at, nil
+			return body, len(buf) + len(in) - pos, nil
 		}
 		if err != nil && err != ErrIncomplete {
 			return body, 0, err
 		}
 		if err == ErrIncomplete {
-			if at == len(in) {
+			if pos == len(in) {
 				return body, 0, ErrIncomplete
 			}
-			n := min(size, len(in)-at)
-			have = append(append([]byte{}, have...), in[at:at+n]...)
-			at += n
+			n := min(size, len(in)-pos)
+			buf = append(append([]byte{}, buf...), in[pos:pos+n]...)
+			pos += n
 		}
 	}
 }
 
-func TestChunks(t *testing.T) {
+func TestDechunker(t *testing.T) {
 	cases := []struct {
 		name, in, body string
 		rest           int
 		want           error
 	}{
 		{"plain", "3\r\nabc\r\n0\r\n\r\n", "abc", 0, nil},
-		{"two and a rest", "3\r\nabc\r\nA\r\n0123456789\r\n0\r\n\r\nGET", "abc0123456789", 3, nil},
+		{"two chunks and following bytes", "3\r\nabc\r\nA\r\n0123456789\r\n0\r\n\r\nGET", "abc0123456789", 3, nil},
 		{"extension", "3;a=b\r\nabc\r\n0\r\n\r\n", "abc", 0, nil},
 		{"trailer", "1\r\na\r\n0\r\nX: y\r\n\r\n", "a", 0, nil},
 		{"bare LF", "3\nabc\r\n0\r\n\r\n", "", 0, ErrChunk},
-		{"no digits", "\r\nabc", "", 0, ErrChunk},
-		{"a sign", "+3\r\nabc\r\n0\r\n\r\n", "", 0, ErrChunk},
-		{"a prefix", "0x3\r\nabc\r\n0\r\n\r\n", "", 0, ErrChunk},
+		{"no chunk size", "\r\nabc", "", 0, ErrChunk},
+		{"size with a sign", "+3\r\nabc\r\n0\r\n\r\n", "", 0, ErrChunk},
+		{"size with a prefix", "0x3\r\nabc\r\n0\r\n\r\n", "", 0, ErrChunk},
 		{"overflow", "fffffffffffffffff\r\n", "", 0, ErrChunk},
-		{"data longer than told", "3\r\nabcd\r\n0\r\n\r\n", "abc", 0, ErrChunk},
-		{"a folded trailer", "0\r\nX: y\r\n z\r\n\r\n", "", 0, ErrChunk},
-		{"cut off", "3\r\nab", "ab", 0, ErrIncomplete},
+		{"data longer than the chunk size", "3\r\nabcd\r\n0\r\n\r\n", "abc", 0, ErrChunk},
+		{"folded trailer", "0\r\nX: y\r\n z\r\n\r\n", "", 0, ErrChunk},
+		{"truncated chunk", "3\r\nab", "ab", 0, ErrIncomplete},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -188,24 +188,24 @@
 	}
 }
 
-func TestAllocatesNothing(t *testing.T) {
+func TestParseDoesNotAllocate(t *testing.T) {
 	in := []byte("POST /a HTTP/1.1\r\nHost: x\r\nA: b\r\nConnection: keep-alive\r\nContent-Length: 3\r\n\r\n")
 	out := []byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nA: b\r\n\r\n")
 	var r Request
-	var a Response
+	var resp Response
 	buf := make([]byte, 0, 512)
 	n := testing.AllocsPerRun(100, func() {
 		r.Parse(in, limit)
 		buf = r.AppendFields(buf[:0])
-		a.Parse(out, limit, false)
-		buf = AppendChunk(a.AppendFields(buf[:0]), in)
+		resp.Parse(out, limit, false)
+		buf = AppendChunk(resp.AppendFields(buf[:0]), in)
 	})
 	if n != 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
 
-// FuzzRequest holds the parser against net/http: what it takes, the other reader must understand the same way.
+// FuzzRequest compares the parser with net/http: a request that both accept must mean the same to both.
 func FuzzRequest(f *testing.F) {
 	for _, s := range []string{"GET / HTTP/1.1\r\nHost: x\r\n\r\n", "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc",
 		"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", "GET http://h/p HTTP/1.0\r\n\r\n",
@@ -218,31 +218,31 @@
 		var fault *ParseError
 		if err != nil {
 			if err != ErrIncomplete && !errors.As(err, &fault) {
-				t.Fatalf("odd error %v", err)
+				t.Fatalf("unexpected error %v", err)
 			}
 			return
 		}
 		if n <= 0 || n > len(in) {
-			t.Fatalf("took %d of %d", n, len(in))
+			t.Fatalf("consumed %d of %d", n, len(in))
 		}
 		other, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(in)))
 		if err != nil {
-			return // the other is stricter about what a URL or a host may hold; that does no harm
+			return // net/http is stricter about URLs and hosts; rejecting less is harmless here
 		}
 		if other.Method != string(r.Method) || other.RequestURI != string(r.Target) {
-			t.Fatalf("read as %s %s, by net/http as %s %s", r.Method, r.Target, other.Method, other.RequestURI)
+			t.Fatalf("parsed as %s %s, by net/http as %s %s", r.Method, r.Target, other.Method, other.RequestURI)
 		}
 		if other.ContentLength != r.Length && !(r.Length == Chunked && len(other.TransferEncoding) == 1) {
 			t.Fatalf("length %d, by net/http %d", r.Length, other.ContentLength)
 		}
 		if r.Length == Chunked {
-			want, errOther := io.ReadAll(other.Body)
-			got, _, errOurs := dechunk(in[n:], 7)
-			if errOurs == nil && errOther == nil && !bytes.Equal(got, want) {
+			want, otherErr := io.ReadAll(other.Body)
+			got, _, ownErr := dechunk(in[n:], 7)
+			if ownErr == nil && otherErr == nil && !bytes.Equal(got, want) {
 				t.Fatalf("body %q, by net/http %q", got, want)
 			}
-			if errOurs == nil && errOther != nil && !strings.Contains(errOther.Error(), "trailer") {
-				t.Logf("net/http is stricter: %v", errOther)
+			if ownErr == nil && otherErr != nil && !strings.Contains(otherErr.Error(), "trailer") {
+				t.Logf("net/http is stricter: %v", otherErr)
 			}
 		}
 	})
@@ -254,7 +254,7 @@
 	f.Fuzz(func(t *testing.T, in []byte, head bool) {
 		var r Response
 		if n, err := r.Parse(in, 4096, head); err == nil && (n <= 0 || n > len(in) || r.Status < 100 || r.Status > 599 || r.Length < UntilClose) {
-			t.Fatalf("took %d of %d: %+v", n, len(in), r)
+			t.Fatalf("consumed %d of %d: %+v", n, len(in), r)
 		}
 	})
 }
