--- a/edge/accept.go
+++ b/edge/accept.go
@@ -31,12 +31,12 @@
 			p.log.Info("accepts again", zap.Int("failed", failed))
 			failed = 0
 		}
-		p.admit(c)
+		p.assignToLoop(c)
 	}
 }
 
-// admit hands a new connection to the loop that has fewest, or resets it where there are far too many. Nothing of it was read.
-func (p *Process) admit(c net.Conn) {
+// assignToLoop hands a new connection to the loop that has fewest, or resets it where there are far too many. Nothing of it was read.
+func (p *Process) assignToLoop(c net.Conn) {
 	over := p.openClients.Load() - int64(p.cfg.ClientLimits.MaxConnections)
 	if over >= int64(p.cfg.ClientLimits.OverflowConnections) {
 		if t, ok := c.(*net.TCPConn); ok {
@@ -62,8 +62,8 @@
 	}
 }
 
-// longestQueue bounds what can wait to be accepted when the listener ends; a crowd that goes on coming must not hold that up.
-const longestQueue = 4096
+// maxBacklog bounds what can wait to be accepted when the listener ends; a crowd that goes on coming must not hold that up.
+const maxBacklog = 4096
 
 // closeListener takes the connections that the kernel has accepted so far and closes the listener, which resets those that come in between:
 // nothing of them was read. When it returns, each connection that was taken is on the books of its loop.
@@ -81,21 +81,21 @@
 		return
 	}
 	raw.Control(func(fd uintptr) {
-		for range longestQueue {
-			c, err := acceptNow(int(fd))
+		for range maxBacklog {
+			c, err := acceptPending(int(fd))
 			if err != nil {
 				if err != unix.EAGAIN {
 					p.log.Warn("the last accept failed", zap.Error(err))
 				}
 				return
 			}
-			p.admit(c)
+			p.assignToLoop(c)
 		}
 	})
 }
 
-// acceptNow takes a connection that waits to be accepted; the error is unix.EAGAIN where there is none.
-func acceptNow(listener int) (net.Conn, error) {
+// acceptPending takes a connection that waits to be accepted; the error is unix.EAGAIN where there is none.
+func acceptPending(listener int) (net.Conn, error) {
 	for {
 		fd, _, err := unix.Accept4(listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		switch err {
--- a/edge/client.go
+++ b/edge/client.go
@@ -6,100 +6,103 @@
 	"dunegrade/logic"
 )
 
-// acceptedClient is what the acceptor hands over with a connection: bytes that were read before, where it comes back
-// from a carrier.
-type acceptedClient struct{ early []byte }
+// acceptedClient is the context with which a client connection is enrolled in its event loop.
+type acceptedClient struct {
+	buffered []byte // bytes read before the enrollment; only set on a connection that returns from a streamRelay
+}
 
-// clientState is what a client's connection waits for.
+// clientState is the state of a client connection.
 type clientState uint8
 
 const (
-	reading clientState = iota // a request, or waiting for one
-	inHand                     // the txn's answer
-	onlyOut                    // the last answer leaves, then the connection closes
+	stateReading  clientState = iota // reads a request or waits for one
+	stateInHand                      // a txn awaits its answer
+	stateFlushing                    // the last answer is being sent; the connection closes after it
 )
 
-// clientConn is one connection of a client.
+// clientConn is one client connection.
 type clientConn struct {
-	l        *loop
-	c        gnet.Conn
-	at       int32
-	gen      uint32
-	serial   uint64 // of the connection in this sentry's life
-	state    clientState
-	closed   bool
-	protocol clientProtocol
-	call     *call   // that is being read, or is in hand: the one whose answer is next
-	behind   []queue // what was taken behind it, in order
-	last     bool    // nothing more is taken, and after the last answer the connection ends
-	overfull bool    // more was sent ahead of its answers than is kept
-	early    []byte
-	opened   logic.Nanos
-	since    logic.Nanos // when this state began
-	armed    logic.Nanos // when it will be looked at; 0: not
-	served   uint64
-	unsent   int // bytes not sent when last looked at
-	unsentN  logic.Nanos
-	holds    int       // bytes that came and were not used yet
-	came     int64     // bytes that came in all, and
-	usedUp   int64     // those that were used
-	marks    []mark    // when those that were not used came, oldest first
-	ends     endReason // where the last answer leaves: why the connection ends then
+	l                *loop
+	c                gnet.Conn
+	at               int32  // slot in loop.clientConns
+	gen              uint32 // generation of the slot
+	serial           uint64 // number of the connection among those its sentry has accepted
+	state            clientState
+	closed           bool
+	protocol         clientProtocol
+	call             *call           // the call being read, or the one whose answer is sent next
+	pipelined        []pipelinedCall // calls admitted behind call, in order of arrival
+	closeAfterAnswer bool            // no further requests are admitted; the connection closes after the last answer
+	inputDropped     bool            // pipelined input was discarded because it exceeded a limit
+	buffered         []byte          // bytes received before the connection was enrolled, not consumed yet
+	openedAt         logic.Nanos
+	stateSince       logic.Nanos // start of the current state
+	armed            logic.Nanos // time of the next scheduled check; 0: none
+	answersSent      uint64
+	lastUnsent       int         // unsent bytes at the last check
+	unsentSince      logic.Nanos // time since which lastUnsent has not changed
+	countedBytes     int         // received but unconsumed bytes that are included in loop.heldBytes
+	receivedBytes    int64       // total bytes received
+	consumedBytes    int64       // total bytes consumed
+	arrivals         []arrival   // arrival times of the unconsumed bytes, oldest first
+	closeReason      endReason   // in stateFlushing: the reason with which the connection will be closed
 }
 
-// queue is a txn taken behind others of its connection. Its answer waits for its turn.
-type queue struct {
-	call   *call // nil once it is answered
+// pipelinedCall is a call admitted behind others of its connection. Its answer is held until the earlier ones are sent.
+type pipelinedCall struct {
+	call   *call // nil once answered
 	answer []byte
 }
 
-// mark notes that a connection's bytes up to one had come by a time.
-type mark struct {
-	end int64
-	at  logic.Nanos
+// arrival records that all bytes of a connection's input before offset were received by the time at.
+type arrival struct {
+	offset int64
+	at     logic.Nanos
 }
 
-// marksMost is how many pieces of what waits are told apart.
-const marksMost = 64
+// maxArrivals bounds the arrival records of one connection.
+const maxArrivals = 64
 
-// recordArrival notes what has just come. Danger: what waits behind others has its time from when it came, not from when its turn
-// comes. Of very many small pieces the later ones count as come with those before: too early does no harm.
+// recordArrival records the arrival time of newly received bytes. A pipelined statement's timeout runs from its arrival,
+// not from when its turn comes. Beyond maxArrivals, new bytes share the time of the last record: a time that is too early
+// does no harm.
 func (cc *clientConn) recordArrival() {
-	n := len(cc.early) + cc.c.InboundBuffered() - cc.holds
+	n := len(cc.buffered) + cc.c.InboundBuffered() - cc.countedBytes
 	if n <= 0 {
 		return
 	}
-	cc.came += int64(n)
-	if last := len(cc.marks) - 1; len(cc.marks) >= marksMost || last >= 0 && cc.marks[last].at == cc.l.now {
-		cc.marks[last].end = cc.came
+	cc.receivedBytes += int64(n)
+	if last := len(cc.arrivals) - 1; len(cc.arrivals) >= maxArrivals || last >= 0 && cc.arrivals[last].at == cc.l.now {
+		cc.arrivals[last].offset = cc.receivedBytes
 		return
 	}
-	cc.marks = append(cc.marks, mark{cc.came, cc.l.now})
+	cc.arrivals = append(cc.arrivals, arrival{cc.receivedBytes, cc.l.now})
 }
 
-// cameBy gives when the last of the next size bytes came.
-func (cc *clientConn) cameBy(size int) logic.Nanos {
-	for _, m := range cc.marks {
-		if m.end >= cc.usedUp+int64(size) {
-			return m.at
+// arrivalTime returns when the last of the next size unconsumed bytes was received.
+func (cc *clientConn) arrivalTime(size int) logic.Nanos {
+	for _, a := range cc.arrivals {
+		if a.offset >= cc.consumedBytes+int64(size) {
+			return a.at
 		}
 	}
 	return cc.l.now
 }
 
-// aheadMost is how many txns of one connection may be in hand behind the first.
-const aheadMost = 7
+// maxPipelinedTxns is the maximum number of txns of one connection that are admitted behind the first.
+const maxPipelinedTxns = 7
 
-// mayTakeAhead tells whether a txn may be taken behind one that is in hand. Danger: one by one, those behind a slow answer
-// would wait for longer than their clients do; without a bound, answers that wait for their turn would fill memory.
-func (cc *clientConn) mayTakeAhead() bool {
+// canPipeline reports whether another txn may be admitted behind the current one. Handled one at a time, the txns behind
+// a slow answer would exceed their clients' timeouts; without limits, answers held for their turn would exhaust memory.
+func (cc *clientConn) canPipeline() bool {
 	held := 0
-	for i := range cc.behind {
-		held += len(cc.behind[i].answer)
+	for i := range cc.pipelined {
+		held += len(cc.pipelined[i].answer)
 	}
-	return !cc.closed && !cc.last && cc.call != nil && cc.call.admitted && len(cc.behind) < aheadMost && int64(held) < cc.l.p.cfg.ClientLimits.MaxUnsentBytes
+	return !cc.closed && !cc.closeAfterAnswer && cc.call != nil && cc.call.admitted && len(cc.pipelined) < maxPipelinedTxns && int64(held) < cc.l.p.cfg.ClientLimits.MaxUnsentBytes
 }
 
+// clientByToken returns the open client connection with this slot token, or nil.
 func (l *loop) clientByToken(token uint64) *clientConn {
 	at := int32(uint32(token))
 	if int(at) >= len(l.clientConns.items) {
@@ -113,23 +116,23 @@
 
 func (l *loop) openClient(c gnet.Conn, d *acceptedClient) {
 	at, cc := l.clientConns.get()
-	was, behind, marks := cc.protocol, cc.behind[:0], cc.marks[:0]
-	*cc = clientConn{behind: behind, marks: marks, l: l, c: c, at: at, gen: cc.gen + 1, opened: l.now, since: l.now, early: d.early}
-	cc.protocol = l.p.protocol.newClientProtocol(cc, was)
+	reused, pipelined, arrivals := cc.protocol, cc.pipelined[:0], cc.arrivals[:0]
+	*cc = clientConn{pipelined: pipelined, arrivals: arrivals, l: l, c: c, at: at, gen: cc.gen + 1, openedAt: l.now, stateSince: l.now, buffered: d.buffered}
+	cc.protocol = l.p.protocol.newClientProtocol(cc, reused)
 	c.SetContext(cc)
 	l.stats.clientsAccepted++
 	cc.serial = l.stats.clientsAccepted
-	l.armClient(cc, l.now+logic.Nanos(min(l.p.cfg.ClientLimits.IdleTimeout, l.p.cfg.ClientLimits.HeadTimeout)))
-	if len(cc.early) > 0 {
+	l.scheduleClientCheck(cc, l.now+logic.Nanos(min(l.p.cfg.ClientLimits.IdleTimeout, l.p.cfg.ClientLimits.HeadTimeout)))
+	if len(cc.buffered) > 0 {
 		cc.read()
 	}
-	if l.draining && !cc.closed { // it came back from a carrier
-		l.armClient(cc, l.now)
+	if l.draining && !cc.closed { // the connection returned from a streamRelay
+		l.scheduleClientCheck(cc, l.now)
 	}
 }
 
-// armClient has the connection looked at by then; it is in the heap once at the most.
-func (l *loop) armClient(cc *clientConn, at logic.Nanos) {
+// scheduleClientCheck schedules a check of the connection at the given time, unless an earlier one is already pending.
+func (l *loop) scheduleClientCheck(cc *clientConn, at logic.Nanos) {
 	if cc.armed != 0 && cc.armed <= at {
 		return
 	}
@@ -137,93 +140,95 @@
 	l.timers.push(timer{at: at, token: slotToken(cc.at, cc.gen), kind: timerClientConn})
 }
 
-// checkClient ends what has waited for too long. Slow heads and bodies hold memory, so each has its limit.
+// checkClient enforces the connection's timeouts and schedules the next check. Slow heads and bodies hold memory, so each
+// has a timeout.
 func (l *loop) checkClient(cc *clientConn) {
-	d := &l.p.cfg.ClientLimits
+	limits := &l.p.cfg.ClientLimits
 	until := logic.Nanos(0)
 	switch cc.state {
-	case reading:
-		if l.draining && cc.rests() {
+	case stateReading:
+		if l.draining && cc.quiescent() {
 			l.drainClient(cc)
 			return
 		}
-		if until = cc.protocol.waits(); cc.closed || until == 0 && cc.state == reading {
+		if until = cc.protocol.checkTimeout(); cc.closed || until == 0 && cc.state == stateReading {
 			return
 		}
-	case inHand:
-		until = l.now + logic.Nanos(d.IdleTimeout)
+	case stateInHand:
+		until = l.now + logic.Nanos(limits.IdleTimeout)
 	}
-	if out := cc.c.OutboundBuffered(); out > 0 || cc.state == onlyOut {
+	if out := cc.c.OutboundBuffered(); out > 0 || cc.state == stateFlushing {
 		if out == 0 {
-			cc.close(cc.ends)
+			cc.close(cc.closeReason)
 			return
 		}
-		if out != cc.unsent {
-			cc.unsent, cc.unsentN = out, l.now
-		} else if l.now-cc.unsentN > logic.Nanos(d.SlowReaderTimeout) {
+		if out != cc.lastUnsent {
+			cc.lastUnsent, cc.unsentSince = out, l.now
+		} else if l.now-cc.unsentSince > logic.Nanos(limits.SlowReaderTimeout) {
 			l.stats.slowReaders++
 			cc.abort(endSlowReader)
 			return
 		}
 		wait := l.now + 50*logic.Millisecond
-		if cc.state == onlyOut {
+		if cc.state == stateFlushing {
 			wait = l.now + 2*logic.Millisecond
 		}
 		until = min(max(until, wait), wait)
 	}
-	l.armClient(cc, until)
+	l.scheduleClientCheck(cc, until)
 }
 
-// shed ends the connection that can best be done without, where there is one: one that has asked nothing for longest,
-// else one that is idle for longest. Danger: clients that open connections and say nothing would lock out the others.
+// shed closes one idle connection if the connection limit is reached: preferably the oldest that has not sent a request
+// yet, else the one that has been idle longest. Without this, clients that open connections and send nothing would lock
+// out the others.
 func (l *loop) shed() {
 	if l.p.openClients.Load() < int64(l.p.cfg.ClientLimits.MaxConnections) {
 		return
 	}
 	var best *clientConn
 	for _, cc := range l.clientConns.items {
-		if cc.closed || cc.c == nil || cc.state != reading || !cc.protocol.fresh() || cc.c.OutboundBuffered() > 0 || l.now-cc.since < newcomer ||
-			cc.served > 0 && l.now-cc.since < logic.Nanos(l.p.cfg.ClientLimits.PressureIdleTimeout) {
+		if cc.closed || cc.c == nil || cc.state != stateReading || !cc.protocol.betweenRequests() || cc.c.OutboundBuffered() > 0 || l.now-cc.stateSince < newConnGrace ||
+			cc.answersSent > 0 && l.now-cc.stateSince < logic.Nanos(l.p.cfg.ClientLimits.PressureIdleTimeout) {
 			continue
 		}
-		if best != nil && (cc.served > 0 && best.served == 0 || (cc.served == 0) == (best.served == 0) && cc.since >= best.since) {
+		if best != nil && (cc.answersSent > 0 && best.answersSent == 0 || (cc.answersSent == 0) == (best.answersSent == 0) && cc.stateSince >= best.stateSince) {
 			continue
 		}
-		if !cc.unread() { // else its request is here already
+		if !cc.hasUnread() { // otherwise its next request has already arrived
 			best = cc
 		}
 	}
-	if best != nil && best.retire(endShed) {
+	if best != nil && best.closeIfQuiescent(endShed) {
 		l.stats.shed++
 	}
 }
 
-// newcomer is how long a connection that has asked nothing yet is spared: its first request may be on its way.
-const newcomer = 100 * logic.Millisecond
+// newConnGrace is how long a new connection is exempt from shedding, as its first request may be in flight.
+const newConnGrace = 100 * logic.Millisecond
 
-// gone books the end of the connection; a txn in hand loses its client.
+// gone records the end of the connection, abandons its calls and frees its slot.
 func (cc *clientConn) gone(why endReason) {
 	l := cc.l
-	cc.bookEnd(why)
+	cc.recordEnd(why)
 	cc.closed = true
 	l.clientCount.Add(-1)
 	l.p.openClients.Add(-1)
 	first := cc.call
 	cc.call = nil
-	cc.leaves(first)
-	for i := range cc.behind {
-		cc.leaves(cc.behind[i].call)
-		cc.behind[i] = queue{}
-	}
-	cc.behind = cc.behind[:0]
-	l.heldBytes -= cc.holds
-	cc.c, cc.early, cc.holds = nil, nil, 0
+	cc.abandonCall(first)
+	for i := range cc.pipelined {
+		cc.abandonCall(cc.pipelined[i].call)
+		cc.pipelined[i] = pipelinedCall{}
+	}
+	cc.pipelined = cc.pipelined[:0]
+	l.heldBytes -= cc.countedBytes
+	cc.c, cc.buffered, cc.countedBytes = nil, nil, 0
 	cc.gen++
 	l.clientConns.put(cc.at)
 }
 
-// leaves books that a txn's client has gone.
-func (cc *clientConn) leaves(c *call) {
+// abandonCall detaches a call from its client and reports to the module that the client has left.
+func (cc *clientConn) abandonCall(c *call) {
 	if c == nil {
 		return
 	}
@@ -239,45 +244,46 @@
 	l.endWaitingSubs(c)
 }
 
-// account counts the bytes that are held for clients. Danger: each connection's are bounded, but those of many at once
-// would still fill memory; past the bound in sum the one that holds most gives its up.
-func (cc *clientConn) account() {
+// accountHeldBytes updates the total of received but unconsumed bytes and enforces its limit. Each connection's input is
+// bounded, but many connections together could still exhaust memory; over the limit, the connection that holds most
+// loses its input.
+func (cc *clientConn) accountHeldBytes() {
 	l := cc.l
 	if cc.closed {
 		return
 	}
-	n := len(cc.early) + cc.c.InboundBuffered()
-	l.heldBytes += n - cc.holds
-	cc.holds = n
-	bound := l.p.cfg.ClientLimits.MaxHeldBytes
-	for bound > 0 && l.heldBytes > bound {
-		most := cc
+	n := len(cc.buffered) + cc.c.InboundBuffered()
+	l.heldBytes += n - cc.countedBytes
+	cc.countedBytes = n
+	limit := l.p.cfg.ClientLimits.MaxHeldBytes
+	for limit > 0 && l.heldBytes > limit {
+		largest := cc
 		for _, other := range l.clientConns.items {
-			if !other.closed && other.c != nil && other.holds > most.holds {
-				most = other
+			if !other.closed && other.c != nil && other.countedBytes > largest.countedBytes {
+				largest = other
 			}
 		}
 		l.stats.overHeldBytes++
-		if most.call != nil && most.call.admitted { // its answer is owed; what it sent behind that is not looked at
-			most.last, most.overfull, most.call.keepAlive = true, true, false
-			most.used(len(most.input()))
-			l.heldBytes -= most.holds
-			most.holds = 0
+		if largest.call != nil && largest.call.admitted { // the admitted call is still answered; input behind it is discarded
+			largest.closeAfterAnswer, largest.inputDropped, largest.call.keepAlive = true, true, false
+			largest.discardInput(len(largest.input()))
+			l.heldBytes -= largest.countedBytes
+			largest.countedBytes = 0
 		} else {
-			most.abort(endOverfull)
+			largest.abort(endOverfull)
 		}
 	}
 }
 
-// input gives the bytes in hand. used says how many of them were taken.
+// input returns the received but unconsumed bytes. discardInput consumes them.
 func (cc *clientConn) input() []byte {
-	if len(cc.early) > 0 {
+	if len(cc.buffered) > 0 {
 		if n := cc.c.InboundBuffered(); n > 0 {
 			more, _ := cc.c.Peek(n)
-			cc.early = append(cc.early, more...)
+			cc.buffered = append(cc.buffered, more...)
 			cc.c.Discard(n)
 		}
-		return cc.early
+		return cc.buffered
 	}
 	n := cc.c.InboundBuffered()
 	if n == 0 {
@@ -287,45 +293,47 @@
 	return b
 }
 
-func (cc *clientConn) used(n int) {
+// discardInput consumes the first n bytes of the input.
+func (cc *clientConn) discardInput(n int) {
 	if n == 0 {
 		return
 	}
-	cc.usedUp += int64(n)
-	for len(cc.marks) > 0 && cc.marks[0].end <= cc.usedUp {
-		cc.marks = cc.marks[:copy(cc.marks, cc.marks[1:])]
+	cc.consumedBytes += int64(n)
+	for len(cc.arrivals) > 0 && cc.arrivals[0].offset <= cc.consumedBytes {
+		cc.arrivals = cc.arrivals[:copy(cc.arrivals, cc.arrivals[1:])]
 	}
-	if len(cc.early) > 0 {
-		if cc.early = cc.early[n:]; len(cc.early) == 0 {
-			cc.early = nil
+	if len(cc.buffered) > 0 {
+		if cc.buffered = cc.buffered[n:]; len(cc.buffered) == 0 {
+			cc.buffered = nil
 		}
 		return
 	}
 	cc.c.Discard(n)
 }
 
-// read takes what has come in, and counts what is left of it.
+// read processes the received input and accounts for what remains of it.
 func (cc *clientConn) read() {
-	cc.take()
-	cc.account()
+	cc.parseInput()
+	cc.accountHeldBytes()
 }
 
-// take takes what has come in as far as it goes. It stops at a whole txn, since answers keep their order.
-func (cc *clientConn) take() {
+// parseInput parses requests from the input until it is incomplete. It stops after a complete request unless further ones
+// may be pipelined, since answers are sent in the order of requests.
+func (cc *clientConn) parseInput() {
 	l := cc.l
 	for !cc.closed {
 		in := cc.input()
-		if cc.state == reading || cc.state == inHand && cc.protocol.ahead() && cc.mayTakeAhead() {
+		if cc.state == stateReading || cc.state == stateInHand && cc.protocol.supportsPipelining() && cc.canPipeline() {
 			if len(in) == 0 || !cc.protocol.read(in) {
 				return
 			}
 			continue
 		}
-		// Danger: the event loop reads on whatever is sent, so a client that pipelines without end fills
-		// memory. Past the limit its further requests are dropped, and the connection after its answer.
-		if len(in) > l.p.cfg.ClientLimits.MaxPipelinedBytes || cc.state == onlyOut {
-			cc.used(len(in))
-			cc.last, cc.overfull = true, cc.state != onlyOut
+		// The event loop cannot stop reading, so a client that pipelines without limit would exhaust memory. Over the
+		// limit, further requests are discarded and the connection closes after its answer.
+		if len(in) > l.p.cfg.ClientLimits.MaxPipelinedBytes || cc.state == stateFlushing {
+			cc.discardInput(len(in))
+			cc.closeAfterAnswer, cc.inputDropped = true, cc.state != stateFlushing
 			if cc.call != nil {
 				cc.call.keepAlive = false
 			}
@@ -334,19 +342,19 @@
 	}
 }
 
-// whole hands a txn that has come in whole to the module.
-func (cc *clientConn) whole(c *call) {
+// admitCall hands a completely received txn to the module and sets its expiry timers.
+func (cc *clientConn) admitCall(c *call) {
 	l := cc.l
 	if c == cc.call {
-		cc.state, cc.since = inHand, l.now
+		cc.state, cc.stateSince = stateInHand, l.now
 	}
 	c.admitted = true
 	l.stats.admitted++
 	c.txn.ID = c.id()
-	if l.draining { // it is answered while its answer can still be delivered
+	if l.draining { // the txn expires early enough for its answer to be delivered
 		c.txn.Expiry = min(c.txn.Expiry, l.answerDeadline)
 	}
-	if c.txn.Expiry < l.now { // the body took all the time there was
+	if c.txn.Expiry < l.now { // the time ran out while the request was received
 		c.txn.Expiry = l.now + 1
 	}
 	if at := c.txn.Expiry - halfCloseLead; at > l.now && l.p.platform != nil {
@@ -356,14 +364,12 @@
 	l.enqueue(event{kind: evAdmit, call: c})
 }
 
-// ---- Answers ----
-
-// put sends bytes to the client.
-func (cc *clientConn) put(b []byte) {
+// write sends bytes to the client, and aborts the connection if too many remain unsent.
+func (cc *clientConn) write(b []byte) {
 	if cc.closed {
 		return
 	}
-	cc.c.Write(b) // a fault closes the connection, which OnClose tells
+	cc.c.Write(b) // an error closes the connection and calls OnClose
 	if cc.closed {
 		return
 	}
@@ -373,33 +379,33 @@
 			cc.abort(endSlowReader)
 			return
 		}
-		cc.l.armClient(cc, cc.l.now+50*logic.Millisecond)
+		cc.l.scheduleClientCheck(cc, cc.l.now+50*logic.Millisecond)
 	}
 }
 
-// answer sends what c's client is to get, or keeps it for its turn.
+// answer sends c's answer, or holds it until the answers before it are sent.
 func (cc *clientConn) answer(c *call, b []byte) {
 	if c == cc.call {
-		cc.put(b)
+		cc.write(b)
 		return
 	}
-	for i := range cc.behind {
-		if cc.behind[i].call == c {
-			cc.behind[i].answer = append([]byte(nil), b...)
+	for i := range cc.pipelined {
+		if cc.pipelined[i].call == c {
+			cc.pipelined[i].answer = append([]byte(nil), b...)
 		}
 	}
 }
 
-// finish ends a txn that has its answer, on a connection that is still open.
+// finish releases a call whose answer has been written, on a connection that is still open.
 func (cc *clientConn) finish(c *call) {
 	if c == cc.call {
 		cc.answered()
 		return
 	}
-	for i := range cc.behind {
-		if cc.behind[i].call == c {
-			cc.behind[i].call = nil
-			cc.last = cc.last || !c.keepAlive || c.closesConn
+	for i := range cc.pipelined {
+		if cc.pipelined[i].call == c {
+			cc.pipelined[i].call = nil
+			cc.closeAfterAnswer = cc.closeAfterAnswer || !c.keepAlive || c.closesConn
 			c.answered, c.client = true, nil
 			cc.l.releaseCall(c)
 			return
@@ -407,50 +413,51 @@
 	}
 }
 
-// answered ends the txn in hand for its client, and sends the answers that waited for it.
+// answered releases the current call and sends the held answers that follow it. Then the connection continues with the
+// next call, is closed, or waits for the next request.
 func (cc *clientConn) answered() {
 	l, c := cc.l, cc.call
-	closes := c.closesConn
-	cc.last = cc.last || !c.keepAlive || closes
+	closesConn := c.closesConn
+	cc.closeAfterAnswer = cc.closeAfterAnswer || !c.keepAlive || closesConn
 	c.answered, c.client, cc.call = true, nil, nil
-	cc.served++
+	cc.answersSent++
 	l.releaseCall(c)
-	for len(cc.behind) > 0 && !cc.closed && cc.call == nil {
-		next := cc.behind[0]
-		n := copy(cc.behind, cc.behind[1:])
-		cc.behind[n] = queue{}
-		cc.behind = cc.behind[:n]
+	for len(cc.pipelined) > 0 && !cc.closed && cc.call == nil {
+		next := cc.pipelined[0]
+		n := copy(cc.pipelined, cc.pipelined[1:])
+		cc.pipelined[n] = pipelinedCall{}
+		cc.pipelined = cc.pipelined[:n]
 		if cc.call = next.call; cc.call == nil {
-			cc.served++
-			cc.put(next.answer)
+			cc.answersSent++
+			cc.write(next.answer)
 		}
 	}
 	if cc.closed {
 		return
 	}
 	if cc.call != nil {
-		cc.since = l.now
+		cc.stateSince = l.now
 		l.resumeReads = append(l.resumeReads, cc)
 		return
 	}
-	if cc.overfull && !closes { // what came behind this answer was thrown away, and is told so
-		cc.protocol.stop(endOverfull)
+	if cc.inputDropped && !closesConn { // report to the client that requests behind this answer were discarded
+		cc.protocol.terminate(endOverfull)
 		return
 	}
-	if cc.last {
+	if cc.closeAfterAnswer {
 		cc.close(endAnswered)
 		return
 	}
-	cc.state, cc.since = reading, l.now
-	cc.protocol.begin()
+	cc.state, cc.stateSince = stateReading, l.now
+	cc.protocol.startNextRequest()
 	if l.draining && len(cc.input()) == 0 {
 		l.drainClient(cc)
 		return
 	}
-	l.resumeReads = append(l.resumeReads, cc) // what came in behind it is owed its answer, also in a drain
+	l.resumeReads = append(l.resumeReads, cc) // requests received behind this one are answered even during a drain
 }
 
-// respondDeclined tells the client that trying again does no harm.
+// respondDeclined answers that the txn was declined: it had no effect and can safely be retried.
 func (l *loop) respondDeclined(c *call, after logic.Nanos) {
 	if c.answered || c.clientLeft {
 		return
@@ -463,7 +470,7 @@
 	}
 }
 
-// respondVoided tells the client that the txn failed, and promises nothing about its effect.
+// respondVoided answers that the txn failed and may have had its effect.
 func (l *loop) respondVoided(c *call) {
 	if c.answered || c.clientLeft {
 		return
--- a/edge/client_http.go
+++ b/edge/client_http.go
@@ -17,64 +17,64 @@
 type httpProtocol struct{}
 
 func (httpProtocol) newClientProtocol(cc *clientConn, was clientProtocol) clientProtocol {
-	d, ok := was.(*httpFront)
+	hc, ok := was.(*httpClient)
 	if !ok {
-		d = &httpFront{}
+		hc = &httpClient{}
 	}
-	*d = httpFront{cc: cc}
-	return d
+	*hc = httpClient{cc: cc}
+	return hc
 }
 
 func (httpProtocol) newWorkerProtocol(wc *workerConn, was workerProtocol) workerProtocol {
-	k, ok := was.(*httpWorker)
+	hw, ok := was.(*httpWorker)
 	if !ok {
-		k = &httpWorker{}
+		hw = &httpWorker{}
 	}
-	*k = httpWorker{wc: wc, answer: k.answer[:0], unsizedBody: k.unsizedBody[:0]}
-	return k
+	*hw = httpWorker{wc: wc, answer: hw.answer[:0], unsizedBody: hw.unsizedBody[:0]}
+	return hw
 }
 
-// httpPart is what of a request is being read.
-type httpPart uint8
+// requestPart is what of a request is being read.
+type requestPart uint8
 
 const (
-	readHead httpPart = iota
-	readFixed
-	readChunks
+	partHead requestPart = iota
+	partFixedBody
+	partChunkedBody
 )
 
-// httpFront is a client's connection that speaks HTTP/1.1.
-type httpFront struct {
-	cc      *clientConn
-	part    httpPart
-	left    int64 // of a body of known length
-	chunks  http1.Dechunker
-	scanned int         // bytes known to hold no end of a head
-	headAt  logic.Nanos // when the first byte of the head was seen; 0: none yet
+// httpClient is a client's connection that speaks HTTP/1.1.
+type httpClient struct {
+	cc           *clientConn
+	part         requestPart
+	remaining    int64 // of a body of known length
+	chunks       http1.Dechunker
+	scannedBytes int         // bytes known to hold no end of a head
+	headStart    logic.Nanos // when the first byte of the head was seen; 0: none yet
 }
 
-func (d *httpFront) ahead() bool { return false }
-func (d *httpFront) fresh() bool { return d.part == readHead && d.headAt == 0 }
-func (d *httpFront) begin()      { d.part = readHead }
+func (hc *httpClient) supportsPipelining() bool { return false }
+func (hc *httpClient) betweenRequests() bool    { return hc.part == partHead && hc.headStart == 0 }
+func (hc *httpClient) startNextRequest()        { hc.part = partHead }
 
-// waits ends what has waited for too long. Slow heads and bodies hold memory, so each has its limit.
-func (d *httpFront) waits() (until logic.Nanos) {
-	cc := d.cc
+// checkTimeout ends what has waited for too long. Slow heads and bodies hold memory, so each has its limit.
+func (hc *httpClient) checkTimeout() (until logic.Nanos) {
+	cc := hc.cc
 	l := cc.l
-	door := &l.p.cfg.ClientLimits
-	switch d.part {
-	case readHead:
-		if d.headAt > 0 {
-			until = d.headAt + logic.Nanos(door.HeadTimeout)
+	limits := &l.p.cfg.ClientLimits
+	switch hc.part {
+	case partHead:
+		if hc.headStart > 0 {
+			until = hc.headStart + logic.Nanos(limits.HeadTimeout)
 			if until <= l.now {
 				l.refuse(cc, 408, "the head came too slowly")
 				return 0
 			}
-		} else if until = cc.since + logic.Nanos(door.IdleTimeout); until <= l.now {
+		} else if until = cc.stateSince + logic.Nanos(limits.IdleTimeout); until <= l.now {
 			return cc.endIdle()
 		}
-	case readFixed, readChunks:
-		if until = cc.since + logic.Nanos(door.BodyTimeout); until <= l.now {
+	case partFixedBody, partChunkedBody:
+		if until = cc.stateSince + logic.Nanos(limits.BodyTimeout); until <= l.now {
 			l.refuse(cc, 408, "the body came too slowly")
 			return 0
 		}
@@ -82,48 +82,48 @@
 	return until
 }
 
-func (d *httpFront) stop(why endReason) {
+func (hc *httpClient) terminate(why endReason) {
 	text := "the process stops"
 	if why == endOverfull {
 		text = "too much was sent ahead of its answers"
 	}
-	d.cc.l.refuse(d.cc, 503, text)
+	hc.cc.l.refuse(hc.cc, 503, text)
 }
 
-func (d *httpFront) read(in []byte) bool {
-	cc := d.cc
-	switch d.part {
-	case readHead:
-		return d.head(in)
-	case readFixed:
-		n := int(min(d.left, int64(len(in))))
+func (hc *httpClient) read(in []byte) bool {
+	cc := hc.cc
+	switch hc.part {
+	case partHead:
+		return hc.parseHead(in)
+	case partFixedBody:
+		n := int(min(hc.remaining, int64(len(in))))
 		cc.call.request = append(cc.call.request, in[:n]...)
-		cc.used(n)
-		if d.left -= int64(n); d.left == 0 {
-			cc.whole(cc.call)
+		cc.discardInput(n)
+		if hc.remaining -= int64(n); hc.remaining == 0 {
+			cc.admitCall(cc.call)
 		}
 		return true
 	}
-	return d.chunk(in)
+	return hc.parseChunk(in)
 }
 
-// head reads a request's head, and tells whether there may be more to do.
-func (d *httpFront) head(in []byte) bool {
-	cc := d.cc
+// parseHead reads a request's parseHead, and tells whether there may be more to do.
+func (hc *httpClient) parseHead(in []byte) bool {
+	cc := hc.cc
 	l := cc.l
-	if d.headAt == 0 {
-		d.headAt = l.now
-		l.armClient(cc, l.now+logic.Nanos(l.p.cfg.ClientLimits.HeadTimeout))
+	if hc.headStart == 0 {
+		hc.headStart = l.now
+		l.scheduleClientCheck(cc, l.now+logic.Nanos(l.p.cfg.ClientLimits.HeadTimeout))
 	}
 	limit := int(l.p.cfg.ClientLimits.MaxHeadBytes)
 	// Danger: a head that drips in byte by byte must not be parsed anew for each.
-	if d.scanned > 0 && len(in) <= limit && !bytes.Contains(in[max(0, d.scanned-3):], []byte("\r\n\r\n")) {
-		d.scanned = len(in)
+	if hc.scannedBytes > 0 && len(in) <= limit && !bytes.Contains(in[max(0, hc.scannedBytes-3):], []byte("\r\n\r\n")) {
+		hc.scannedBytes = len(in)
 		return false
 	}
 	n, err := l.req.Parse(in, limit)
 	if err == http1.ErrIncomplete {
-		d.scanned = len(in)
+		hc.scannedBytes = len(in)
 		return false
 	}
 	if err != nil {
@@ -131,7 +131,7 @@
 		l.refuse(cc, f.Status, f.Message)
 		return false
 	}
-	d.scanned = 0
+	hc.scannedBytes = 0
 	r := &l.req
 	if r.ExpectOther {
 		l.refuse(cc, 417, "only 100-continue can be expected")
@@ -141,12 +141,12 @@
 		l.refuse(cc, 413, "the body is larger than the limit")
 		return false
 	}
-	if l.calls.inUse() >= l.p.cfg.ClientLimits.MaxOpenTxns || !l.inDrainTime() {
+	if l.calls.inUse() >= l.p.cfg.ClientLimits.MaxOpenTxns || !l.admitsRequests() {
 		l.stats.overLimit++
-		cc.used(n)
+		cc.discardInput(n)
 		l.reply(cc, 503, declinedBody, 100*logic.Millisecond, r.Length == 0 && !r.Close && !l.draining)
-		d.headAt = 0
-		return !cc.closed && cc.state == reading
+		hc.headStart = 0
+		return !cc.closed && cc.state == stateReading
 	}
 	c := l.newCall()
 	c.client, cc.call = cc, c
@@ -154,21 +154,21 @@
 		cc.call, c.client = nil, nil
 		l.releaseCall(c)
 		l.stats.noRoute++
-		cc.used(n)
+		cc.discardInput(n)
 		l.reply(cc, 404, "no route fits this request\n", 0, r.Length == 0 && !r.Close && !l.draining)
-		d.headAt = 0
-		return !cc.closed && cc.state == reading
+		hc.headStart = 0
+		return !cc.closed && cc.state == stateReading
 	}
 	c.keepAlive = !r.Close && !l.draining
 	c.httpMinor = r.Minor
 	wants, length := r.ExpectContinue, r.Length
-	cc.used(n)
-	d.headAt, cc.since = 0, l.now
+	cc.discardInput(n)
+	hc.headStart, cc.stateSince = 0, l.now
 	switch {
 	case length == http1.Chunked:
-		d.part, d.chunks = readChunks, http1.Dechunker{}
+		hc.part, hc.chunks = partChunkedBody, http1.Dechunker{}
 	case length > 0:
-		d.part, d.left = readFixed, length
+		hc.part, hc.remaining = partFixedBody, length
 		c.request = append(c.request, "Content-Length: "...)
 		c.request = strconv.AppendInt(c.request, length, 10)
 		c.request = append(c.request, "\r\n\r\n"...)
@@ -180,21 +180,21 @@
 		}
 		c.request = append(c.request, "\r\n"...)
 		c.bodyOffset = len(c.request)
-		cc.whole(cc.call)
+		cc.admitCall(cc.call)
 		return true
 	}
-	l.armClient(cc, l.now+logic.Nanos(l.p.cfg.ClientLimits.BodyTimeout))
+	l.scheduleClientCheck(cc, l.now+logic.Nanos(l.p.cfg.ClientLimits.BodyTimeout))
 	if wants && len(cc.input()) == 0 {
-		cc.put([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+		cc.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	return !cc.closed
 }
 
-// chunk reads a part of a chunked body, and tells whether there may be more to do.
-func (d *httpFront) chunk(in []byte) bool {
-	cc := d.cc
+// parseChunk reads a part of a chunked body, and tells whether there may be more to do.
+func (hc *httpClient) parseChunk(in []byte) bool {
+	cc := hc.cc
 	l, c := cc.l, cc.call
-	took, data, done, err := d.chunks.Next(in)
+	took, data, done, err := hc.chunks.Next(in)
 	if err != nil && err != http1.ErrIncomplete {
 		l.refuse(cc, 400, err.Error())
 		return false
@@ -208,14 +208,14 @@
 		return false
 	}
 	c.request = append(c.request, data...)
-	cc.used(took)
+	cc.discardInput(took)
 	if done {
 		size, at := len(c.request)-c.bodyOffset, c.bodyOffset-len("\r\n\r\n")
 		for i := 1; i <= 10; i++ {
 			c.request[at-i] = byte('0' + size%10)
 			size /= 10
 		}
-		cc.whole(cc.call)
+		cc.admitCall(cc.call)
 		return true
 	}
 	return err == nil && took > 0
@@ -236,7 +236,7 @@
 	}
 	c.product = route.Product
 	c.isHead = string(r.Method) == "HEAD"
-	in := logic.Txn{Product: logic.ProductID(route.Product)}
+	txn := logic.Txn{Product: logic.ProductID(route.Product)}
 	patience := l.p.cfg.Products[route.Product].Expiry
 	traced := false
 	out := append(c.request[:0], r.Method...)
@@ -249,16 +249,16 @@
 		switch {
 		case equalFold(h.Name, route.KeyHeader):
 			if len(h.Value) > 0 {
-				in.Key = logic.KeyID(xxhash.Sum64(h.Value) | 1)
+				txn.Key = logic.KeyID(xxhash.Sum64(h.Value) | 1)
 			}
 		case equalFold(h.Name, route.CustomerHeader):
-			in.Customer = logic.CustomerID(l.p.customerIDs[string(h.Value)])
+			txn.Customer = logic.CustomerID(l.p.customerIDs[string(h.Value)])
 		case equalFold(h.Name, route.CostHeader):
 			if ms, err := strconv.ParseFloat(unsafeString(h.Value), 64); err == nil && ms > 0 && ms < 1e9 {
-				in.Cost = logic.Nanos(ms * 1e6)
+				txn.Cost = logic.Nanos(ms * 1e6)
 			}
 		case equalFold(h.Name, route.RepeatHeader):
-			in.Repeat = true
+			txn.Repeat = true
 		case equalFold(h.Name, timeoutHeader):
 			// A client shortens a product's expiry and never lengthens it.
 			if ms, err := strconv.ParseUint(unsafeString(h.Value), 10, 32); err == nil {
@@ -270,20 +270,20 @@
 		}
 	}
 	if !traced {
-		out = l.trace(out, c.serial)
+		out = l.appendTraceparent(out, c.serial)
 	}
 	out = append(out, viaHeader...)
 	slack := min(l.p.cfg.AnswerSlack, patience/2)
-	in.Expiry = l.now + logic.Nanos(patience-slack)
+	txn.Expiry = l.now + logic.Nanos(patience-slack)
 	out = append(out, expectedHeader...)
 	out = strconv.AppendInt(out, int64((patience-slack)/time.Millisecond), 10)
 	out = append(out, "\r\n"...)
-	c.request, c.txn = out, in
+	c.request, c.txn = out, txn
 	return true
 }
 
-// trace appends a W3C trace context of our own where the client sent none. Its trace id names the txn in the traces.
-func (l *loop) trace(out []byte, serial uint64) []byte {
+// appendTraceparent appends a W3C appendTraceparent context of our own where the client sent none. Its appendTraceparent id names the txn in the traces.
+func (l *loop) appendTraceparent(out []byte, serial uint64) []byte {
 	out = append(out, "traceparent: 00-"...)
 	out = appendHex(appendHex(out, l.runID), trace.MixSerial(serial))
 	out = append(out, '-')
@@ -304,16 +304,16 @@
 		return id
 	}
 	for i, c := range v[3:35] {
-		d := uint64(0)
+		digit := uint64(0)
 		switch {
 		case '0' <= c && c <= '9':
-			d = uint64(c - '0')
+			digit = uint64(c - '0')
 		case 'a' <= c && c <= 'f':
-			d = uint64(c - 'a' + 10)
+			digit = uint64(c - 'a' + 10)
 		default:
 			return [2]uint64{}
 		}
-		id[i/16] = id[i/16]<<4 | d
+		id[i/16] = id[i/16]<<4 | digit
 	}
 	return id
 }
@@ -325,7 +325,7 @@
 	out := append(l.scratch[:0], "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(status), 10)
 	out = append(out, ' ')
-	out = append(out, reasons[status]...)
+	out = append(out, statusReasons[status]...)
 	out = append(out, "\r\nContent-Type: text/plain\r\nContent-Length: "...)
 	out = strconv.AppendInt(out, int64(len(text)), 10)
 	if after > 0 {
@@ -352,7 +352,7 @@
 	}
 	l.scratch = out
 	l.stats.repliesByClass[status/100]++
-	cc.put(out)
+	cc.write(out)
 	if cc.closed || cc.call != nil {
 		return
 	}
@@ -361,7 +361,7 @@
 	}
 }
 
-var reasons = map[int]string{400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 413: "Content Too Large",
+var statusReasons = map[int]string{400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 413: "Content Too Large",
 	417: "Expectation Failed", 431: "Request Header Fields Too Large", 501: "Not Implemented",
 	502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
 
@@ -372,20 +372,20 @@
 		cc.call, c.client = nil, nil
 		l.releaseCall(c)
 	}
-	cc.used(len(cc.input()))
+	cc.discardInput(len(cc.input()))
 	l.reply(cc, status, why+"\n", 0, false)
 }
 
-func (d *httpFront) declined(c *call, after logic.Nanos) {
-	l := d.cc.l
-	l.reply(d.cc, 503, declinedBody, after, c.keepAlive && !l.draining)
+func (hc *httpClient) declined(c *call, after logic.Nanos) {
+	l := hc.cc.l
+	l.reply(hc.cc, 503, declinedBody, after, c.keepAlive && !l.draining)
 }
 
-func (d *httpFront) voided(c *call) {
-	l := d.cc.l
+func (hc *httpClient) voided(c *call) {
+	l := hc.cc.l
 	if c.lastEnding == logic.TimedOut || l.now >= c.txn.Expiry {
-		l.reply(d.cc, 504, "voided: no answer in time; it may have had its effect\n", 0, c.keepAlive && !l.draining)
+		l.reply(hc.cc, 504, "voided: no answer in time; it may have had its effect\n", 0, c.keepAlive && !l.draining)
 	} else {
-		l.reply(d.cc, 502, "voided: it may have had its effect\n", 0, c.keepAlive && !l.draining)
+		l.reply(hc.cc, 502, "voided: it may have had its effect\n", 0, c.keepAlive && !l.draining)
 	}
 }
--- a/edge/closing.go
+++ b/edge/closing.go
@@ -15,41 +15,41 @@
 // A request that crosses this is left unread, and the kernel answers it with a reset, by which its client knows that it may be sent
 // again. A close before the acknowledgement would let that reset destroy the last answer.
 type closingConn struct {
-	fd    int
-	since logic.Nanos
+	fd       int
+	closedAt logic.Nanos
 }
 
 const (
-	// closingLook is how often such connections are looked at; the kernel tells nobody of an acknowledgement.
-	closingLook = logic.Millisecond
-	// unknownDelivery is how long a connection is left to deliver its last answer where the kernel does not tell what is
+	// closingPollInterval is how often such connections are looked at; the kernel tells nobody of an acknowledgement.
+	closingPollInterval = logic.Millisecond
+	// unknownDeliveryWait is how long a connection is left to deliver its last answer where the kernel does not tell what is
 	// acknowledged: the least time after which Linux sends a segment again.
-	unknownDelivery = 200 * logic.Millisecond
+	unknownDeliveryWait = 200 * logic.Millisecond
 )
 
 // close ends the connection once what was written has left this process. What is still in hand loses its client.
 func (cc *clientConn) close(why endReason) {
-	if cc.closed || cc.leave(why) {
+	if cc.closed || cc.leaveLoop(why) {
 		return
 	}
-	cc.state, cc.ends = onlyOut, why
-	cc.l.armClient(cc, cc.l.now+2*logic.Millisecond)
+	cc.state, cc.closeReason = stateFlushing, why
+	cc.l.scheduleClientCheck(cc, cc.l.now+2*logic.Millisecond)
 }
 
-// leave takes the connection off the event loop, closed or to be closed when its last answer has been delivered. It tells whether it
+// leaveLoop takes the connection off the event loop, closed or to be closed when its last answer has been delivered. It tells whether it
 // could; else nothing has changed.
-func (cc *clientConn) leave(why endReason) bool {
+func (cc *clientConn) leaveLoop(why endReason) bool {
 	l, c := cc.l, cc.c
 	if c.OutboundBuffered() > 0 {
 		return false
 	}
-	if unacknowledged(c.Fd()) == 0 {
+	if unackedBytes(c.Fd()) == 0 {
 		cc.gone(why)
 		l.eventLoop.Close(c)
 		return true
 	}
 	fd, err := c.Dup()
-	if err != nil && l.giveSpare() { // out of descriptors: its own becomes free in a moment
+	if err != nil && l.releaseFD() { // out of descriptors: its own becomes free in a moment
 		fd, err = c.Dup()
 	}
 	if err != nil { // it needs none once its last answer is acknowledged
@@ -63,7 +63,7 @@
 	l.eventLoop.Close(c)
 	l.reserveFD()
 	l.closingConns = append(l.closingConns, closingConn{fd, l.now})
-	l.lookAtClosingSoon()
+	l.scheduleClosingCheck()
 	return true
 }
 
@@ -78,22 +78,22 @@
 	cc.l.eventLoop.Close(c)
 }
 
-// rests tells whether nothing is owed on the connection: no request nor a part of one has come, and all answers have left this process.
-func (cc *clientConn) rests() bool {
-	return cc.state == reading && cc.call == nil && cc.protocol.fresh() && len(cc.input()) == 0 && cc.c.OutboundBuffered() == 0
+// quiescent tells whether nothing is owed on the connection: no request nor a part of one has come, and all answers have left this process.
+func (cc *clientConn) quiescent() bool {
+	return cc.state == stateReading && cc.call == nil && cc.protocol.betweenRequests() && len(cc.input()) == 0 && cc.c.OutboundBuffered() == 0
 }
 
-// retire ends a connection on which nothing is owed, and tells whether it could.
+// closeIfQuiescent ends a connection on which nothing is owed, and tells whether it could.
 //
 // Nothing is read between the look at what has come in and the end, as both happen on the loop that reads.
-func (cc *clientConn) retire(why endReason) bool {
-	return cc.rests() && cc.leave(why)
+func (cc *clientConn) closeIfQuiescent(why endReason) bool {
+	return cc.quiescent() && cc.leaveLoop(why)
 }
 
-func (l *loop) lookAtClosingSoon() {
+func (l *loop) scheduleClosingCheck() {
 	if !l.closingTimerSet {
 		l.closingTimerSet = true
-		l.timers.push(timer{at: l.now + closingLook, kind: timerClosingConns})
+		l.timers.push(timer{at: l.now + closingPollInterval, kind: timerClosingConns})
 	}
 }
 
@@ -113,17 +113,17 @@
 	l.closingConns = kept
 	l.reserveFD()
 	if len(kept) > 0 {
-		l.lookAtClosingSoon()
+		l.scheduleClosingCheck()
 	}
 }
 
 func (l *loop) delivered(c closingConn) bool {
-	waited := l.now - c.since
-	switch left := unacknowledged(c.fd); {
+	waited := l.now - c.closedAt
+	switch left := unackedBytes(c.fd); {
 	case left == 0:
 		return true
 	case left < 0:
-		return waited >= unknownDelivery
+		return waited >= unknownDeliveryWait
 	case waited >= logic.Nanos(l.p.cfg.ClientLimits.SlowReaderTimeout):
 		l.stats.slowReaders++
 		return true
@@ -143,8 +143,8 @@
 	}
 }
 
-// giveSpare gives that descriptor back, and tells whether there was one.
-func (l *loop) giveSpare() bool {
+// releaseFD gives that descriptor back, and tells whether there was one.
+func (l *loop) releaseFD() bool {
 	if l.spareFD < 0 {
 		return false
 	}
@@ -162,12 +162,12 @@
 		unix.Close(c.fd)
 	}
 	l.closingConns = nil
-	l.giveSpare()
+	l.releaseFD()
 }
 
-// unacknowledged gives how many bytes sent on a connection, its end included, the other host has not acknowledged; negative where the
+// unackedBytes gives how many bytes sent on a connection, its end included, the other host has not acknowledged; negative where the
 // kernel does not tell.
-func unacknowledged(fd int) int {
+func unackedBytes(fd int) int {
 	for {
 		n, err := unix.IoctlGetInt(fd, unix.SIOCOUTQ)
 		if err == unix.EINTR {
@@ -191,8 +191,8 @@
 	}
 }
 
-// unread tells whether bytes have come to the socket that were not read yet.
-func (cc *clientConn) unread() bool {
+// hasUnread tells whether bytes have come to the socket that were not read yet.
+func (cc *clientConn) hasUnread() bool {
 	n, err := peekByte(cc.c.Fd())
 	return err == nil && n > 0
 }
--- a/edge/drain.go
+++ b/edge/drain.go
@@ -39,7 +39,7 @@
 	l.answerDeadline = end - min(answerMargin, (end-l.now)/4)
 	l.timers.push(timer{at: l.answerDeadline, kind: timerDrainEnd})
 	for _, cc := range l.clientConns.items {
-		if !cc.closed && cc.c != nil && cc.state == reading {
+		if !cc.closed && cc.c != nil && cc.state == stateReading {
 			l.drainClient(cc)
 		}
 	}
@@ -47,12 +47,12 @@
 
 // drainClient ends a connection on which nothing is owed, or has it looked at again.
 func (l *loop) drainClient(cc *clientConn) {
-	if cc.unread() && l.now < l.answerDeadline { // a request has just come: its answer costs its client less than another try
-		l.armClient(cc, l.now+logic.Millisecond)
+	if cc.hasUnread() && l.now < l.answerDeadline { // a request has just come: its answer costs its client less than another try
+		l.scheduleClientCheck(cc, l.now+logic.Millisecond)
 		return
 	}
-	if !cc.retire(endDrain) {
-		l.armClient(cc, l.now+2*logic.Millisecond)
+	if !cc.closeIfQuiescent(endDrain) {
+		l.scheduleClientCheck(cc, l.now+2*logic.Millisecond)
 	}
 }
 
@@ -67,17 +67,17 @@
 	}
 	for _, cc := range l.clientConns.items {
 		switch {
-		case cc.closed || cc.c == nil || cc.state != reading:
-		case cc.rests(): // it may have to wait for its acknowledgement; what is asked meanwhile is refused, not thrown away
+		case cc.closed || cc.c == nil || cc.state != stateReading:
+		case cc.quiescent(): // it may have to wait for its acknowledgement; what is asked meanwhile is refused, not thrown away
 			l.drainClient(cc)
 		default:
-			cc.protocol.stop(endDrain)
+			cc.protocol.terminate(endDrain)
 		}
 	}
 }
 
-// inDrainTime tells whether a request that has just come whole can still be handed on.
-func (l *loop) inDrainTime() bool { return !l.draining || l.now < l.answerDeadline }
+// admitsRequests tells whether a request that has just come whole can still be handed on.
+func (l *loop) admitsRequests() bool { return !l.draining || l.now < l.answerDeadline }
 
 // checkDrained tells whoever waits for it that no connection is left from which a request could be read.
 func (l *loop) checkDrained() {
--- a/edge/ending.go
+++ b/edge/end_reason.go
@@ -32,10 +32,10 @@
 
 func (r endReason) String() string { return endReasonNames[r] }
 
-// byUs tells whether this process chose to end the connection, so that what it had taken is still owed.
-func (r endReason) byUs() bool { return r != endByClient && r != endBroken }
+// byEdge tells whether this process chose to end the connection, so that what it had taken is still owed.
+func (r endReason) byEdge() bool { return r != endByClient && r != endBroken }
 
-var stateNames = [...]string{reading: "reading", inHand: "in-hand", onlyOut: "flushing"}
+var stateNames = [...]string{stateReading: "reading", stateInHand: "in-hand", stateFlushing: "flushing"}
 
 func (s clientState) String() string { return stateNames[s] }
 
@@ -50,21 +50,21 @@
 	return endBroken
 }
 
-// bookEnd counts the end of a connection, and names each request that is owed its answer at that moment.
-func (cc *clientConn) bookEnd(why endReason) {
+// recordEnd counts the end of a connection, and names each request that is owed its answer at that moment.
+func (cc *clientConn) recordEnd(why endReason) {
 	l := cc.l
 	l.stats.clientEnds[why]++
-	if !why.byUs() {
+	if !why.byEdge() {
 		return
 	}
-	cc.bookOwed(cc.call, why)
-	for i := range cc.behind {
-		cc.bookOwed(cc.behind[i].call, why)
+	cc.recordOwed(cc.call, why)
+	for i := range cc.pipelined {
+		cc.recordOwed(cc.pipelined[i].call, why)
 	}
 }
 
-// bookOwed counts and logs a request that ends unanswered. Any is a defect, but where its client does not read.
-func (cc *clientConn) bookOwed(c *call, why endReason) {
+// recordOwed counts and logs a request that ends unanswered. Any is a defect, but where its client does not read.
+func (cc *clientConn) recordOwed(c *call, why endReason) {
 	if c == nil || !c.admitted || c.answered {
 		return
 	}
@@ -77,37 +77,37 @@
 
 // connCounts is how the connections of clients stand at a moment.
 type connCounts struct {
-	silent  int64 // nothing was asked yet
-	idle    int64 // between requests
-	partial int64 // a part of a request has come
-	inHand  int64 // a request waits for its answer
-	unsent  int64 // answers have not left this process
-	carried int64 // a streamed answer is on its way
+	unused         int64 // nothing was asked yet
+	idle           int64 // between requests
+	partialRequest int64 // a part of a request has come
+	inHand         int64 // a request waits for its answer
+	flushing       int64 // answers have not left this process
+	relayed        int64 // a streamed answer is on its way
 }
 
 func (a connCounts) plus(b connCounts) connCounts {
-	return connCounts{a.silent + b.silent, a.idle + b.idle, a.partial + b.partial, a.inHand + b.inHand, a.unsent + b.unsent, a.carried + b.carried}
+	return connCounts{a.unused + b.unused, a.idle + b.idle, a.partialRequest + b.partialRequest, a.inHand + b.inHand, a.flushing + b.flushing, a.relayed + b.relayed}
 }
 
 func (a connCounts) logFields() []zap.Field {
-	return []zap.Field{zap.Int64("silent", a.silent), zap.Int64("idle", a.idle), zap.Int64("partial", a.partial),
-		zap.Int64("in-hand", a.inHand), zap.Int64("unsent", a.unsent), zap.Int64("carried", a.carried)}
+	return []zap.Field{zap.Int64("silent", a.unused), zap.Int64("idle", a.idle), zap.Int64("partial", a.partialRequest),
+		zap.Int64("in-hand", a.inHand), zap.Int64("unsent", a.flushing), zap.Int64("carried", a.relayed)}
 }
 
 // connCounts counts the loop's connections by how they stand.
 func (l *loop) connCounts() connCounts {
-	n := connCounts{carried: l.stats.streaming}
+	n := connCounts{relayed: l.stats.streaming}
 	for _, cc := range l.clientConns.items {
 		switch {
 		case cc.closed || cc.c == nil:
 		case cc.call != nil && cc.call.admitted:
 			n.inHand++
-		case cc.state == onlyOut || cc.c.OutboundBuffered() > 0:
-			n.unsent++
-		case !cc.protocol.fresh() || cc.call != nil:
-			n.partial++
-		case cc.served == 0:
-			n.silent++
+		case cc.state == stateFlushing || cc.c.OutboundBuffered() > 0:
+			n.flushing++
+		case !cc.protocol.betweenRequests() || cc.call != nil:
+			n.partialRequest++
+		case cc.answersSent == 0:
+			n.unused++
 		default:
 			n.idle++
 		}
@@ -117,10 +117,10 @@
 
 // endIdle ends a connection on which nothing was asked for too long, or gives when to look at it again.
 func (cc *clientConn) endIdle() (again logic.Nanos) {
-	if cc.unread() { // a request arrived at this moment
+	if cc.hasUnread() { // a request arrived at this moment
 		return cc.l.now + logic.Millisecond
 	}
-	if cc.retire(endIdle) {
+	if cc.closeIfQuiescent(endIdle) {
 		return 0
 	}
 	return cc.l.now + 50*logic.Millisecond
--- a/edge/harden_test.go
+++ b/edge/harden_test.go
@@ -619,7 +619,7 @@
 	l.post(func() {
 		for _, cc := range l.clientConns.items {
 			if !cc.closed && cc.c != nil {
-				held += cc.c.InboundBuffered() + len(cc.early)
+				held += cc.c.InboundBuffered() + len(cc.buffered)
 			}
 		}
 		if held != l.heldBytes {
--- a/edge/protocol.go
+++ b/edge/protocol.go
@@ -16,16 +16,16 @@
 	// read takes a part of what has come in, and tells whether there may be more to do. What is whole goes to
 	// clientConn.whole.
 	read(in []byte) bool
-	// waits gives when the connection, with nothing in hand, is to be looked at again. Where what it waited for is
+	// checkTimeout gives when the connection, with nothing in hand, is to be looked at again. Where what it waited for is
 	// over, it has ended the connection and gives 0.
-	waits() logic.Nanos
-	// fresh tells whether nothing of a request has come, and begin that the next one may.
-	fresh() bool
-	begin()
-	// stop ends a connection in the middle of what was sent on it, and tells the client so.
-	stop(why endReason)
-	// ahead tells whether read takes txns behind one that is in hand.
-	ahead() bool
+	checkTimeout() logic.Nanos
+	// betweenRequests tells whether nothing of a request has come, and begin that the next one may.
+	betweenRequests() bool
+	startNextRequest()
+	// terminate ends a connection in the middle of what was sent on it, and tells the client so.
+	terminate(why endReason)
+	// supportsPipelining tells whether read takes txns behind one that is in hand.
+	supportsPipelining() bool
 	// declined and voided answer a txn that is in hand.
 	declined(c *call, after logic.Nanos)
 	voided(c *call)
