--- a/edge/client.go
+++ b/edge/client.go
@@ -458,13 +458,13 @@
 }
 
 // respondDeclined answers that the txn was declined: it had no effect and can safely be retried.
-func (l *loop) respondDeclined(c *call, after logic.Nanos) {
+func (l *loop) respondDeclined(c *call, retryAfter logic.Nanos) {
 	if c.answered || c.clientLeft {
 		return
 	}
 	l.stats.declined++
 	cc := c.client
-	cc.protocol.declined(c, after)
+	cc.protocol.declined(c, retryAfter)
 	if !cc.closed {
 		cc.finish(c)
 	}
--- a/edge/client_http.go
+++ b/edge/client_http.go
@@ -13,11 +13,11 @@
 	"dunegrade/trace"
 )
 
-// httpProtocol is HTTP/1.1 behind the seam.
+// httpProtocol implements protocol for HTTP/1.1.
 type httpProtocol struct{}
 
-func (httpProtocol) newClientProtocol(cc *clientConn, was clientProtocol) clientProtocol {
-	hc, ok := was.(*httpClient)
+func (httpProtocol) newClientProtocol(cc *clientConn, reused clientProtocol) clientProtocol {
+	hc, ok := reused.(*httpClient)
 	if !ok {
 		hc = &httpClient{}
 	}
@@ -25,8 +25,8 @@
 	return hc
 }
 
-func (httpProtocol) newWorkerProtocol(wc *workerConn, was workerProtocol) workerProtocol {
-	hw, ok := was.(*httpWorker)
+func (httpProtocol) newWorkerProtocol(wc *workerConn, reused workerProtocol) workerProtocol {
+	hw, ok := reused.(*httpWorker)
 	if !ok {
 		hw = &httpWorker{}
 	}
@@ -34,7 +34,7 @@
 	return hw
 }
 
-// requestPart is what of a request is being read.
+// requestPart is the part of a request that is being read.
 type requestPart uint8
 
 const (
@@ -43,13 +43,13 @@
 	partChunkedBody
 )
 
-// httpClient is a client's connection that speaks HTTP/1.1.
+// httpClient implements clientProtocol for one HTTP/1.1 connection.
 type httpClient struct {
 	cc           *clientConn
 	part         requestPart
-	remaining    int64 // of a body of known length
+	remaining    int64 // in partFixedBody: bytes of the body still to be read
 	chunks       http1.Dechunker
-	scannedBytes int         // bytes known to hold no end of a head
+	scannedBytes int         // length of the input prefix that is known not to contain a complete head
 	headStart    logic.Nanos // when the first byte of the head was seen; 0: none yet
 }
 
@@ -57,7 +57,7 @@
 func (hc *httpClient) betweenRequests() bool    { return hc.part == partHead && hc.headStart == 0 }
 func (hc *httpClient) startNextRequest()        { hc.part = partHead }
 
-// checkTimeout ends what has waited for too long. Slow heads and bodies hold memory, so each has its limit.
+// checkTimeout enforces the timeouts for heads, bodies and idle connections.
 func (hc *httpClient) checkTimeout() (until logic.Nanos) {
 	cc := hc.cc
 	l := cc.l
@@ -107,7 +107,7 @@
 	return hc.parseChunk(in)
 }
 
-// parseHead reads a request's parseHead, and tells whether there may be more to do.
+// parseHead reads a request's head, and reports whether more input may be processed.
 func (hc *httpClient) parseHead(in []byte) bool {
 	cc := hc.cc
 	l := cc.l
@@ -116,7 +116,7 @@
 		l.scheduleClientCheck(cc, l.now+logic.Nanos(l.p.cfg.ClientLimits.HeadTimeout))
 	}
 	limit := int(l.p.cfg.ClientLimits.MaxHeadBytes)
-	// Danger: a head that drips in byte by byte must not be parsed anew for each.
+	// Skip parsing until the end of the head has arrived: a head sent byte by byte would be parsed again for each byte.
 	if hc.scannedBytes > 0 && len(in) <= limit && !bytes.Contains(in[max(0, hc.scannedBytes-3):], []byte("\r\n\r\n")) {
 		hc.scannedBytes = len(in)
 		return false
@@ -161,7 +161,7 @@
 	}
 	c.keepAlive = !r.Close && !l.draining
 	c.httpMinor = r.Minor
-	wants, length := r.ExpectContinue, r.Length
+	expectContinue, length := r.ExpectContinue, r.Length
 	cc.discardInput(n)
 	hc.headStart, cc.stateSince = 0, l.now
 	switch {
@@ -174,7 +174,7 @@
 		c.request = append(c.request, "\r\n\r\n"...)
 		c.bodyOffset = len(c.request)
 	default:
-		// A method that may have a body says that there is none (RFC 9110, 8.6).
+		// Methods that expect a body (POST, PUT, PATCH) state that there is none (RFC 9110, section 8.6).
 		if m := c.request[0]; m == 'P' {
 			c.request = append(c.request, "Content-Length: 0\r\n"...)
 		}
@@ -184,22 +184,22 @@
 		return true
 	}
 	l.scheduleClientCheck(cc, l.now+logic.Nanos(l.p.cfg.ClientLimits.BodyTimeout))
-	if wants && len(cc.input()) == 0 {
+	if expectContinue && len(cc.input()) == 0 {
 		cc.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	return !cc.closed
 }
 
-// parseChunk reads a part of a chunked body, and tells whether there may be more to do.
+// parseChunk reads part of a chunked body, and reports whether more input may be processed.
 func (hc *httpClient) parseChunk(in []byte) bool {
 	cc := hc.cc
 	l, c := cc.l, cc.call
-	took, data, done, err := hc.chunks.Next(in)
+	consumed, data, done, err := hc.chunks.Next(in)
 	if err != nil && err != http1.ErrIncomplete {
 		l.refuse(cc, 400, err.Error())
 		return false
 	}
-	if c.bodyOffset == 0 { // its length is known at its end only: room is left for it
+	if c.bodyOffset == 0 { // the length is known only at the end of the body; reserve digits for it
 		c.request = append(c.request, "Content-Length: 0000000000\r\n\r\n"...)
 		c.bodyOffset = len(c.request)
 	}
@@ -208,7 +208,7 @@
 		return false
 	}
 	c.request = append(c.request, data...)
-	cc.discardInput(took)
+	cc.discardInput(consumed)
 	if done {
 		size, at := len(c.request)-c.bodyOffset, c.bodyOffset-len("\r\n\r\n")
 		for i := 1; i <= 10; i++ {
@@ -218,7 +218,7 @@
 		cc.admitCall(cc.call)
 		return true
 	}
-	return err == nil && took > 0
+	return err == nil && consumed > 0
 }
 
 var (
@@ -227,7 +227,8 @@
 	expectedHeader = "x-envoy-expected-rq-timeout-ms: "
 )
 
-// classify finds a request's product, key, customer, cost and patience, and builds what workers are sent.
+// classify determines a request's product, key, customer, cost and timeout, and builds the head that workers are sent.
+// It reports whether a route matches.
 func (l *loop) classify(c *call, r *http1.Request) bool {
 	path := r.Path()
 	route := l.p.routes.match(r.Method, path)
@@ -237,8 +238,8 @@
 	c.product = route.Product
 	c.isHead = string(r.Method) == "HEAD"
 	txn := logic.Txn{Product: logic.ProductID(route.Product)}
-	patience := l.p.cfg.Products[route.Product].Expiry
-	traced := false
+	timeout := l.p.cfg.Products[route.Product].Expiry
+	hasTraceparent := false
 	out := append(c.request[:0], r.Method...)
 	out = append(out, ' ')
 	out = append(out, r.Target...)
@@ -260,29 +261,30 @@
 		case equalFold(h.Name, route.RepeatHeader):
 			txn.Repeat = true
 		case equalFold(h.Name, timeoutHeader):
-			// A client shortens a product's expiry and never lengthens it.
+			// A client's timeout can shorten the product's expiry but not extend it.
 			if ms, err := strconv.ParseUint(unsafeString(h.Value), 10, 32); err == nil {
-				patience = min(patience, max(time.Millisecond, time.Duration(ms)*time.Millisecond))
+				timeout = min(timeout, max(time.Millisecond, time.Duration(ms)*time.Millisecond))
 			}
 		case equalFold(h.Name, "traceparent"):
-			traced = true
+			hasTraceparent = true
 			c.traceID = traceID(h.Value)
 		}
 	}
-	if !traced {
+	if !hasTraceparent {
 		out = l.appendTraceparent(out, c.serial)
 	}
 	out = append(out, viaHeader...)
-	slack := min(l.p.cfg.AnswerSlack, patience/2)
-	txn.Expiry = l.now + logic.Nanos(patience-slack)
+	slack := min(l.p.cfg.AnswerSlack, timeout/2)
+	txn.Expiry = l.now + logic.Nanos(timeout-slack)
 	out = append(out, expectedHeader...)
-	out = strconv.AppendInt(out, int64((patience-slack)/time.Millisecond), 10)
+	out = strconv.AppendInt(out, int64((timeout-slack)/time.Millisecond), 10)
 	out = append(out, "\r\n"...)
 	c.request, c.txn = out, txn
 	return true
 }
 
-// appendTraceparent appends a W3C appendTraceparent context of our own where the client sent none. Its appendTraceparent id names the txn in the traces.
+// appendTraceparent appends a new W3C trace context for a request that came without one. Its trace id identifies the txn
+// in the recorded traces.
 func (l *loop) appendTraceparent(out []byte, serial uint64) []byte {
 	out = append(out, "traceparent: 00-"...)
 	out = appendHex(appendHex(out, l.runID), trace.MixSerial(serial))
@@ -298,7 +300,7 @@
 	return out
 }
 
-// traceID reads the trace id of a W3C trace context; zeros where there is none.
+// traceID parses the trace id of a W3C trace context; it returns zeros if the context is malformed.
 func traceID(v []byte) (id [2]uint64) {
 	if len(v) < 36 || v[2] != '-' || v[35] != '-' {
 		return id
@@ -320,19 +322,19 @@
 
 const declinedBody = "declined: trying again does no harm\n"
 
-// reply answers on the edge's own behalf.
-func (l *loop) reply(cc *clientConn, status int, text string, after logic.Nanos, keep bool) {
+// reply sends a response that the edge itself generates. A positive retryAfter adds the retry headers.
+func (l *loop) reply(cc *clientConn, status int, text string, retryAfter logic.Nanos, keepAlive bool) {
 	out := append(l.scratch[:0], "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(status), 10)
 	out = append(out, ' ')
 	out = append(out, statusReasons[status]...)
 	out = append(out, "\r\nContent-Type: text/plain\r\nContent-Length: "...)
 	out = strconv.AppendInt(out, int64(len(text)), 10)
-	if after > 0 {
+	if retryAfter > 0 {
 		out = append(out, "\r\nRetry-After: "...)
-		out = strconv.AppendInt(out, int64(math.Ceil(float64(after)/1e9)), 10)
+		out = strconv.AppendInt(out, int64(math.Ceil(float64(retryAfter)/1e9)), 10)
 		out = append(out, "\r\nDunegrade-Retry-After-Ms: "...)
-		out = strconv.AppendInt(out, int64((after+logic.Millisecond-1)/logic.Millisecond), 10)
+		out = strconv.AppendInt(out, int64((retryAfter+logic.Millisecond-1)/logic.Millisecond), 10)
 	}
 	switch status {
 	case 503:
@@ -340,7 +342,7 @@
 	case 502, 504:
 		out = append(out, "\r\nDunegrade-Outcome: voided"...)
 	}
-	if !keep {
+	if !keepAlive {
 		out = append(out, "\r\nConnection: close"...)
 		if cc.call != nil {
 			cc.call.closesConn = true
@@ -356,7 +358,7 @@
 	if cc.closed || cc.call != nil {
 		return
 	}
-	if !keep {
+	if !keepAlive {
 		cc.close(endAnswered)
 	}
 }
@@ -365,7 +367,8 @@
 	417: "Expectation Failed", 431: "Request Header Fields Too Large", 501: "Not Implemented",
 	502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
 
-// refuse answers what was never taken, and ends the connection: what follows cannot be trusted to be a request.
+// refuse sends an error for a request that was not admitted and closes the connection, since the input that follows
+// cannot be trusted to start with a request.
 func (l *loop) refuse(cc *clientConn, status int, why string) {
 	l.stats.refused++
 	if c := cc.call; c != nil {
@@ -376,9 +379,9 @@
 	l.reply(cc, status, why+"\n", 0, false)
 }
 
-func (hc *httpClient) declined(c *call, after logic.Nanos) {
+func (hc *httpClient) declined(c *call, retryAfter logic.Nanos) {
 	l := hc.cc.l
-	l.reply(hc.cc, 503, declinedBody, after, c.keepAlive && !l.draining)
+	l.reply(hc.cc, 503, declinedBody, retryAfter, c.keepAlive && !l.draining)
 }
 
 func (hc *httpClient) voided(c *call) {
--- a/edge/protocol.go
+++ b/edge/protocol.go
@@ -2,55 +2,59 @@
 
 import "dunegrade/logic"
 
-// protocol is the seam between host and wire: how requests, answers and the host's own answers look as bytes.
-// A protocol decides nothing about a txn; it tells the host what has come in whole, and writes what the host says.
+// protocol encodes and decodes the wire protocol spoken with clients and workers. It makes no decisions about a txn: it
+// passes complete requests and answers to the host, and writes the requests and answers that the host gives it.
 type protocol interface {
-	// newClientProtocol makes the client's side of a new connection; was is one of an ended connection, or nil.
-	newClientProtocol(cc *clientConn, was clientProtocol) clientProtocol
-	// newWorkerProtocol makes the worker's side of a new connection; was is one of an ended connection, or nil.
-	newWorkerProtocol(wc *workerConn, was workerProtocol) workerProtocol
+	// newClientProtocol returns the protocol state of a new client connection. reused is the state of a closed
+	// connection that may be recycled, or nil.
+	newClientProtocol(cc *clientConn, reused clientProtocol) clientProtocol
+	// newWorkerProtocol returns the protocol state of a new worker connection. reused is the state of a closed
+	// connection that may be recycled, or nil.
+	newWorkerProtocol(wc *workerConn, reused workerProtocol) workerProtocol
 }
 
-// clientProtocol is one client's connection in a protocol.
+// clientProtocol is the protocol state of one client connection.
 type clientProtocol interface {
-	// read takes a part of what has come in, and tells whether there may be more to do. What is whole goes to
-	// clientConn.whole.
+	// read processes a part of the input, and reports whether more of it may be processed. A complete request is passed
+	// to clientConn.admitCall.
 	read(in []byte) bool
-	// checkTimeout gives when the connection, with nothing in hand, is to be looked at again. Where what it waited for is
-	// over, it has ended the connection and gives 0.
+	// checkTimeout enforces the timeouts of a connection in stateReading. It returns when to check again, or 0 if it has
+	// ended the connection.
 	checkTimeout() logic.Nanos
-	// betweenRequests tells whether nothing of a request has come, and begin that the next one may.
+	// betweenRequests reports whether no part of a next request has been read.
 	betweenRequests() bool
+	// startNextRequest prepares for the next request after an answer.
 	startNextRequest()
-	// terminate ends a connection in the middle of what was sent on it, and tells the client so.
+	// terminate sends an error that states the reason, and closes the connection.
 	terminate(why endReason)
-	// supportsPipelining tells whether read takes txns behind one that is in hand.
+	// supportsPipelining reports whether read admits txns while an earlier one awaits its answer.
 	supportsPipelining() bool
-	// declined and voided answer a txn that is in hand.
-	declined(c *call, after logic.Nanos)
+	// declined answers an admitted txn that was declined.
+	declined(c *call, retryAfter logic.Nanos)
+	// voided answers an admitted txn that was voided.
 	voided(c *call)
 }
 
-// workerProtocol is one connection to a worker in a protocol.
+// workerProtocol is the protocol state of one worker connection.
 type workerProtocol interface {
-	// handleOpen is told that the connection stands. It calls loop.ready, now or once a greeting is through.
+	// handleOpen is called once the connection is established. It calls loop.workerReady, at once or when the protocol's
+	// handshake is complete.
 	handleOpen()
 	// writeSubmission writes submission n of a call.
 	writeSubmission(c *call, n int) error
-	// read takes what has come in, up to a whole answer at the most, which goes to loop.complete; it tells whether
-	// there may be more to do.
+	// read processes a part of the input, at most one complete answer, which is passed to loop.completeSubmission. It
+	// reports whether more input may be processed.
 	read(in []byte) bool
-	// completeOnClose tells whether the connection's end was the end of an answer, which it has then completed.
+	// completeOnClose reports whether the close of the connection marks the end of an answer, which it then completes.
 	completeOnClose(err error) bool
-	// hasUnsent tells whether a part of what was asked is still in this host.
+	// hasUnsent reports whether part of the submission has not left this host.
 	hasUnsent() bool
-	// stale tells whether an idle connection has come to something that was not read yet: its end, or bytes that
-	// nobody asked for.
+	// stale reports whether an idle connection has been closed by the worker or has unexpected bytes to read.
 	stale() bool
-	// answerStarted tells whether a part of an answer has come, where the protocol cares.
+	// answerStarted reports whether part of an answer has arrived. Protocols that don't track this return false.
 	answerStarted() bool
-	// halfClose ends our sending and leaves what comes readable; it tells whether the protocol knows that.
+	// halfClose shuts down the sending direction and keeps reading. It reports whether the protocol supports that.
 	halfClose() bool
-	// releaseBuffers frees what large answers have left behind.
+	// releaseBuffers frees buffers that large answers have grown.
 	releaseBuffers()
 }
