--- a/edge/pg.go
+++ b/edge/pg.go
@@ -10,33 +10,34 @@
 	"dunegrade/pgwire"
 )
 
-// StatementInfo is what a statement says of itself.
+// StatementInfo holds the attributes of a statement.
 type StatementInfo struct {
-	ID                       uint64 // by which its client knows it; no two are open at once
-	Product                  logic.ProductID
-	Customer                 logic.CustomerID
-	Key                      logic.KeyID
-	Cost                     logic.Nanos
-	Repeat                   bool
-	Timeout                  logic.Nanos // from when the client sent it
-	TimeoutStart, TimeoutEnd int         // where the statement tells its patience, in whole milliseconds
+	ID           uint64 // assigned by the client; unique among the open statements
+	Product      logic.ProductID
+	Customer     logic.CustomerID
+	Key          logic.KeyID
+	Cost         logic.Nanos
+	Repeat       bool
+	Timeout      logic.Nanos // counted from when the client sent the statement
+	TimeoutStart int         // offset in the statement of the timeout's digits, in whole milliseconds
+	TimeoutEnd   int         // offset behind the timeout's digits
 }
 
-// Dialect reads what clients and workers write inside PostgreSQL'proto messages. It keeps no state.
+// Dialect parses the content that clients and workers put into PostgreSQL messages. It is stateless.
 type Dialect interface {
-	// ParseStatement reads a statement. Its error is what the client is told.
-	ParseStatement(statement []byte, to *StatementInfo) *pgwire.ProtocolError
-	// Load reads a load report, and tells whether it is one.
-	Load(report []byte, to *logic.Load) bool
-	// EncodeStartup gives the start-up message for workers, and the name of the parameter that holds load reports.
-	EncodeStartup() (message []byte, gauge string)
+	// ParseStatement parses a statement into dst. An error is sent to the client.
+	ParseStatement(statement []byte, dst *StatementInfo) *pgwire.ProtocolError
+	// Load parses a load report into dst, and reports whether it is valid.
+	Load(report []byte, dst *logic.Load) bool
+	// EncodeStartup returns the startup message for workers and the name of the parameter that carries load reports.
+	EncodeStartup() (message []byte, loadParam string)
 }
 
-// pgProtocol is PostgreSQL'proto protocol behind the seam.
+// pgProtocol implements protocol for the PostgreSQL wire protocol.
 type pgProtocol struct {
 	dialect   Dialect
-	startup   []byte
-	loadParam string
+	startup   []byte // startup message sent to workers
+	loadParam string // name of the parameter that carries load reports
 }
 
 func newPgProtocol(d Dialect) *pgProtocol {
@@ -45,8 +46,8 @@
 	return proto
 }
 
-func (proto *pgProtocol) newClientProtocol(cc *clientConn, was clientProtocol) clientProtocol {
-	pc, ok := was.(*pgClient)
+func (proto *pgProtocol) newClientProtocol(cc *clientConn, reused clientProtocol) clientProtocol {
+	pc, ok := reused.(*pgClient)
 	if !ok {
 		pc = &pgClient{}
 	}
@@ -54,8 +55,8 @@
 	return pc
 }
 
-func (proto *pgProtocol) newWorkerProtocol(wc *workerConn, was workerProtocol) workerProtocol {
-	pw, ok := was.(*pgWorker)
+func (proto *pgProtocol) newWorkerProtocol(wc *workerConn, reused workerProtocol) workerProtocol {
+	pw, ok := reused.(*pgWorker)
 	if !ok {
 		pw = &pgWorker{}
 	}
@@ -64,58 +65,60 @@
 	return pw
 }
 
-// pgClient is a client'proto connection.
+// pgClient implements clientProtocol for one PostgreSQL connection.
 type pgClient struct {
-	cc             *clientConn
-	proto          *pgProtocol
-	parser         pgwire.FrontendParser
-	partialSince   logic.Nanos // when a part of a message was first seen; 0: there is none
-	readinessSince logic.Nanos // when it asked whether this edge can serve, which it could not; 0: it did not
+	cc           *clientConn
+	proto        *pgProtocol
+	parser       pgwire.FrontendParser
+	partialSince logic.Nanos // when part of an incomplete message was first seen; 0: none
+	probeSince   logic.Nanos // when a readiness probe (an empty query) was held because the edge can't serve yet; 0: none
 }
 
 func (pc *pgClient) betweenRequests() bool    { return pc.partialSince == 0 }
 func (pc *pgClient) supportsPipelining() bool { return true }
 func (pc *pgClient) startNextRequest()        { pc.partialSince = 0 }
 
-// checkTimeout ends a client that does not get on with its start-up, or with what it began.
+// checkTimeout enforces the timeouts for the startup, for incomplete messages and for idle connections, and retries a
+// held readiness probe. Idle connections get a shorter timeout while more than half of the connection limit is in use.
 func (pc *pgClient) checkTimeout() (until logic.Nanos) {
 	cc := pc.cc
 	l := cc.l
-	door := &l.p.cfg.ClientLimits
+	limits := &l.p.cfg.ClientLimits
 	switch {
-	case pc.readinessSince > 0:
-		pc.readinessSince = 0
+	case pc.probeSince > 0:
+		pc.probeSince = 0
 		cc.read()
 		if cc.closed || cc.state != stateReading {
 			return 0
 		}
 		return l.now + 5*logic.Millisecond
 	case cc.answersSent == 0 && (pc.partialSince > 0 || !pc.parser.Started()):
-		if until = cc.openedAt + logic.Nanos(door.HeadTimeout); until <= l.now {
+		if until = cc.openedAt + logic.Nanos(limits.HeadTimeout); until <= l.now {
 			l.stats.refused++
 			pc.closeWithError(endSlow, "08P01", "the first message came too slowly")
 			return 0
 		}
 	case pc.partialSince > 0:
-		if until = pc.partialSince + logic.Nanos(door.BodyTimeout); until <= l.now {
+		if until = pc.partialSince + logic.Nanos(limits.BodyTimeout); until <= l.now {
 			l.stats.refused++
 			pc.closeWithError(endSlow, "08P01", "the message came too slowly")
 			return 0
 		}
 	default:
-		patience := door.IdleTimeout
-		if l.p.openClients.Load() > int64(door.MaxConnections/2) {
-			patience = door.PressureIdleTimeout
+		idleTimeout := limits.IdleTimeout
+		if l.p.openClients.Load() > int64(limits.MaxConnections/2) {
+			idleTimeout = limits.PressureIdleTimeout
 		}
-		if until = cc.stateSince + logic.Nanos(patience); until <= l.now {
+		if until = cc.stateSince + logic.Nanos(idleTimeout); until <= l.now {
 			return cc.endIdle()
 		}
-		until = min(until, l.now+logic.Nanos(door.PressureIdleTimeout))
+		until = min(until, l.now+logic.Nanos(limits.PressureIdleTimeout))
 	}
 	return until
 }
 
-// closeWithError tells the client what was wrong, and ends the connection: what follows cannot be trusted to be a message.
+// closeWithError sends a fatal error and closes the connection, since the input that follows cannot be trusted to start
+// with a message.
 func (pc *pgClient) closeWithError(why endReason, code, text string) {
 	cc := pc.cc
 	l := cc.l
@@ -138,9 +141,9 @@
 func (pc *pgClient) read(in []byte) bool {
 	cc := pc.cc
 	l := cc.l
-	size, want, text, err := pc.parser.Next(in)
-	if cc.call != nil { // a txn is in hand: only another one may be taken, what else comes is answered in its turn
-		if err != nil || want != pgwire.Query {
+	size, request, text, err := pc.parser.Next(in)
+	if cc.call != nil { // while a txn is in hand, only further statements are admitted; other messages wait their turn
+		if err != nil || request != pgwire.Query {
 			return false
 		}
 		return pc.handlePipelined(size, text)
@@ -160,7 +163,7 @@
 		return false
 	}
 	pc.partialSince = 0
-	switch want {
+	switch request {
 	case pgwire.EncryptionRequest:
 		cc.discardInput(size)
 		cc.write(pgwire.NoEncryption)
@@ -178,7 +181,7 @@
 			return false
 		}
 		if !l.canServe() {
-			pc.readinessSince = l.now
+			pc.probeSince = l.now
 			l.scheduleClientCheck(cc, l.now+5*logic.Millisecond)
 			return false
 		}
@@ -190,19 +193,19 @@
 	return !cc.closed
 }
 
-// handleStatement hands a txn to the module, or says what is wrong with it.
+// handleStatement admits a statement's txn, or answers with the reason why it is refused.
 func (pc *pgClient) handleStatement(size int, text []byte) {
 	cc := pc.cc
 	l := cc.l
-	var a StatementInfo
-	if f := pc.proto.dialect.ParseStatement(text, &a); f != nil {
+	var info StatementInfo
+	if f := pc.proto.dialect.ParseStatement(text, &info); f != nil {
 		l.stats.refused++
 		cc.discardInput(size)
 		pc.writeError(f.Code, f.Message, "")
 		return
 	}
-	// Danger: two txns under one id would be one to the workers, and one answer pass for the other'proto.
-	if _, open := l.externalIDs[a.ID]; open {
+	// Workers would take two open txns with the same id for one, and the answer of one could be taken for the other's.
+	if _, open := l.externalIDs[info.ID]; open {
 		l.stats.refused++
 		cc.discardInput(size)
 		pc.writeError("42710", "this id is open already", "")
@@ -220,62 +223,64 @@
 		pc.writeError("57P03", shutdownText, "")
 		return
 	}
-	pc.startCall(size, text, &a, true)
+	pc.startCall(size, text, &info, true)
 }
 
-// handlePipelined takes a txn handlePipelined others of its connection, and tells whether it did. One with a fault waits for its turn.
+// handlePipelined admits a txn behind others of its connection, and reports whether it did. A statement that has to be
+// refused stays in the input until its turn, so that its error is sent in order.
 func (pc *pgClient) handlePipelined(size int, text []byte) bool {
 	l := pc.cc.l
-	var a StatementInfo
-	if pc.proto.dialect.ParseStatement(text, &a) != nil || l.calls.inUse() >= l.p.cfg.ClientLimits.MaxOpenTxns || !l.admitsRequests() {
+	var info StatementInfo
+	if pc.proto.dialect.ParseStatement(text, &info) != nil || l.calls.inUse() >= l.p.cfg.ClientLimits.MaxOpenTxns || !l.admitsRequests() {
 		return false
 	}
-	if _, open := l.externalIDs[a.ID]; open {
+	if _, open := l.externalIDs[info.ID]; open {
 		return false
 	}
-	pc.startCall(size, text, &a, false)
+	pc.startCall(size, text, &info, false)
 	return true
 }
 
-// startCall makes a call of what was asked and hands it on; first: it is the one whose answer is next.
-func (pc *pgClient) startCall(size int, text []byte, a *StatementInfo, first bool) {
+// startCall creates and admits the call of a statement. isCurrent is false if other calls of the connection are answered
+// first.
+func (pc *pgClient) startCall(size int, text []byte, info *StatementInfo, isCurrent bool) {
 	cc := pc.cc
 	l := cc.l
 	c := l.newCall()
 	c.client = cc
-	if first {
+	if isCurrent {
 		cc.call = c
 	} else {
 		cc.pipelined = append(cc.pipelined, pipelinedCall{call: c})
 	}
-	c.product, c.keepAlive, c.externalID = int(a.Product), true, a.ID
-	c.txn = logic.Txn{Product: a.Product, Customer: a.Customer, Key: a.Key, Cost: a.Cost, Repeat: a.Repeat,
-		Expiry: max(l.now, cc.arrivalTime(size)+a.Timeout)} // one whose time is over is given up by the module
+	c.product, c.keepAlive, c.externalID = int(info.Product), true, info.ID
+	c.txn = logic.Txn{Product: info.Product, Customer: info.Customer, Key: info.Key, Cost: info.Cost, Repeat: info.Repeat,
+		Expiry: max(l.now, cc.arrivalTime(size)+info.Timeout)} // the module gives up a txn that has already expired
 	c.request = append(c.request[:0], text...)
-	c.timeoutStart, c.timeoutEnd = a.TimeoutStart, a.TimeoutEnd
-	l.externalIDs[a.ID] = struct{}{}
+	c.timeoutStart, c.timeoutEnd = info.TimeoutStart, info.TimeoutEnd
+	l.externalIDs[info.ID] = struct{}{}
 	cc.discardInput(size)
 	cc.admitCall(c)
 }
 
-// writeError answers what was never taken.
+// writeError answers a statement that was not admitted.
 func (pc *pgClient) writeError(code, text, detail string) {
 	l := pc.cc.l
 	l.scratch = pgwire.AppendError(l.scratch[:0], false, code, text, detail)
 	pc.cc.write(l.scratch)
 }
 
-// answerError answers a txn that was.
+// answerError answers an admitted txn with an error.
 func (pc *pgClient) answerError(c *call, code, text, detail string) {
 	l := pc.cc.l
 	l.scratch = pgwire.AppendError(l.scratch[:0], false, code, text, detail)
 	pc.cc.answer(c, l.scratch)
 }
 
-func (pc *pgClient) declined(c *call, after logic.Nanos) {
+func (pc *pgClient) declined(c *call, retryAfter logic.Nanos) {
 	detail := ""
-	if after > 0 {
-		detail = strconv.FormatInt(int64((after+logic.Millisecond-1)/logic.Millisecond), 10)
+	if retryAfter > 0 {
+		detail = strconv.FormatInt(int64((retryAfter+logic.Millisecond-1)/logic.Millisecond), 10)
 	}
 	pc.answerError(c, "53300", "declined: trying again does no harm", detail)
 }
@@ -288,18 +293,18 @@
 	}
 }
 
-// pgWorker is a connection to a worker.
+// pgWorker implements workerProtocol for one PostgreSQL connection.
 type pgWorker struct {
 	wc            *workerConn
 	proto         *pgProtocol
 	parser        pgwire.BackendParser
-	writing       bool
-	startReported bool // the module has heard that an answer began
+	writing       bool // writeSubmission is in progress
+	startReported bool // the start of the current answer was reported to the module
 }
 
 func (pw *pgWorker) handleOpen() { pw.wc.c.Write(pw.proto.startup) }
 
-// writeSubmission writes a statement, with the patience that is left.
+// writeSubmission writes the call's statement with its timeout replaced by the time that remains.
 func (pw *pgWorker) writeSubmission(c *call, n int) error {
 	wc := pw.wc
 	l := wc.l
@@ -307,9 +312,9 @@
 	if !pw.parser.BeginQuery() {
 		return errors.New("the connection is not idle")
 	}
-	left := max(1, int64((c.txn.Expiry-l.now)/logic.Millisecond))
+	remaining := max(1, int64((c.txn.Expiry-l.now)/logic.Millisecond))
 	var digits [20]byte
-	l.scratch = pgwire.AppendQuery(l.scratch[:0], c.request[:c.timeoutStart], strconv.AppendInt(digits[:0], left, 10), c.request[c.timeoutEnd:])
+	l.scratch = pgwire.AppendQuery(l.scratch[:0], c.request[:c.timeoutStart], strconv.AppendInt(digits[:0], remaining, 10), c.request[c.timeoutEnd:])
 	l.stats.bytesToWorkers += uint64(len(l.scratch))
 	_, err := wc.c.Write(l.scratch)
 	pw.writing = false
@@ -320,14 +325,14 @@
 	return pw.writing || !pw.wc.closed && pw.wc.c.OutboundBuffered() > 0
 }
 
-// stale looks at the socket itself. Danger: a second copy of an answer that has arrived and was not read yet would pass
-// for the next one.
+// stale peeks at the socket itself: a duplicate of an answer that has arrived but was not read yet would be taken for the
+// next answer.
 func (pw *pgWorker) stale() bool {
 	_, err := peekByte(pw.wc.c.Fd())
 	return err != unix.EAGAIN
 }
 
-// answerStarted tells whether a part of an answer has come, be it unread.
+// answerStarted reports whether part of an answer has arrived, including bytes that were not read yet.
 func (pw *pgWorker) answerStarted() bool {
 	if pw.parser.AnswerStarted() || pw.wc.c.InboundBuffered() > 0 {
 		return true
@@ -337,7 +342,7 @@
 }
 
 func (pw *pgWorker) halfClose() bool {
-	unix.Shutdown(pw.wc.c.Fd(), unix.SHUT_WR) // a connection that is gone tells so by itself
+	unix.Shutdown(pw.wc.c.Fd(), unix.SHUT_WR) // an error is ignored: the event loop reports a broken connection
 	return true
 }
 
@@ -362,7 +367,7 @@
 		pw.reportAnswerStart()
 		return false
 	}
-	size, told, err := pw.parser.Next(in)
+	size, received, err := pw.parser.Next(in)
 	if err == pgwire.ErrIncomplete {
 		pw.reportAnswerStart()
 		return false
@@ -377,7 +382,7 @@
 		return false
 	}
 	wc.c.Discard(size)
-	switch told {
+	switch received {
 	case pgwire.SessionReady:
 		l.ready(wc)
 		return !wc.closed
@@ -387,7 +392,7 @@
 		l.complete(wc, logic.OK, out, false)
 		return false
 	case pgwire.ErrorReceived:
-		if wc.handshaking { // too many connections: nothing was asked
+		if wc.handshaking { // the worker refuses the session, e.g. for too many connections; nothing was submitted
 			l.closeWorkerConn(wc, true)
 			return false
 		}
@@ -397,7 +402,7 @@
 	return true
 }
 
-// reportAnswerStart tells the module, once, of an answer that has begun and is not whole yet.
+// reportAnswerStart reports to the module, once per submission, that an incomplete answer has started to arrive.
 func (pw *pgWorker) reportAnswerStart() {
 	if wc := pw.wc; wc.call != nil && !pw.startReported && pw.answerStarted() {
 		pw.startReported = true
@@ -406,15 +411,16 @@
 }
 
 // completeWithError completes a submission that was answered with an error.
-func (pw *pgWorker) completeWithError(shut bool) {
+func (pw *pgWorker) completeWithError(workerCloses bool) {
 	pw.load()
 	e := logic.ErrorResponse
 	if pw.parser.Code == "53300" {
 		e = logic.Rejected
 	}
-	pw.wc.l.complete(pw.wc, e, nil, shut)
+	pw.wc.l.complete(pw.wc, e, nil, workerCloses)
 }
 
+// load parses the load report that came with the answer.
 func (pw *pgWorker) load() {
 	wc := pw.wc
 	wc.hasLoad = pw.parser.Load != nil && pw.proto.dialect.Load(pw.parser.Load, &wc.load) && plausibleLoad(&wc.load)
--- a/edge/protocol.go
+++ b/edge/protocol.go
@@ -37,12 +37,12 @@
 
 // workerProtocol is the protocol state of one worker connection.
 type workerProtocol interface {
-	// handleOpen is called once the connection is established. It calls loop.workerReady, at once or when the protocol's
+	// handleOpen is called once the connection is established. It calls loop.ready, at once or when the protocol's
 	// handshake is complete.
 	handleOpen()
 	// writeSubmission writes submission n of a call.
 	writeSubmission(c *call, n int) error
-	// read processes a part of the input, at most one complete answer, which is passed to loop.completeSubmission. It
+	// read processes a part of the input, at most one complete answer, which is passed to loop.complete. It
 	// reports whether more input may be processed.
 	read(in []byte) bool
 	// completeOnClose reports whether the close of the connection marks the end of an answer, which it then completes.
