--- a/edge/accept.go
+++ b/edge/accept.go
@@ -11,62 +11,65 @@
 	"golang.org/x/sys/unix"
 )
 
-// accept hands each new connection to the loop that has fewest.
+// accept accepts connections until the listener is closed or its deadline passes.
 func (p *Process) accept() {
-	failed := 0 // in a row
+	failures := 0 // consecutive
 	for {
 		c, err := p.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 				return
 			}
-			// Out of descriptors, most likely: going on at once would spin, and a line for each would fill the disk.
-			if failed++; failed == 1 {
+			// Most likely out of descriptors. Retrying at once would busy-loop, and logging each failure would fill the disk.
+			if failures++; failures == 1 {
 				p.log.Warn("accept failed", zap.Error(err))
 			}
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		if failed > 0 {
-			p.log.Info("accepts again", zap.Int("failed", failed))
-			failed = 0
+		if failures > 0 {
+			p.log.Info("accepts again", zap.Int("failed", failures))
+			failures = 0
 		}
 		p.assignToLoop(c)
 	}
 }
 
-// assignToLoop hands a new connection to the loop that has fewest, or resets it where there are far too many. Nothing of it was read.
+// assignToLoop hands a new connection to the loop with the fewest clients. Over the connection limit it has an idle
+// connection shed, and over the limit plus the allowed overflow it resets the new connection, from which nothing was read.
 func (p *Process) assignToLoop(c net.Conn) {
-	over := p.openClients.Load() - int64(p.cfg.ClientLimits.MaxConnections)
-	if over >= int64(p.cfg.ClientLimits.OverflowConnections) {
+	excess := p.openClients.Load() - int64(p.cfg.ClientLimits.MaxConnections)
+	if excess >= int64(p.cfg.ClientLimits.OverflowConnections) {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
 		c.Close()
 		return
 	}
-	if over >= 0 {
+	if excess >= 0 {
 		p.loops[0].post(p.loops[0].shed)
 	}
-	best := p.loops[0]
+	target := p.loops[0]
 	for _, l := range p.loops[1:] {
-		if l.clientCount.Load() < best.clientCount.Load() {
-			best = l
+		if l.clientCount.Load() < target.clientCount.Load() {
+			target = l
 		}
 	}
 	p.openClients.Add(1)
-	best.clientCount.Add(1)
-	if _, err := best.client.EnrollContext(c, &acceptedClient{}); err != nil {
+	target.clientCount.Add(1)
+	if _, err := target.client.EnrollContext(c, &acceptedClient{}); err != nil {
 		p.openClients.Add(-1)
-		best.clientCount.Add(-1)
+		target.clientCount.Add(-1)
 	}
 }
 
-// maxBacklog bounds what can wait to be accepted when the listener ends; a crowd that goes on coming must not hold that up.
+// maxBacklog bounds the connections accepted while the listener closes, so that a steady stream of new ones can't delay a
+// stop.
 const maxBacklog = 4096
 
-// closeListener takes the connections that the kernel has accepted so far and closes the listener, which resets those that come in between:
-// nothing of them was read. When it returns, each connection that was taken is on the books of its loop.
+// closeListener accepts the connections in the kernel's backlog and closes the listener. Connections that arrive in between
+// are reset by the close; nothing was read from them. When it returns, each accepted connection is assigned to a loop and
+// counted.
 func (p *Process) closeListener(accepting *sync.WaitGroup) {
 	defer accepting.Wait()
 	defer p.listener.Close()
@@ -94,7 +97,7 @@
 	})
 }
 
-// acceptPending takes a connection that waits to be accepted; the error is unix.EAGAIN where there is none.
+// acceptPending accepts a connection from the backlog; the error is unix.EAGAIN if there is none.
 func acceptPending(listener int) (net.Conn, error) {
 	for {
 		fd, _, err := unix.Accept4(listener, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -102,7 +105,7 @@
 		case nil:
 			return connFromFD(fd, nil)
 		case unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH,
-			unix.EOPNOTSUPP, unix.ENETUNREACH: // accept(2): faults of one connection, or none
+			unix.EOPNOTSUPP, unix.ENETUNREACH: // accept(2): retry after interrupts and errors of a single connection
 		default:
 			return nil, err
 		}
--- a/edge/closing.go
+++ b/edge/closing.go
@@ -9,25 +9,26 @@
 	"dunegrade/logic"
 )
 
-// closingConn is a client's connection that has left the event loop: nothing is read from it any more, and it is closed once its client's
-// host has acknowledged all that was sent.
+// closingConn is a client connection that has left the event loop. Nothing is read from it any more, and it is closed
+// once the client's host has acknowledged all sent data.
 //
-// A request that crosses this is left unread, and the kernel answers it with a reset, by which its client knows that it may be sent
-// again. A close before the acknowledgement would let that reset destroy the last answer.
+// A request that arrives meanwhile stays unread, so that the kernel resets the connection and the client knows that the
+// request can be sent again. Closing before the acknowledgement would let that reset destroy the last answer.
 type closingConn struct {
 	fd       int
 	closedAt logic.Nanos
 }
 
 const (
-	// closingPollInterval is how often such connections are looked at; the kernel tells nobody of an acknowledgement.
+	// closingPollInterval is the interval at which closing connections are checked, as the kernel doesn't notify
+	// applications of acknowledgements.
 	closingPollInterval = logic.Millisecond
-	// unknownDeliveryWait is how long a connection is left to deliver its last answer where the kernel does not tell what is
-	// acknowledged: the least time after which Linux sends a segment again.
+	// unknownDeliveryWait is how long a connection is kept open to deliver its last answer if the kernel doesn't report
+	// the unacknowledged bytes. It is Linux's minimum retransmission timeout.
 	unknownDeliveryWait = 200 * logic.Millisecond
 )
 
-// close ends the connection once what was written has left this process. What is still in hand loses its client.
+// close closes the connection once all written data has left this process. Calls still in hand are then abandoned.
 func (cc *clientConn) close(why endReason) {
 	if cc.closed || cc.leaveLoop(why) {
 		return
@@ -36,8 +37,8 @@
 	cc.l.scheduleClientCheck(cc, cc.l.now+2*logic.Millisecond)
 }
 
-// leaveLoop takes the connection off the event loop, closed or to be closed when its last answer has been delivered. It tells whether it
-// could; else nothing has changed.
+// leaveLoop removes the connection from the event loop: it is closed now, or once its last answer has been delivered. It
+// reports whether the connection was removed; if not, nothing has changed.
 func (cc *clientConn) leaveLoop(why endReason) bool {
 	l, c := cc.l, cc.c
 	if c.OutboundBuffered() > 0 {
@@ -49,15 +50,15 @@
 		return true
 	}
 	fd, err := c.Dup()
-	if err != nil && l.releaseFD() { // out of descriptors: its own becomes free in a moment
+	if err != nil && l.releaseFD() { // out of descriptors; closing c below frees one for the reserve again
 		fd, err = c.Dup()
 	}
-	if err != nil { // it needs none once its last answer is acknowledged
+	if err != nil { // retried later; no descriptor is needed once the last answer is acknowledged
 		l.reserveFD()
 		return false
 	}
-	unix.Shutdown(fd, unix.SHUT_WR) // one that is gone tells so by itself
-	l.p.openClients.Add(1)          // until it is closed
+	unix.Shutdown(fd, unix.SHUT_WR) // an error is ignored: checkClosing detects a broken connection
+	l.p.openClients.Add(1)          // counts as open until closed; gone subtracts it below
 	l.clientCount.Add(1)
 	cc.gone(why)
 	l.eventLoop.Close(c)
@@ -67,7 +68,7 @@
 	return true
 }
 
-// abort ends the connection at once, with a reset in place of what was not delivered.
+// abort resets the connection at once and discards undelivered data.
 func (cc *clientConn) abort(why endReason) {
 	if cc.closed {
 		return
@@ -78,18 +79,19 @@
 	cc.l.eventLoop.Close(c)
 }
 
-// quiescent tells whether nothing is owed on the connection: no request nor a part of one has come, and all answers have left this process.
+// quiescent reports whether the connection has no work left: no request or part of one has been received, and all answers
+// have left this process.
 func (cc *clientConn) quiescent() bool {
 	return cc.state == stateReading && cc.call == nil && cc.protocol.betweenRequests() && len(cc.input()) == 0 && cc.c.OutboundBuffered() == 0
 }
 
-// closeIfQuiescent ends a connection on which nothing is owed, and tells whether it could.
-//
-// Nothing is read between the look at what has come in and the end, as both happen on the loop that reads.
+// closeIfQuiescent closes the connection if it is quiescent, and reports whether it did. No input can be read between the
+// check and the close, since both run on the event loop that reads.
 func (cc *clientConn) closeIfQuiescent(why endReason) bool {
 	return cc.quiescent() && cc.leaveLoop(why)
 }
 
+// scheduleClosingCheck sets the timer for the next check of the closing connections, unless it is set.
 func (l *loop) scheduleClosingCheck() {
 	if !l.closingTimerSet {
 		l.closingTimerSet = true
@@ -97,43 +99,46 @@
 	}
 }
 
-// checkClosing closes the connections whose last answer has been delivered, is undeliverable, or has taken too long.
+// checkClosing closes the connections whose last answer has been delivered, can't be delivered or has timed out.
 func (l *loop) checkClosing() {
 	l.closingTimerSet = false
-	kept := l.closingConns[:0]
+	remaining := l.closingConns[:0]
 	for _, c := range l.closingConns {
 		if !l.delivered(c) {
-			kept = append(kept, c)
+			remaining = append(remaining, c)
 			continue
 		}
 		unix.Close(c.fd)
 		l.p.openClients.Add(-1)
 		l.clientCount.Add(-1)
 	}
-	l.closingConns = kept
+	l.closingConns = remaining
 	l.reserveFD()
-	if len(kept) > 0 {
+	if len(remaining) > 0 {
 		l.scheduleClosingCheck()
 	}
 }
 
+// delivered reports whether a closing connection needs no more time: its data is acknowledged, the time is up or the
+// connection is broken.
 func (l *loop) delivered(c closingConn) bool {
-	waited := l.now - c.closedAt
-	switch left := unackedBytes(c.fd); {
-	case left == 0:
+	elapsed := l.now - c.closedAt
+	switch unacked := unackedBytes(c.fd); {
+	case unacked == 0:
 		return true
-	case left < 0:
-		return waited >= unknownDeliveryWait
-	case waited >= logic.Nanos(l.p.cfg.ClientLimits.SlowReaderTimeout):
+	case unacked < 0:
+		return elapsed >= unknownDeliveryWait
+	case elapsed >= logic.Nanos(l.p.cfg.ClientLimits.SlowReaderTimeout):
 		l.stats.slowReaders++
 		return true
 	}
 	_, err := peekByte(c.fd)
-	return err != nil && err != unix.EAGAIN // it broke
+	return err != nil && err != unix.EAGAIN // the connection is broken
 }
 
-// reserveFD holds a descriptor for when none is left. Without it a connection whose client asks again at each answer would never be seen with all
-// acknowledged, and hold up a stop.
+// reserveFD opens a descriptor that is held in reserve for leaveLoop. Without it, when the process is out of descriptors, a
+// connection whose client sends a new request on each answer would never be found fully acknowledged and would delay a
+// drain.
 func (l *loop) reserveFD() {
 	if l.spareFD >= 0 {
 		return
@@ -143,7 +148,7 @@
 	}
 }
 
-// releaseFD gives that descriptor back, and tells whether there was one.
+// releaseFD closes the reserve descriptor, and reports whether there was one.
 func (l *loop) releaseFD() bool {
 	if l.spareFD < 0 {
 		return false
@@ -153,7 +158,7 @@
 	return true
 }
 
-// closeAllClosing closes what still waits when the loop ends.
+// closeAllClosing closes the remaining closing connections and the reserve descriptor when the loop ends.
 func (l *loop) closeAllClosing() {
 	if n := len(l.closingConns); n > 0 {
 		l.log.Warn("answers not acknowledged at the end", zap.Int("connections", n))
@@ -165,8 +170,8 @@
 	l.releaseFD()
 }
 
-// unackedBytes gives how many bytes sent on a connection, its end included, the other host has not acknowledged; negative where the
-// kernel does not tell.
+// unackedBytes returns how many sent bytes, including the FIN, the peer host has not acknowledged, or a negative number if
+// the kernel doesn't report it.
 func unackedBytes(fd int) int {
 	for {
 		n, err := unix.IoctlGetInt(fd, unix.SIOCOUTQ)
@@ -180,7 +185,7 @@
 	}
 }
 
-// peekByte looks whether bytes have come that were not read yet, 0 at the end of what is to come.
+// peekByte returns 1 if the socket has unread bytes and 0 at the end of the stream; the error is unix.EAGAIN if neither.
 func peekByte(fd int) (n int, err error) {
 	var b [1]byte
 	for {
@@ -191,7 +196,7 @@
 	}
 }
 
-// hasUnread tells whether bytes have come to the socket that were not read yet.
+// hasUnread reports whether the socket has received bytes that were not read yet.
 func (cc *clientConn) hasUnread() bool {
 	n, err := peekByte(cc.c.Fd())
 	return err == nil && n > 0
--- a/edge/drain.go
+++ b/edge/drain.go
@@ -8,32 +8,34 @@
 	"dunegrade/logic"
 )
 
-// A process stops by bringing each connection of a client to a state from which no request can be read any more, on the loop that owns
-// it, and ends when no connection is in another state. No new one can come by then: the listener is closed and its queue empty. So
-// no count can be outdated between the look and the end, and no span has to be long enough.
+// A process stops by bringing each client connection, on the loop that owns it, into a state in which no further request
+// can be read from it. The drain is complete when every connection is in that state. No new connection can arrive by then,
+// as the listener is closed and its backlog is empty. So the check can't race with new requests, and no waiting time has
+// to be chosen long enough.
 
-// answerMargin is how long before the end of a drain the last answers are written, so that they are delivered by then.
+// answerMargin is how long before the deadline of a drain the last answers are written, so that they are delivered by it.
 const answerMargin = 100 * logic.Millisecond
 
-// drain has every loop answer what it holds and end its connections, until a deadline at the latest. It tells whether all was done.
+// drain has every loop answer its admitted requests and close its connections. It reports whether all of them finished
+// before the deadline.
 func (p *Process) drain(deadline time.Time) bool {
 	end := p.clock() + logic.Nanos(time.Until(deadline))
 	for _, l := range p.loops {
 		l.post(func() { l.beginDrain(end) })
 	}
-	late := time.NewTimer(time.Until(deadline))
-	defer late.Stop()
+	timeout := time.NewTimer(time.Until(deadline))
+	defer timeout.Stop()
 	for _, l := range p.loops {
 		select {
 		case <-l.drained:
-		case <-late.C:
+		case <-timeout.C:
 			return false
 		}
 	}
 	return true
 }
 
-// beginDrain ends the connections that owe nothing. Each other one ends with its last answer.
+// beginDrain closes the quiescent connections; the others close after their last answer.
 func (l *loop) beginDrain(end logic.Nanos) {
 	l.draining = true
 	l.answerDeadline = end - min(answerMargin, (end-l.now)/4)
@@ -45,9 +47,9 @@
 	}
 }
 
-// drainClient ends a connection on which nothing is owed, or has it looked at again.
+// drainClient closes a quiescent connection, or schedules another check.
 func (l *loop) drainClient(cc *clientConn) {
-	if cc.hasUnread() && l.now < l.answerDeadline { // a request has just come: its answer costs its client less than another try
+	if cc.hasUnread() && l.now < l.answerDeadline { // a request has just arrived: answering it is cheaper for the client than a retry
 		l.scheduleClientCheck(cc, l.now+logic.Millisecond)
 		return
 	}
@@ -56,7 +58,8 @@
 	}
 }
 
-// endDrain answers all that is still in hand, and ends what has not become a request by now.
+// endDrain voids the admitted calls that are still unanswered, and closes the connections that have not sent a complete
+// request by now.
 func (l *loop) endDrain() {
 	for _, c := range l.calls.items {
 		if !c.freed && c.admitted && !c.answered && !c.clientLeft {
@@ -68,7 +71,7 @@
 	for _, cc := range l.clientConns.items {
 		switch {
 		case cc.closed || cc.c == nil || cc.state != stateReading:
-		case cc.quiescent(): // it may have to wait for its acknowledgement; what is asked meanwhile is refused, not thrown away
+		case cc.quiescent(): // may have to wait for an acknowledgement; a request that arrives meanwhile is refused, not dropped
 			l.drainClient(cc)
 		default:
 			cc.protocol.terminate(endDrain)
@@ -76,10 +79,11 @@
 	}
 }
 
-// admitsRequests tells whether a request that has just come whole can still be handed on.
+// admitsRequests reports whether a complete request can still be admitted: always, except after the answer deadline of a
+// drain.
 func (l *loop) admitsRequests() bool { return !l.draining || l.now < l.answerDeadline }
 
-// checkDrained tells whoever waits for it that no connection is left from which a request could be read.
+// checkDrained signals drained once no connection is left from which a request could be read.
 func (l *loop) checkDrained() {
 	if !l.draining || l.drainSignaled || l.clientConns.inUse() > 0 || len(l.closingConns) > 0 || l.stats.streaming > 0 {
 		return
@@ -88,53 +92,54 @@
 	close(l.drained)
 }
 
-// sum asks each loop in turn and adds up what they say.
-func (p *Process) sum(ask func(l *loop) int64) int64 {
+// sum evaluates get on each loop in turn and adds up the results.
+func (p *Process) sum(get func(l *loop) int64) int64 {
 	sum := int64(0)
 	for _, l := range p.loops {
-		got := make(chan int64, 1)
-		l.post(func() { got <- ask(l) })
-		sum += <-got
+		result := make(chan int64, 1)
+		l.post(func() { result <- get(l) })
+		sum += <-result
 	}
 	return sum
 }
 
-// connCounts counts the connections of all loops by how they stand.
+// connCounts counts the client connections of all loops by state.
 func (p *Process) connCounts() connCounts {
 	var n connCounts
 	p.sum(func(l *loop) int64 { n = n.plus(l.connCounts()); return 0 })
 	return n
 }
 
-// owedAtEnd counts the requests that ended unanswered with their connections. The loops have ended.
+// owedAtEnd returns the number of requests that were unanswered when their connection ended. Call it after the loops have
+// stopped.
 func (p *Process) owedAtEnd() uint64 {
 	n := uint64(0)
 	for _, l := range p.loops {
-		for _, one := range l.stats.owedAtEnd {
-			n += one
+		for _, count := range l.stats.owedAtEnd {
+			n += count
 		}
 	}
 	return n
 }
 
-// clientEnds counts the connections of clients that have ended, by reason. The loops have ended.
+// clientEnds returns the number of ended client connections by reason. Call it after the loops have stopped.
 func (p *Process) clientEnds() map[string]uint64 {
 	n := map[string]uint64{}
 	for _, l := range p.loops {
-		for why, one := range l.stats.clientEnds {
-			if one > 0 {
-				n[endReasonNames[why]] += one
+		for why, count := range l.stats.clientEnds {
+			if count > 0 {
+				n[endReasonNames[why]] += count
 			}
 		}
 	}
 	return n
 }
 
-// logDrained tells how the drain ended.
-func (p *Process) logDrained(whole bool) {
+// logDrained logs the result of the drain: as an error if it was incomplete.
+func (p *Process) logDrained(complete bool) {
 	write := p.log.Info
-	if !whole {
+	if !complete {
 		write = p.log.Error
 	}
-	write("stopping: drain ended", append(p.connCounts().logFields(), zap.Bool("whole", whole))...)
+	write("stopping: drain ended", append(p.connCounts().logFields(), zap.Bool("whole", complete))...)
 }
--- a/edge/end_reason.go
+++ b/edge/end_reason.go
@@ -10,36 +10,37 @@
 	"dunegrade/logic"
 )
 
-// endReason says why a client's connection ended.
+// endReason is the reason why a client connection ended.
 type endReason uint8
 
 const (
-	endByClient   endReason = iota // the client closed or reset it, or said that it leaves
-	endBroken                      // a read or write failed otherwise
-	endAnswered                    // with the answer that was to be its last
-	endIdle                        // nothing was asked for too long
-	endShed                        // the descriptors were needed for others
+	endByClient   endReason = iota // the client closed or reset the connection, or sent a terminate message
+	endBroken                      // a read or write failed for another reason
+	endAnswered                    // the answer after which the connection closes was sent
+	endIdle                        // no request was received within the idle timeout
+	endShed                        // closed to stay within the connection limit
 	endDrain                       // the process stops
-	endMalformed                   // what came cannot be read
-	endSlow                        // a message or its body came too slowly
-	endSlowReader                  // answers were not read
-	endOverfull                    // too many bytes were held for it
-	endCut                         // the loop ended under it
-	numEndReasons                  // how many there are
+	endMalformed                   // the input could not be parsed
+	endSlow                        // a message or its body was received too slowly
+	endSlowReader                  // answers were read too slowly
+	endOverfull                    // too much unprocessed input was held
+	endCut                         // the event loop stopped while the connection was open
+	numEndReasons
 )
 
+// endReasonNames holds the values of the reason label in metrics and logs.
 var endReasonNames = [numEndReasons]string{"client", "broken", "answered", "idle", "shed", "drain", "malformed", "slow", "slow-reader", "overfull", "cut"}
 
 func (r endReason) String() string { return endReasonNames[r] }
 
-// byEdge tells whether this process chose to end the connection, so that what it had taken is still owed.
+// byEdge reports whether this process chose to end the connection, so that it still owes answers to admitted requests.
 func (r endReason) byEdge() bool { return r != endByClient && r != endBroken }
 
 var stateNames = [...]string{stateReading: "reading", stateInHand: "in-hand", stateFlushing: "flushing"}
 
 func (s clientState) String() string { return stateNames[s] }
 
-// endReasonOf gives the reason of an end that the event loop tells.
+// endReasonOf returns the reason for a close reported by the event loop with this error.
 func (l *loop) endReasonOf(err error) endReason {
 	switch {
 	case err == nil && l.stopping:
@@ -50,7 +51,7 @@
 	return endBroken
 }
 
-// recordEnd counts the end of a connection, and names each request that is owed its answer at that moment.
+// recordEnd counts the end of the connection, and logs each request that it leaves unanswered.
 func (cc *clientConn) recordEnd(why endReason) {
 	l := cc.l
 	l.stats.clientEnds[why]++
@@ -63,7 +64,7 @@
 	}
 }
 
-// recordOwed counts and logs a request that ends unanswered. Any is a defect, but where its client does not read.
+// recordOwed counts and logs a request that is left unanswered. Each one is a defect, unless the client is a slow reader.
 func (cc *clientConn) recordOwed(c *call, why endReason) {
 	if c == nil || !c.admitted || c.answered {
 		return
@@ -75,26 +76,26 @@
 		zap.Int("attempts", c.n), zap.Int("attempts-out", c.outstanding))
 }
 
-// connCounts is how the connections of clients stand at a moment.
+// connCounts is the number of client connections by state.
 type connCounts struct {
-	unused         int64 // nothing was asked yet
+	unused         int64 // no request received yet
 	idle           int64 // between requests
-	partialRequest int64 // a part of a request has come
-	inHand         int64 // a request waits for its answer
+	partialRequest int64 // part of a request received
+	inHand         int64 // a request awaits its answer
 	flushing       int64 // answers have not left this process
-	relayed        int64 // a streamed answer is on its way
+	relayed        int64 // a streamRelay sends an answer
 }
 
-func (a connCounts) plus(b connCounts) connCounts {
-	return connCounts{a.unused + b.unused, a.idle + b.idle, a.partialRequest + b.partialRequest, a.inHand + b.inHand, a.flushing + b.flushing, a.relayed + b.relayed}
+func (c connCounts) plus(other connCounts) connCounts {
+	return connCounts{c.unused + other.unused, c.idle + other.idle, c.partialRequest + other.partialRequest, c.inHand + other.inHand, c.flushing + other.flushing, c.relayed + other.relayed}
 }
 
-func (a connCounts) logFields() []zap.Field {
-	return []zap.Field{zap.Int64("silent", a.unused), zap.Int64("idle", a.idle), zap.Int64("partial", a.partialRequest),
-		zap.Int64("in-hand", a.inHand), zap.Int64("unsent", a.flushing), zap.Int64("carried", a.relayed)}
+func (c connCounts) logFields() []zap.Field {
+	return []zap.Field{zap.Int64("silent", c.unused), zap.Int64("idle", c.idle), zap.Int64("partial", c.partialRequest),
+		zap.Int64("in-hand", c.inHand), zap.Int64("unsent", c.flushing), zap.Int64("carried", c.relayed)}
 }
 
-// connCounts counts the loop's connections by how they stand.
+// connCounts counts the loop's client connections by state.
 func (l *loop) connCounts() connCounts {
 	n := connCounts{relayed: l.stats.streaming}
 	for _, cc := range l.clientConns.items {
@@ -115,9 +116,9 @@
 	return n
 }
 
-// endIdle ends a connection on which nothing was asked for too long, or gives when to look at it again.
+// endIdle closes a connection whose idle timeout has expired. It returns 0 if it did, else when to check again.
 func (cc *clientConn) endIdle() (again logic.Nanos) {
-	if cc.hasUnread() { // a request arrived at this moment
+	if cc.hasUnread() { // a request has just arrived
 		return cc.l.now + logic.Millisecond
 	}
 	if cc.closeIfQuiescent(endIdle) {
