--- a/edge/relay.go
+++ b/edge/relay.go
@@ -11,38 +11,39 @@
 	"dunegrade/logic"
 )
 
-// returnedWorker is the context of a worker's connection that comes back from a carrier.
+// returnedWorker is the context with which a worker connection returns from a streamRelay to the event loop.
 type returnedWorker struct{ pool *pool }
 
-// streamRelay hands an answer on that is too large to be kept whole, or that streams. It has both connections to
-// itself, and blocks where the client reads slowly: the event loop knows no way to stop reading from a worker, so
-// that on the loop a fast worker would fill memory for a slow client.
+// streamRelay forwards an answer that streams or is too large to be buffered. It runs on its own goroutine with exclusive
+// use of both connections, and blocks while the client reads slowly. The event loop cannot stop reading from a worker, so
+// there a fast worker with a slow client would exhaust memory.
 type streamRelay struct {
 	l             *loop
 	call          *call
-	n             int
+	n             int // number of the call's submission
 	pool          *pool
 	worker        net.Conn
 	client        net.Conn
 	state         answerState
-	remaining     int64 // inFixed
+	remaining     int64 // in answerFixed: bytes of the body still to be forwarded
 	chunks        http1.Dechunker
-	chunkToClient bool   // to the client
-	initial       []byte // for the client
-	buffered      []byte // of the worker's bytes, not looked at yet
-	clientInput   []byte // of the client's bytes, its next requests
-	keepAlive     bool   // the client's connection
-	workerCloses  bool   // the worker closes
+	chunkToClient bool   // the body is sent to the client in chunked coding
+	initial       []byte // head and first part of the body, sent to the client first
+	buffered      []byte // bytes read from the worker and not processed yet
+	clientInput   []byte // bytes read from the client: its next requests
+	keepAlive     bool   // the client connection stays open after the answer
+	workerCloses  bool   // the worker closes its connection after the answer
 	load          logic.Load
 	hasLoad       bool
 }
 
-// startRelay passes the answer that wc is in the middle of to a carrier, and tells whether wc is done with.
+// startRelay hands the answer that hw is receiving to a new streamRelay. It returns false if the relay has to wait until
+// earlier answers have left the client connection, and true if the loop is done with this answer.
 func (l *loop) startRelay(hw *httpWorker) bool {
 	wc := hw.wc
 	c, n := wc.call, wc.n
 	cc := c.client
-	if cc.c.OutboundBuffered() > 0 { // an earlier answer leaves first
+	if cc.c.OutboundBuffered() > 0 { // earlier answers are sent first
 		if int64(len(hw.answer)+len(hw.unsizedBody)) > l.p.cfg.ClientLimits.MaxUnsentBytes {
 			l.stats.slowReaders++
 			cc.abort(endSlowReader)
@@ -98,12 +99,12 @@
 	l.stats.settled++
 	c.answered, c.client, cc.call = true, nil, nil
 	c.subs[n].state, c.subs[n].conn = subStreaming, nil
-	gc := cc.c
+	gnetConn := cc.c
 	l.heldBytes -= cc.countedBytes
 	cc.closed, cc.c, cc.countedBytes = true, nil, 0
 	cc.gen++
 	l.clientConns.put(cc.at)
-	l.eventLoop.Close(gc)
+	l.eventLoop.Close(gnetConn)
 	wc.call = nil
 	l.closeWorkerConn(wc, false)
 	l.enqueue(event{kind: evStreaming, call: c, outcome: logic.Outcome{Number: n}})
@@ -112,7 +113,7 @@
 	return true
 }
 
-// connFromFD makes a connection of its own of a descriptor.
+// connFromFD returns a net.Conn for a descriptor, which it takes over.
 func connFromFD(fd int, err error) (net.Conn, error) {
 	if err != nil {
 		return nil, err
@@ -122,47 +123,48 @@
 	return net.FileConn(f)
 }
 
-// run carries the answer to its end. One goroutine an answer, ended by its end, either side's silence, or quit.
+// run forwards the answer and then returns the connections to the event loop or closes them. There is one goroutine per
+// relayed answer; it ends with the answer, on a timeout of either side, or when the loop quits.
 func (r *streamRelay) run() {
 	l := r.l
 	defer l.group.Done()
-	over := make(chan struct{})
-	watched := make(chan struct{})
+	finished := make(chan struct{})
+	watcherDone := make(chan struct{})
 	go func() {
-		defer close(watched)
+		defer close(watcherDone)
 		select {
 		case <-l.quit:
 			r.worker.Close()
 			r.client.Close()
-		case <-over:
+		case <-finished:
 		}
 	}()
 	fromWorker, toClient := r.relayAnswer()
-	close(over)
-	<-watched
-	clean := fromWorker == nil && toClient == nil
+	close(finished)
+	<-watcherDone
+	complete := fromWorker == nil && toClient == nil
 	select {
 	case <-l.quit:
-		clean = false
+		complete = false
 	default:
 	}
-	if clean {
+	if complete {
 		r.worker.SetDeadline(time.Time{})
 		r.client.SetDeadline(time.Time{})
 	}
-	if !clean || r.workerCloses || len(r.buffered) > 0 {
+	if !complete || r.workerCloses || len(r.buffered) > 0 {
 		r.worker.Close()
 	} else if _, err := l.client.EnrollContext(r.worker, &returnedWorker{r.pool}); err != nil {
 		r.worker.Close()
 	}
-	if clean && r.keepAlive {
+	if complete && r.keepAlive {
 		if _, err := l.client.EnrollContext(r.client, &acceptedClient{buffered: r.clientInput}); err != nil {
 			r.client.Close()
 			l.clientCount.Add(-1)
 			l.p.openClients.Add(-1)
 		}
 	} else {
-		if !clean { // Danger: an answer cut short must not look whole, whichever side cut it
+		if !complete { // reset the connection: a truncated answer must not look complete, whichever side failed
 			if t, ok := r.client.(*net.TCPConn); ok {
 				t.SetLinger(0)
 			}
@@ -189,7 +191,8 @@
 	})
 }
 
-// awaitDelivery waits until the client's host has acknowledged the answer, as a close before that with a request unread would destroy it.
+// awaitDelivery waits until the client's host has acknowledged the answer. Closing earlier while a request is unread would
+// reset the connection and destroy the answer.
 func (r *streamRelay) awaitDelivery() {
 	c, ok := r.client.(*net.TCPConn)
 	if !ok {
@@ -201,26 +204,26 @@
 	}
 	c.CloseWrite()
 	until := time.Now().Add(r.l.p.cfg.ClientLimits.SlowReaderTimeout)
-	look := time.NewTicker(time.Duration(closingPollInterval))
-	defer look.Stop()
+	ticker := time.NewTicker(time.Duration(closingPollInterval))
+	defer ticker.Stop()
 	for time.Now().Before(until) {
-		left := 0
-		raw.Control(func(fd uintptr) { left = unackedBytes(int(fd)) })
-		if left <= 0 {
+		unacked := 0
+		raw.Control(func(fd uintptr) { unacked = unackedBytes(int(fd)) })
+		if unacked <= 0 {
 			return
 		}
 		select {
-		case <-look.C:
+		case <-ticker.C:
 		case <-r.l.quit:
 			return
 		}
 	}
 }
 
-// relayAnswer moves the rest of the answer, and tells how either side failed.
+// relayAnswer forwards the rest of the answer, and returns the error of the side that failed, if any.
 func (r *streamRelay) relayAnswer() (fromWorker, toClient error) {
 	limits := &r.l.p.cfg.ClientLimits
-	put := func(b []byte) error {
+	write := func(b []byte) error {
 		if len(b) == 0 {
 			return nil
 		}
@@ -228,34 +231,34 @@
 		_, err := r.client.Write(b)
 		return err
 	}
-	if toClient = put(r.initial); toClient != nil {
+	if toClient = write(r.initial); toClient != nil {
 		return nil, toClient
 	}
 	r.initial = nil
-	buf := make([]byte, 64<<10)
+	readBuf := make([]byte, 64<<10)
 	var out, spill []byte
-	have := append([]byte(nil), r.buffered...)
+	pending := append([]byte(nil), r.buffered...)
 	r.buffered = nil
 	eof := false
 	for {
 		switch r.state {
 		case answerFixed:
 			if r.remaining == 0 {
-				r.buffered = have
+				r.buffered = pending
 				return nil, nil
 			}
-			n := min(int64(len(have)), r.remaining)
-			if toClient = put(have[:n]); toClient != nil {
+			n := min(int64(len(pending)), r.remaining)
+			if toClient = write(pending[:n]); toClient != nil {
 				return nil, toClient
 			}
 			r.remaining -= n
-			have = have[n:]
+			pending = pending[n:]
 			if r.remaining == 0 {
-				r.buffered = have
+				r.buffered = pending
 				return nil, nil
 			}
 		case answerChunked:
-			took, data, done, err := r.chunks.Next(have)
+			consumed, data, done, err := r.chunks.Next(pending)
 			if err != nil && !errors.Is(err, http1.ErrIncomplete) {
 				return err, nil
 			}
@@ -267,12 +270,12 @@
 			if done && r.chunkToClient {
 				out = append(out, http1.LastChunk...)
 			}
-			have = have[took:]
-			if toClient = put(out); toClient != nil {
+			pending = pending[consumed:]
+			if toClient = write(out); toClient != nil {
 				return nil, toClient
 			}
 			if done {
-				r.buffered = have
+				r.buffered = pending
 				return nil, nil
 			}
 			if err == nil {
@@ -280,24 +283,24 @@
 			}
 		case answerUntilClose:
 			if r.chunkToClient {
-				out = http1.AppendChunk(out[:0], have)
+				out = http1.AppendChunk(out[:0], pending)
 			} else {
-				out = append(out[:0], have...)
+				out = append(out[:0], pending...)
 			}
-			have = have[:0]
+			pending = pending[:0]
 			if eof && r.chunkToClient {
 				out = append(out, http1.LastChunk...)
 			}
-			if toClient = put(out); toClient != nil || eof {
+			if toClient = write(out); toClient != nil || eof {
 				return nil, toClient
 			}
 		}
-		spill = append(spill[:0], have...) // have may lie in buf, which is read into next
+		spill = append(spill[:0], pending...) // pending may be a slice of readBuf, which the next read overwrites
 		r.worker.SetReadDeadline(time.Now().Add(limits.IdleTimeout))
-		n, err := r.worker.Read(buf)
-		if have = buf[:n]; len(spill) > 0 {
-			spill = append(spill, have...)
-			have = spill
+		n, err := r.worker.Read(readBuf)
+		if pending = readBuf[:n]; len(spill) > 0 {
+			spill = append(spill, pending...)
+			pending = spill
 		}
 		if err != nil && n == 0 {
 			if errors.Is(err, io.EOF) && r.state == answerUntilClose {
