--- a/edge/drain_test.go
+++ b/edge/drain_test.go
@@ -15,48 +15,49 @@
 	"golang.org/x/sys/unix"
 )
 
-// A request behind one whose answer did not say that the connection ends with it is answered, also where a drain has begun meanwhile, and
-// where the head of another attempt's answer, which nobody gets, says so.
-func TestDrainAnswersWhatIsPipelined(t *testing.T) {
+// A drain must not drop a pipelined request if the answer before it didn't announce the close of the connection. This
+// happens when that answer began before the drain. The head of a second submission's answer, which is never sent to the
+// client, may announce the close meanwhile and must not count.
+func TestDrainAnswersPipelinedRequests(t *testing.T) {
 	for _, c := range []struct {
 		name, request string
-		second        bool // a second attempt's answer begins in the drain
+		second        bool // the answer of a second submission begins during the drain
 	}{{"one attempt", post("/pay"), false}, {"two attempts", get("/ask"), true}} {
-		t.Run(c.name, func(t *testing.T) { drainUnderPipeline(t, c.request, c.second) })
+		t.Run(c.name, func(t *testing.T) { testDrainWithPipeline(t, c.request, c.second) })
 	}
 }
 
-func drainUnderPipeline(t *testing.T, request string, second bool) {
+func testDrainWithPipeline(t *testing.T, request string, second bool) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab"
-	firstOut, drains, secondOut, end := make(chan struct{}), make(chan struct{}), make(chan struct{}), make(chan struct{})
+	firstHeadSent, drainStarted, secondHeadRead, testEnd := make(chan struct{}), make(chan struct{}), make(chan struct{}), make(chan struct{})
 	var attempts atomic.Int64
 	stub := func(c net.Conn, req *http.Request, b []byte) bool {
 		switch n := attempts.Add(1); {
 		case n == 1:
 			io.WriteString(c, head)
-			close(firstOut)
-			<-drains
+			close(firstHeadSent)
+			<-drainStarted
 			if second {
-				<-secondOut
+				<-secondHeadRead
 			}
 			_, err := io.WriteString(c, "cd")
 			return err == nil
 		case n == 2 && second:
-			<-drains
+			<-drainStarted
 			io.WriteString(c, head)
-			time.Sleep(20 * time.Millisecond) // the edge reads it
-			close(secondOut)
-			<-end
+			time.Sleep(20 * time.Millisecond) // lets the edge read the head
+			close(secondHeadRead)
+			<-testEnd
 			return false
 		}
 		return echo(c, req, b)
 	}
 	r := startEdge(t, "", newStubWorker(t, stub), newStubWorker(t, stub))
-	defer close(end)
+	defer close(testEnd)
 	c := r.dial()
 	io.WriteString(c, request+request)
-	<-firstOut
-	time.Sleep(20 * time.Millisecond) // the edge reads the head
+	<-firstHeadSent
+	time.Sleep(20 * time.Millisecond) // lets the edge read the head
 	r.stop()
 	for until := time.Now().Add(2 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		other, err := net.Dial("tcp", r.address)
@@ -65,7 +66,7 @@
 		}
 		other.Close()
 	}
-	close(drains)
+	close(drainStarted)
 	in := bufio.NewReader(c)
 	for i, closes := range []bool{false, true} {
 		resp, err := http.ReadResponse(in, nil)
@@ -83,17 +84,18 @@
 	r.done = nil
 }
 
-// What is in hand when a drain's time is up is answered before it, and half a request gets its error.
-func TestDrainAnswersWhatHangs(t *testing.T) {
+// When the time of a drain runs out, unanswered requests and incomplete ones must get an error before the process ends, not
+// a closed connection.
+func TestDrainAnswersHangingRequests(t *testing.T) {
 	r := startEdge(t, "", newStubWorker(t, hang))
 	r.p.cfg.DrainTimeout = 300 * time.Millisecond
-	hangs, half := r.dial(), r.dial()
-	io.WriteString(hangs, get("/ask"))
-	io.WriteString(half, get("/ask")[:20])
+	hanging, partial := r.dial(), r.dial()
+	io.WriteString(hanging, get("/ask"))
+	io.WriteString(partial, get("/ask")[:20])
 	time.Sleep(20 * time.Millisecond)
 	began := time.Now()
 	r.stop()
-	for i, c := range []net.Conn{hangs, half} {
+	for i, c := range []net.Conn{hanging, partial} {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			t.Fatalf("client %d: %v", i, err)
@@ -106,13 +108,14 @@
 		t.Error(err)
 	}
 	r.done = nil
-	if took := time.Since(began); took > 400*time.Millisecond {
-		t.Errorf("the drain took %v", took)
+	if elapsed := time.Since(began); elapsed > 400*time.Millisecond {
+		t.Errorf("the drain took %v", elapsed)
 	}
 }
 
-// A client that sends more ahead of its answers than is kept is told so behind the last of them.
-func TestFloodIsTold(t *testing.T) {
+// A client that pipelines more than the limit must get a 503 behind its last answer, even if the head of that answer was
+// sent before the overflow and doesn't announce the close. Otherwise its discarded requests would end without an answer.
+func TestPipelineOverflowIsReported(t *testing.T) {
 	release := make(chan struct{})
 	r := startEdge(t, "(door (pipeline 1KiB))", newStubWorker(t, func(c net.Conn, req *http.Request, b []byte) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\na")
@@ -122,7 +125,7 @@
 	}))
 	c := r.dial()
 	io.WriteString(c, post("/pay"))
-	time.Sleep(50 * time.Millisecond) // the head of its answer says nothing of an end
+	time.Sleep(50 * time.Millisecond) // lets the edge send the answer's head, without "Connection: close"
 	io.WriteString(c, strings.Repeat(post("/pay"), 100))
 	time.Sleep(50 * time.Millisecond)
 	close(release)
@@ -139,14 +142,15 @@
 	}
 }
 
-// Connections in steady use are stopped under clients that write on without a look, over two loops and with streamed answers: each request is
-// answered, or was not read, which a reset tells.
+// Clients keep sending requests while a process with two loops stops; some answers are streamed. Each request must be
+// answered or stay unread, which the client sees as a reset. A connection that ended without one would leave the client
+// unable to retry safely.
 func TestDrainUnderSteadyUse(t *testing.T) {
 	for round := range 6 {
 		r := startEdge(t, "(loops 2) (door (answer-buffer 4KiB))", newStubWorker(t, echo), newStubWorker(t, echo))
 		var group sync.WaitGroup
 		var answers, resets atomic.Int64
-		body := strings.Repeat("b", 6<<10) // comes back larger than is kept whole
+		body := strings.Repeat("b", 6<<10) // its echo exceeds the answer buffer and is streamed
 		for i := range 24 {
 			c := r.dial()
 			request := get("/ask")
@@ -167,7 +171,7 @@
 						answers.Add(1)
 						continue
 					}
-					if !endedByReset(c) {
+					if !awaitReset(c) {
 						t.Errorf("client %d of round %d: a request ended with %v and no reset", i, round, err)
 					}
 					resets.Add(1)
@@ -186,8 +190,8 @@
 	}
 }
 
-// endedByReset tells whether a connection that has ended was reset, for which it gives the other end a second.
-func endedByReset(c net.Conn) bool {
+// awaitReset reports whether the peer has reset the connection, or does so within a second.
+func awaitReset(c net.Conn) bool {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return false
--- a/edge/harden_test.go
+++ b/edge/harden_test.go
@@ -22,8 +22,8 @@
 	"dunegrade/logic"
 )
 
-// standings gives what speaks against each worker, by id.
-func (r *testEdge) standings() map[logic.WorkerID]string {
+// unusableReasons returns, for each worker the sentry knows, why it cannot be used; empty: it can.
+func (r *testEdge) unusableReasons() map[logic.WorkerID]string {
 	out, done := map[logic.WorkerID]string{}, make(chan struct{})
 	l := r.p.loops[0]
 	l.post(func() {
@@ -36,28 +36,29 @@
 	return out
 }
 
-// until looks again till something holds, or fails.
-func until(t *testing.T, what string, holds func() bool) {
+// waitFor polls until a condition holds, and fails the test after 10 s.
+func waitFor(t *testing.T, event string, holds func() bool) {
 	t.Helper()
-	look := time.NewTicker(5 * time.Millisecond)
-	defer look.Stop()
-	for end := time.Now().Add(10 * time.Second); !holds(); <-look.C {
+	ticker := time.NewTicker(5 * time.Millisecond)
+	defer ticker.Stop()
+	for end := time.Now().Add(10 * time.Second); !holds(); <-ticker.C {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("timed out waiting for %s", event)
 		}
 	}
 }
 
-func up(id string, build int) api.Worker {
+func upWorker(id string, build int) api.Worker {
 	return api.Worker{ID: id, Address: "127.0.0.1:1", State: api.Up, Build: build, Weight: 1}
 }
 
-// Danger: one malformed line must neither change its worker, nor keep the others' drains from being heeded.
-func TestMalformedLinesOfTheListChangeNothing(t *testing.T) {
+// A malformed line in a worker list must not change its worker, and must not keep the valid lines, such as another worker's
+// drain, from taking effect. Only a state other than "up" is taken from a malformed line.
+func TestMalformedWorkerLinesAreIgnored(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		spoil  func(w *api.Worker)
-		wanted string // what speaks against the worker after
+		name       string
+		corrupt    func(w *api.Worker)
+		wantReason string // why the worker cannot be used afterwards
 	}{
 		{"no address", func(w *api.Worker) { w.Address = "" }, ""},
 		{"no port", func(w *api.Worker) { w.Address = "127.0.0.1" }, ""},
@@ -66,63 +67,64 @@
 		{"build below zero", func(w *api.Worker) { w.Build = -1 }, ""},
 		{"weight below zero", func(w *api.Worker) { w.Weight = -1 }, ""},
 		{"no state", func(w *api.Worker) { w.State = "" }, "not up"},
-		{"a state not known here", func(w *api.Worker) { w.State = "resting" }, "not up"},
-		{"malformed, but it drains", func(w *api.Worker) { w.Build, w.State = 70000, api.Draining }, "not up"},
+		{"an unknown state", func(w *api.Worker) { w.State = "resting" }, "not up"},
+		{"malformed and draining", func(w *api.Worker) { w.Build, w.State = 70000, api.Draining }, "not up"},
 	} {
 		for _, mode := range []string{api.Change, api.Whole} {
 			t.Run(c.name+" "+mode, func(t *testing.T) {
 				r := startEdge(t, "")
-				r.p.Workers(api.WorkersEvent{Type: api.Whole, Revision: 1, Now: 1, Workers: []api.Worker{up("a", 1), up("b", 1), up("c", 1)}})
+				r.p.Workers(api.WorkersEvent{Type: api.Whole, Revision: 1, Now: 1, Workers: []api.Worker{upWorker("a", 1), upWorker("b", 1), upWorker("c", 1)}})
 				r.p.Release(api.ReleaseEvent{Release: api.Release{Build: 1, Phase: api.Released, Cap: 1}})
-				bad, drains, unknown := up("a", 1), up("b", 1), up("d", 70000)
-				drains.State = api.Draining
-				c.spoil(&bad)
-				r.p.Workers(api.WorkersEvent{Type: mode, Revision: 2, Now: 1, Workers: []api.Worker{bad, drains, unknown, up("c", 1)}})
-				got := r.standings()
-				if got["a"] != c.wanted || got["b"] != "not up" || got["c"] != "" {
-					t.Errorf("stand as %v, want a %q, b not up, c free", got, c.wanted)
+				bad, draining, unknown := upWorker("a", 1), upWorker("b", 1), upWorker("d", 70000)
+				draining.State = api.Draining
+				c.corrupt(&bad)
+				r.p.Workers(api.WorkersEvent{Type: mode, Revision: 2, Now: 1, Workers: []api.Worker{bad, draining, unknown, upWorker("c", 1)}})
+				got := r.unusableReasons()
+				if got["a"] != c.wantReason || got["b"] != "not up" || got["c"] != "" {
+					t.Errorf("reasons are %v, want a %q, b not up, c none", got, c.wantReason)
 				}
 				if _, known := got["d"]; known {
-					t.Error("a malformed line of a worker not known brought it in")
+					t.Error("a malformed line added an unknown worker")
 				}
 			})
 		}
 	}
 }
 
-// Danger: a cap of 40, meant as percent, or one of -1 would let everything or nothing through.
-func TestMalformedNewsChangesNothing(t *testing.T) {
-	sound := api.Release{Build: 2, Stage: 1, Phase: api.OnTrial, Cap: 0.4, Since: 100}
+// A malformed release update must not take effect: a cap of 40, meant as a percentage, would allow everything, and one of -1
+// nothing. An update that is older than the release in force must not raise its exposure.
+func TestMalformedReleaseUpdatesAreIgnored(t *testing.T) {
+	valid := api.Release{Build: 2, Stage: 1, Phase: api.OnTrial, Cap: 0.4, Since: 100}
 	for _, c := range []struct {
 		name string
 		next func(r *api.Release)
 		want bool
 	}{
-		{"the same again", func(r *api.Release) {}, true},
+		{"repeated update", func(r *api.Release) {}, true},
 		{"cap over one", func(r *api.Release) { r.Cap = 40 }, false},
 		{"cap below zero", func(r *api.Release) { r.Cap = -0.1 }, false},
 		{"stage below zero", func(r *api.Release) { r.Stage = -1 }, false},
 		{"build out of range", func(r *api.Release) { r.Build = 1 << 20 }, false},
-		{"phase not known", func(r *api.Release) { r.Phase = "paused" }, false},
+		{"unknown phase", func(r *api.Release) { r.Phase = "paused" }, false},
 		{"the next stage", func(r *api.Release) { r.Stage, r.Cap, r.Since = 2, 1, 200 }, true},
 		{"going back", func(r *api.Release) { r.Phase, r.Cap, r.Since = api.GoingBack, 0, 200 }, true},
-		{"overtaken: an earlier stage at a higher cap", func(r *api.Release) { r.Stage, r.Cap, r.Since = 0, 0.9, 50 }, false},
-		{"overtaken: an earlier stage at a lower cap", func(r *api.Release) { r.Stage, r.Cap, r.Since = 0, 0.1, 50 }, true},
-		{"overtaken: the build before", func(r *api.Release) { *r = api.Release{Build: 1, Phase: api.Released, Cap: 1, Since: 50} }, false},
-		{"a build that was a slip is taken back", func(r *api.Release) { *r = api.Release{Build: 1, Phase: api.Released, Cap: 1, Since: 200} }, true},
-		{"a file tells no times", func(r *api.Release) { r.Stage, r.Cap = 0, 0.9 }, true},
+		{"outdated: an earlier stage with a higher cap", func(r *api.Release) { r.Stage, r.Cap, r.Since = 0, 0.9, 50 }, false},
+		{"outdated: an earlier stage with a lower cap", func(r *api.Release) { r.Stage, r.Cap, r.Since = 0, 0.1, 50 }, true},
+		{"outdated: the previous build", func(r *api.Release) { *r = api.Release{Build: 1, Phase: api.Released, Cap: 1, Since: 50} }, false},
+		{"a build announced by mistake is taken back", func(r *api.Release) { *r = api.Release{Build: 1, Phase: api.Released, Cap: 1, Since: 200} }, true},
+		{"an update without a time, as from a file", func(r *api.Release) { r.Stage, r.Cap = 0, 0.9 }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := New(mustPlan(t, ""), zap.NewNop())
-			if !p.acceptRelease(sound, func() {}) {
-				t.Fatal("sound news was not heeded")
+			p := New(parseTestConfig(t, ""), zap.NewNop())
+			if !p.acceptRelease(valid, func() {}) {
+				t.Fatal("a valid release was not accepted")
 			}
-			next := sound
+			next := valid
 			c.next(&next)
 			if got := p.acceptRelease(next, func() {}); got != c.want {
-				t.Errorf("heeded: %t", got)
+				t.Errorf("accepted: %t", got)
 			}
-			want := sound
+			want := valid
 			if c.want {
 				want = next
 			}
@@ -131,33 +133,35 @@
 			}
 		})
 	}
-	t.Run("an answer after the build went back", func(t *testing.T) {
-		p := New(mustPlan(t, ""), zap.NewNop())
-		gone := sound
+	t.Run("a vote reply after the build was withdrawn", func(t *testing.T) {
+		p := New(parseTestConfig(t, ""), zap.NewNop())
+		gone := valid
 		gone.Phase, gone.Cap, gone.Since = api.Withdrawn, 0, 300
 		p.acceptRelease(gone, func() {})
-		if p.acceptRelease(sound, func() {}) {
-			t.Error("the trial is back in force")
+		if p.acceptRelease(valid, func() {}) {
+			t.Error("the withdrawn trial is in force again")
 		}
 	})
 }
 
-// Danger: news that was in order when it was looked at would still reach a loop behind what comes at the same moment.
-func TestNewsIsPassedOnBeforeTheNextIsLookedAt(t *testing.T) {
-	p := New(mustPlan(t, ""), zap.NewNop())
-	passed := false
+// Release updates must be forwarded to the loops under the lock that orders them. Otherwise an update could be checked first
+// but reach a loop after a newer one.
+func TestReleaseUpdatesAreForwardedInOrder(t *testing.T) {
+	p := New(parseTestConfig(t, ""), zap.NewNop())
+	forwarded := false
 	p.acceptRelease(api.Release{Build: 2, Phase: api.OnTrial, Cap: 0.4}, func() {
-		if passed = true; p.mu.TryLock() {
+		if forwarded = true; p.mu.TryLock() {
 			p.mu.Unlock()
-			t.Error("other news could overtake it")
+			t.Error("another update could overtake it")
 		}
 	})
-	if !passed {
-		t.Error("not passed on")
+	if !forwarded {
+		t.Error("not forwarded")
 	}
 }
 
-func mustPlan(t *testing.T, extra string) *config.Edge {
+// parseTestConfig parses the test configuration with extra settings.
+func parseTestConfig(t *testing.T, extra string) *config.Edge {
 	t.Helper()
 	e, err := config.ParseEdge("t.sexp", fmt.Sprintf(configTemplate, extra))
 	if err != nil {
@@ -166,37 +170,38 @@
 	return e
 }
 
-// Danger: a process that took another's place counts as that one: warm, trusted, and answerable for what it did.
-func TestWhoseProcessItIs(t *testing.T) {
+// A new process under a known worker id must count as new. Taken for the old process it would count as warm and trusted, and
+// be blamed for what the old one did.
+func TestWorkerStartIdentifiesProcess(t *testing.T) {
 	const sec = int64(time.Second)
 	first := api.Worker{ID: "a", Address: "127.0.0.1:1", State: api.Up, Build: 1}
-	told := first
-	told.StartedAt = 90 * sec
+	withStart := first
+	withStart.StartedAt = 90 * sec
 	for _, c := range []struct {
-		name      string
-		held      *api.Worker // of the first list; nil: the id appears later
-		next      func(w *api.Worker)
-		age       logic.Nanos // by the clock at the second telling; -1: long past
-		different bool        // from what the first telling gave
+		name       string
+		previous   *api.Worker // in the first list; nil: the id appears later
+		next       func(w *api.Worker)
+		age        logic.Nanos // expected at the second list; -1: started long ago
+		newProcess bool        // the start differs from the one after the first list
 	}{
-		{"the same again, not told", &first, func(w *api.Worker) {}, -1, false},
-		{"the same again, told", &told, func(w *api.Worker) {}, 15 * logic.Second, false},
-		{"another start", &told, func(w *api.Worker) { w.StartedAt = 104 * sec }, logic.Second, true},
-		{"another address, not told", &first, func(w *api.Worker) { w.Address = "127.0.0.1:2" }, 0, true},
-		{"another address at the same start", &told, func(w *api.Worker) { w.Address = "127.0.0.1:2" }, 0, true},
-		{"another build, not told", &first, func(w *api.Worker) { w.Build = 2 }, 0, true},
-		{"another build and start", &told, func(w *api.Worker) { w.Build, w.StartedAt = 2, 103*sec }, 2 * logic.Second, true},
-		{"it drains, and the line has no address", &told, func(w *api.Worker) { w.Address, w.State = "", api.Draining }, 15 * logic.Second, false},
-		{"an id that appears later, not told", nil, func(w *api.Worker) {}, 0, false},
-		{"an id that appears later, told", nil, func(w *api.Worker) { w.StartedAt = 100 * sec }, 5 * logic.Second, false},
-		{"a start that lies ahead", nil, func(w *api.Worker) { w.StartedAt = 200 * sec }, 0, false},
+		{"unchanged, without a start", &first, func(w *api.Worker) {}, -1, false},
+		{"unchanged, with a start", &withStart, func(w *api.Worker) {}, 15 * logic.Second, false},
+		{"another start", &withStart, func(w *api.Worker) { w.StartedAt = 104 * sec }, logic.Second, true},
+		{"another address, without a start", &first, func(w *api.Worker) { w.Address = "127.0.0.1:2" }, 0, true},
+		{"another address with the same start", &withStart, func(w *api.Worker) { w.Address = "127.0.0.1:2" }, 0, true},
+		{"another build, without a start", &first, func(w *api.Worker) { w.Build = 2 }, 0, true},
+		{"another build and start", &withStart, func(w *api.Worker) { w.Build, w.StartedAt = 2, 103*sec }, 2 * logic.Second, true},
+		{"draining, and the line has no address", &withStart, func(w *api.Worker) { w.Address, w.State = "", api.Draining }, 15 * logic.Second, false},
+		{"an id that appears later, without a start", nil, func(w *api.Worker) {}, 0, false},
+		{"an id that appears later, with a start", nil, func(w *api.Worker) { w.StartedAt = 100 * sec }, 5 * logic.Second, false},
+		{"a start in the future", nil, func(w *api.Worker) { w.StartedAt = 200 * sec }, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := &loop{workerStarts: map[logic.WorkerID]workerStart{}, now: 1000 * logic.Second}
 			w := first
 			before := logic.Nanos(0)
-			if c.held != nil {
-				w = *c.held
+			if c.previous != nil {
+				w = *c.previous
 				before = l.workerStartTime("a", w, 100*sec)
 			}
 			l.listSeen = true
@@ -206,24 +211,24 @@
 			if want := l.now - c.age; c.age >= 0 && got != want || c.age < 0 && got != 0 {
 				t.Errorf("started %v ago, want %v", l.now-got, c.age)
 			}
-			if (got != before) != c.different && c.held != nil {
-				t.Errorf("told apart: %t", got != before)
+			if (got != before) != c.newProcess && c.previous != nil {
+				t.Errorf("start differs: %t", got != before)
 			}
 			l.now += logic.Second
 			if again := l.workerStartTime("a", w, 106*sec); again != got {
-				t.Errorf("told once more, it started at %v, before at %v", again, got)
+				t.Errorf("on a repeated list, the start is %v, before %v", again, got)
 			}
 		})
 	}
 }
 
-// Maps by id hold what the list holds: ids that never come back must not stay.
-func TestIdsThatAreGoneAreForgotten(t *testing.T) {
+// Removed workers must not stay in the maps by id, which would grow for as long as workers with new ids come and go.
+func TestRemovedWorkersAreForgotten(t *testing.T) {
 	r := startEdge(t, "")
 	for i := 0; i < 300; i++ {
-		e := api.WorkersEvent{Type: api.Whole, Revision: uint64(i), Now: 1, Workers: []api.Worker{up(fmt.Sprintf("w%d", i), 1)}}
-		if i%2 == 0 { // half of them by changes
-			gone := up(fmt.Sprintf("w%d", i-1), 1)
+		e := api.WorkersEvent{Type: api.Whole, Revision: uint64(i), Now: 1, Workers: []api.Worker{upWorker(fmt.Sprintf("w%d", i), 1)}}
+		if i%2 == 0 { // every other worker is removed by a change event
+			gone := upWorker(fmt.Sprintf("w%d", i-1), 1)
 			gone.State = api.Gone
 			e.Type, e.Workers = api.Change, append(e.Workers, gone)
 		}
@@ -233,175 +238,176 @@
 	l := r.p.loops[0]
 	l.post(func() { done <- [3]int{len(l.workerStarts), len(l.pools), len(r.p.workers)} })
 	if got := <-done; got != [3]int{1, 1, 1} {
-		t.Errorf("starts, pools and kept lines: %v", got)
+		t.Errorf("starts, pools and workers: %v, want one each", got)
 	}
 }
 
-// Danger: names that the settings lack would all pass for the first of them, and a repeat that may go to workers of the
-// same zone only would leave it.
-func TestZonesThatAreNotKnownDiffer(t *testing.T) {
+// Zones that the configuration doesn't list must get ids of their own. With a shared id they would all count as the first
+// zone, and a retry that is restricted to workers of the same zone would leave it.
+func TestUnknownZonesAreDistinct(t *testing.T) {
 	names := indexNames([]string{"north", "south"}, 0)
 	seen := map[int]string{}
 	for _, n := range []string{"north", "south", "east", "west", ""} {
 		at := lookupID(names, n)
 		if seen[at] != "" || n == "south" && at != 1 {
-			t.Errorf("%q is %d, as %q", n, at, seen[at])
+			t.Errorf("%q has id %d, like %q", n, at, seen[at])
 		}
 		seen[at] = n + "."
 	}
 	if lookupID(nil, "") != 0 {
-		t.Error("without zones no worker is at home")
+		t.Error("without configured zones, the empty name is not the local zone")
 	}
 }
 
-const keptText = `{"version":1,"saved":%d,"clock":%d,"workers":[
+const savedStateFormat = `{"version":1,"saved":%d,"clock":%d,"workers":[
  {"id":"a","address":"127.0.0.1:1","state":"up","build":1,"weight":1},
  {"id":"b","address":"127.0.0.1:2","state":"up","build":1,"startedAt":%d,"weight":1}],
  "release":{"name":"1","build":1,"stage":0,"phase":"released","cap":1,"since":1}}`
 
-// The platform's clock is an hour behind ours here, and the list was kept three seconds ago.
-func keptNow() string {
+// savedState returns a saved state that is three seconds old, from a platform whose clock is an hour behind the local one.
+func savedState() string {
 	now := time.Now().Add(-3 * time.Second).UnixNano()
 	clock := now - int64(time.Hour)
-	return fmt.Sprintf(keptText, now, clock, clock-int64(time.Second))
+	return fmt.Sprintf(savedStateFormat, now, clock, clock-int64(time.Second))
 }
 
-func TestKeptListIsSoundOrRefused(t *testing.T) {
+// A saved state that is malformed or truncated must be rejected as a whole, not restored in part.
+func TestSavedStateIsValidOrRejected(t *testing.T) {
 	for _, c := range []struct{ name, from, to string }{
-		{"as it was", "", ""},
+		{"unchanged, valid", "", ""},
 		{"another version", `"version":1`, `"version":2`},
 		{"no address", `"127.0.0.1:1"`, `""`},
 		{"an address without port", `"127.0.0.1:1"`, `"127.0.0.1"`},
 		{"a build out of range", `"build":1,"startedAt"`, `"build":70000,"startedAt"`},
-		{"two of an id", `"id":"b"`, `"id":"a"`},
+		{"a duplicate id", `"id":"b"`, `"id":"a"`},
 		{"a cap over one", `"cap":1`, `"cap":40`},
-		{"a phase not known", `"released"`, `"paused"`},
+		{"an unknown phase", `"released"`, `"paused"`},
 		{"a stage below zero", `"stage":0`, `"stage":-1`},
-		{"a number as text", `"cap":1`, `"cap":"1"`},
+		{"a number as a string", `"cap":1`, `"cap":"1"`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
-			p := New(mustPlan(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
-			write(t, p.statePath(), strings.Replace(keptNow(), c.from, c.to, 1))
-			list, news := p.restoreState()
-			if sound := c.from == ""; (list != nil) != sound || (news != nil) != sound {
-				t.Errorf("restored %v, %v", list, news)
+			p := New(parseTestConfig(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
+			writeFile(t, p.statePath(), strings.Replace(savedState(), c.from, c.to, 1))
+			list, release := p.restoreState()
+			if valid := c.from == ""; (list != nil) != valid || (release != nil) != valid {
+				t.Errorf("restored %v, %v", list, release)
 			}
 		})
 	}
-	t.Run("cut at every byte", func(t *testing.T) {
+	t.Run("truncated at every byte", func(t *testing.T) {
 		dir := t.TempDir()
-		text := keptNow()
+		text := savedState()
 		for n := 0; n < len(text); n++ {
-			p := New(mustPlan(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
-			write(t, p.statePath(), text[:n])
+			p := New(parseTestConfig(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
+			writeFile(t, p.statePath(), text[:n])
 			if list, _ := p.restoreState(); list != nil {
-				t.Fatalf("%d of %d bytes were taken as whole", n, len(text))
+				t.Fatalf("a file truncated to %d of %d bytes was restored", n, len(text))
 			}
 		}
 	})
 }
 
-func write(t *testing.T, path, text string) {
+func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Danger: a start told by the platform's clock, read by another, makes a worker that has just started look warm; and
-// when the platform speaks again the same process must not pass for a new one.
-func TestKeptListKeepsAges(t *testing.T) {
+// Worker starts in the saved state are in the platform's time. Read by the local clock, a worker that has just started would
+// look warm. When the platform's list arrives after the restart, the same process must keep its start.
+func TestRestoredListKeepsWorkerAges(t *testing.T) {
 	dir := t.TempDir()
-	write(t, filepath.Join(dir, "t.list.json"), strings.Replace(keptNow(), `"state":"up","build":1,"weight"`, `"state":"resting","build":1,"weight"`, 1))
+	writeFile(t, filepath.Join(dir, "t.list.json"), strings.Replace(savedState(), `"state":"up","build":1,"weight"`, `"state":"resting","build":1,"weight"`, 1))
 	r := startEdge(t, fmt.Sprintf("(state %q)", dir))
 	age := make(chan logic.Nanos)
 	l := r.p.loops[0]
-	look := func() logic.Nanos {
+	getAge := func() logic.Nanos {
 		l.post(func() { age <- l.now - l.workerStarts["b"].startedAt })
 		return <-age
 	}
-	if got := look(); got < 4*logic.Second || got > 30*logic.Second {
-		t.Errorf("restored as %v old, want 4 s", got)
+	if got := getAge(); got < 4*logic.Second || got > 30*logic.Second {
+		t.Errorf("restored with an age of %v, want 4 s", got)
 	}
-	if got := r.standings(); got["a"] != "not up" {
-		t.Errorf("a standing not known here is %q", got["a"])
+	if got := r.unusableReasons(); got["a"] != "not up" {
+		t.Errorf("the reason for an unknown state is %q", got["a"])
 	}
-	before := make(chan workerStart, 2)
-	l.post(func() { before <- l.workerStarts["b"] })
+	starts := make(chan workerStart, 2)
+	l.post(func() { starts <- l.workerStarts["b"] })
 	now := time.Now().Add(-time.Hour).UnixNano()
 	b := r.p.workers["b"]
 	r.p.Workers(api.WorkersEvent{Type: api.Whole, Revision: 1, Now: now, Workers: []api.Worker{b}})
-	l.post(func() { before <- l.workerStarts["b"] })
-	if x, y := <-before, <-before; x != y {
-		t.Errorf("the same process is %+v, then %+v", x, y)
+	l.post(func() { starts <- l.workerStarts["b"] })
+	if x, y := <-starts, <-starts; x != y {
+		t.Errorf("the start of the same process is %+v, then %+v", x, y)
 	}
 }
 
-// Danger: a line that was not heeded must not spoil the list that is kept.
-func TestMalformedLineIsNotKept(t *testing.T) {
+// A malformed line must not get into the saved state, which would be rejected as a whole at the next start.
+func TestMalformedWorkerLineIsNotSaved(t *testing.T) {
 	dir := t.TempDir()
-	p := New(mustPlan(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
+	p := New(parseTestConfig(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
 	for _, state := range []string{api.Up, "", "resting", api.Draining} {
-		p.Workers(api.WorkersEvent{Type: api.Whole, Now: 1, Workers: []api.Worker{up("a", 1), up("b", 1)}})
-		bad := up("a", 70000)
+		p.Workers(api.WorkersEvent{Type: api.Whole, Now: 1, Workers: []api.Worker{upWorker("a", 1), upWorker("b", 1)}})
+		bad := upWorker("a", 70000)
 		bad.State = state
 		p.Workers(api.WorkersEvent{Type: api.Change, Now: 1, Workers: []api.Worker{bad}})
 		p.saveState(false)
-		if list, _ := New(mustPlan(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop()).restoreState(); list == nil || len(list.Workers) != 2 {
-			t.Errorf("after a line of state %q: restored %v", state, list)
+		if list, _ := New(parseTestConfig(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop()).restoreState(); list == nil || len(list.Workers) != 2 {
+			t.Errorf("after a malformed line with state %q: restored %v", state, list)
 		}
 	}
 }
 
-// Danger: two that write one file leave a mixture, and the next start refuses it or takes half.
-func TestSavesAtOnceLeaveAWholeFile(t *testing.T) {
+// Concurrent saves must not interleave in the file: the next start would reject the mixture, or restore half a list.
+func TestConcurrentSavesLeaveCompleteFile(t *testing.T) {
 	dir := t.TempDir()
-	p := New(mustPlan(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
+	p := New(parseTestConfig(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
 	var group sync.WaitGroup
 	for i := 0; i < 8; i++ {
 		group.Go(func() {
 			for k := 0; k < 25; k++ {
 				var list []api.Worker
 				for n := 0; n < 1+(i*31+k*17)%200; n++ {
-					list = append(list, up(fmt.Sprintf("w%d-%d-%d", i, k, n), 1))
+					list = append(list, upWorker(fmt.Sprintf("w%d-%d-%d", i, k, n), 1))
 				}
 				p.Workers(api.WorkersEvent{Type: api.Whole, Now: 1, Workers: list})
 				p.saveState(false)
-				again := New(mustPlan(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
+				again := New(parseTestConfig(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
 				if got, _ := again.restoreState(); got == nil {
-					t.Error("what was kept is refused")
+					t.Error("the saved state was rejected")
 				}
 			}
 		})
 	}
 	group.Wait()
 	p.saveFinal()
-	p.saveState(false) // as a timer that was late
+	p.saveState(false) // like a delayed timer
 	info, err := os.Stat(p.statePath() + ".new")
 	if err == nil {
 		t.Errorf("%s is left behind", info.Name())
 	}
 }
 
-// A folder that takes nothing keeps the last whole list; what is served does not depend on it.
-func TestStateThatTakesNothing(t *testing.T) {
+// A failure to write the state must keep the last complete file, and must not affect serving.
+func TestUnwritableStateDir(t *testing.T) {
 	dir := t.TempDir()
 	w := newStubWorker(t, echo)
 	r := startEdge(t, fmt.Sprintf("(state %q)", dir), w)
 	r.p.saveState(false)
-	if err := os.Mkdir(r.p.statePath()+".new", 0o700); err != nil { // where it is written
+	if err := os.Mkdir(r.p.statePath()+".new", 0o700); err != nil { // blocks the temporary file
 		t.Fatal(err)
 	}
 	before, err := os.ReadFile(r.p.statePath())
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.p.Workers(api.WorkersEvent{Type: api.Change, Now: 1, Workers: []api.Worker{up("later", 1)}})
+	r.p.Workers(api.WorkersEvent{Type: api.Change, Now: 1, Workers: []api.Worker{upWorker("later", 1)}})
 	r.p.saveState(false)
 	after, err := os.ReadFile(r.p.statePath())
 	if err != nil || string(after) != string(before) {
-		t.Errorf("the list kept before is gone: %v", err)
+		t.Errorf("the previously saved state is gone: %v", err)
 	}
 	if answers, _ := r.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
 		t.Errorf("got %d", answers[0].StatusCode)
@@ -409,33 +415,34 @@
 	os.Remove(r.p.statePath() + ".new")
 }
 
-// Danger: what changed while the folder took nothing stays unknown to the next start if nothing else changes, and a
-// worker that drains is up for it.
-func TestAListThatCouldNotBeKeptIsKeptLater(t *testing.T) {
-	core, said := observer.New(zap.InfoLevel)
-	p := New(mustPlan(t, fmt.Sprintf("(state %q)", t.TempDir())), zap.New(core))
+// A failed save must be retried even if nothing else changes. Otherwise the next start would restore an outdated list, in
+// which a draining worker is still up.
+func TestFailedSaveIsRetried(t *testing.T) {
+	core, logs := observer.New(zap.InfoLevel)
+	p := New(parseTestConfig(t, fmt.Sprintf("(state %q)", t.TempDir())), zap.New(core))
 	t.Cleanup(p.saveFinal)
 	if err := os.Mkdir(p.statePath()+".new", 0o700); err != nil {
 		t.Fatal(err)
 	}
-	p.Workers(api.WorkersEvent{Type: api.Whole, Now: 1, Workers: []api.Worker{up("a", 1)}})
-	until(t, "it is said", func() bool { return said.FilterMessage("the last list could not be kept").Len() > 0 })
+	p.Workers(api.WorkersEvent{Type: api.Whole, Now: 1, Workers: []api.Worker{upWorker("a", 1)}})
+	waitFor(t, "the first log line", func() bool { return logs.FilterMessage("the last list could not be kept").Len() > 0 })
 	if err := os.Remove(p.statePath() + ".new"); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "it is kept", func() bool { _, err := os.Stat(p.statePath()); return err == nil })
-	until(t, "that is said", func() bool { return said.FilterMessage("the last list is kept again").Len() > 0 })
-	if n := said.Len(); n != 2 {
-		t.Errorf("%d lines, wanted one for each change", n)
+	waitFor(t, "the saved file", func() bool { _, err := os.Stat(p.statePath()); return err == nil })
+	waitFor(t, "the second log line", func() bool { return logs.FilterMessage("the last list is kept again").Len() > 0 })
+	if n := logs.Len(); n != 2 {
+		t.Errorf("%d log lines, want one for each change", n)
 	}
 }
 
-// Danger: a file system stamps changes coarsely, so the half that a read has met may bear the time of the whole.
-func TestAChangeOfTheSameTimeIsRead(t *testing.T) {
+// A change of the list file must be read even if its timestamp stays the same. File systems have coarse timestamps, so a file
+// that was read half-written may have the same timestamp once it is complete.
+func TestListFileChangeWithSameTimestampIsRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.sexp")
 	stamp := time.Now()
 	put := func(text string) {
-		write(t, path, text)
+		writeFile(t, path, text)
 		if err := os.Chtimes(path, stamp, stamp); err != nil {
 			t.Fatal(err)
 		}
@@ -446,44 +453,44 @@
 	await(t, e.lists)
 	put(`(worker a (address "127.0.0.1:1")) (worker b (address "127.0.0.1:2")) (release (build 1))`)
 	if got := await(t, e.lists); len(got.Workers) != 2 {
-		t.Errorf("told %+v", got)
+		t.Errorf("got %+v", got)
 	}
 }
 
-// Danger: a list file that cannot be read for a moment may come back with the time it had, and change nothing but its text.
-func TestAListFileThatCannotBeReadIsTriedAgain(t *testing.T) {
+// A list file that was unreadable for a moment must be read again even if it comes back with the timestamp it had.
+func TestUnreadableListFileIsRetried(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.sexp")
 	stamp := time.Now().Add(-time.Hour)
-	dated := func() {
+	setTimestamp := func() {
 		if err := os.Chtimes(path, stamp, stamp); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := os.Mkdir(path, 0o700); err != nil { // is there, and cannot be read
+	if err := os.Mkdir(path, 0o700); err != nil { // exists but can't be read
 		t.Fatal(err)
 	}
-	dated()
-	core, said := observer.New(zap.InfoLevel)
+	setTimestamp()
+	core, logs := observer.New(zap.InfoLevel)
 	e := runSource(t, newFileSource(path, zap.New(core)))
-	until(t, "it is said", func() bool { return said.FilterMessage("list file cannot be read").Len() > 0 })
+	waitFor(t, "the first log line", func() bool { return logs.FilterMessage("list file cannot be read").Len() > 0 })
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
-	write(t, path+".new", `(worker a (address "127.0.0.1:1")) (release (build 1))`)
+	writeFile(t, path+".new", `(worker a (address "127.0.0.1:1")) (release (build 1))`)
 	if err := os.Rename(path+".new", path); err != nil {
 		t.Fatal(err)
 	}
-	dated()
+	setTimestamp()
 	if got := await(t, e.lists); len(got.Workers) != 1 {
-		t.Errorf("told %+v", got)
+		t.Errorf("got %+v", got)
 	}
-	until(t, "that is said", func() bool { return said.FilterMessage("list file is read again").Len() > 0 })
-	if n := said.Len(); n != 2 {
-		t.Errorf("%d lines, wanted one for each change", n)
+	waitFor(t, "the second log line", func() bool { return logs.FilterMessage("list file is read again").Len() > 0 })
+	if n := logs.Len(); n != 2 {
+		t.Errorf("%d log lines, want one for each change", n)
 	}
 }
 
-// Addresses of sentries that may not talk do no harm.
+// Peer addresses are ignored if the configuration forbids messages between sentries.
 func TestPeersWithoutMessages(t *testing.T) {
 	w := newStubWorker(t, echo)
 	r := startEdge(t, fmt.Sprintf("(sentries 3) (index 2) (peers %s) (allow (messages false))", freeUDPAddress(t)), w)
@@ -492,49 +499,51 @@
 	}
 }
 
-// An event that is neither whole nor a change may have altered the list: what is held is not built upon.
-func TestEventOfAnUnknownType(t *testing.T) {
+// An event of unknown type may have changed the list, so the source must request the whole list again instead of applying
+// later changes to the one it has.
+func TestUnknownWatchEventType(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked := serveWatch(t, ln, `{"type":"whole","revision":5,"workers":[]}`, `{"type":"patch","revision":6}`, `{"type":"change","revision":7}`)
+	requested := serveWatch(t, ln, `{"type":"whole","revision":5,"workers":[]}`, `{"type":"patch","revision":6}`, `{"type":"change","revision":7}`)
 	s := newAPISource("http://"+ln.Addr().String(), "edge-0", zap.NewNop())
 	e := runSource(t, s)
 	if got := await(t, e.lists); got.Revision != 5 {
-		t.Errorf("told %+v", got)
+		t.Errorf("got %+v", got)
 	}
-	if a, b := await(t, asked), await(t, asked); a != "0" || b != "0" {
-		t.Errorf("asked from %s, then %s", a, b)
+	if a, b := await(t, requested), await(t, requested); a != "0" || b != "0" {
+		t.Errorf("requested from revision %s, then %s", a, b)
 	}
 	if got := await(t, e.lists); got.Type != api.Whole {
-		t.Errorf("told %+v after what was not known", got)
+		t.Errorf("got %+v after an event of unknown type", got)
 	}
 }
 
-// starved is a listener that has no descriptors left, as often as told; then it takes connections again.
-type starved struct {
+// failingListener fails to accept with EMFILE the given number of times, then accepts connections.
+type failingListener struct {
 	net.Listener
-	times int
+	failures int
 }
 
-func (s *starved) Accept() (net.Conn, error) {
-	if s.times--; s.times >= 0 {
+func (s *failingListener) Accept() (net.Conn, error) {
+	if s.failures--; s.failures >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
 	return s.Listener.Accept()
 }
 
-// Danger: a process without descriptors fails to accept a hundred times a second, and would fill the disk with saying so.
-func TestAcceptWithoutDescriptorsIsSaidOnce(t *testing.T) {
+// A process without free descriptors fails to accept a hundred times a second. It must log the first failure and the recovery
+// only; a line for each failure would fill the disk.
+func TestAcceptFailureIsLoggedOnce(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	core, said := observer.New(zap.InfoLevel)
-	p := New(mustPlan(t, ""), zap.New(core))
-	p.cfg.ClientLimits.MaxConnections = 0 // what is taken is closed at once
-	p.listener = &starved{ln, 5}
+	core, logs := observer.New(zap.InfoLevel)
+	p := New(parseTestConfig(t, ""), zap.New(core))
+	p.cfg.ClientLimits.MaxConnections = 0 // accepted connections are closed at once
+	p.listener = &failingListener{ln, 5}
 	done := make(chan struct{})
 	go func() { p.accept(); close(done) }()
 	c, err := net.Dial("tcp", ln.Addr().String())
@@ -543,28 +552,28 @@
 	}
 	defer c.Close()
 	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Error("the connection was not taken and closed")
+		t.Error("the connection was not accepted and closed")
 	}
 	ln.Close()
 	<-done
 	var lines []string
-	for _, l := range said.All() {
+	for _, l := range logs.All() {
 		lines = append(lines, fmt.Sprint(l.Message, l.ContextMap()["failed"]))
 	}
 	if got := strings.Join(lines, ", "); got != "accept failed<nil>, accepts again5" {
-		t.Errorf("said %s", got)
+		t.Errorf("logged %s", got)
 	}
 }
 
-// Danger: a txn that the module has lost track of would never be answered. The host voids it at its expiry, and counts it.
-func TestHostAnswersWhatTheModuleForgot(t *testing.T) {
-	asked := make(chan struct{}, 1)
+// A txn that the module has lost track of would never be answered. The host must void it at its expiry and count it.
+func TestHostVoidsForgottenTxn(t *testing.T) {
+	requested := make(chan struct{}, 1)
 	r := startEdge(t, "", newStubWorker(t, func(c net.Conn, req *http.Request, b []byte) bool {
-		asked <- struct{}{}
+		requested <- struct{}{}
 		return hang(c, req, b)
 	}))
 	go func() {
-		<-asked
+		<-requested
 		l := r.p.loops[0]
 		l.post(func() { l.sentry = logic.New(l.now, 1, l.p.cfg.Module, l) })
 	}()
@@ -574,11 +583,11 @@
 		t.Errorf("got %d after %v", answers[0].StatusCode, time.Since(began))
 	}
 	if s := r.stats(); s.hostVoided != 1 {
-		t.Errorf("%d counted as unanswered", s.hostVoided)
+		t.Errorf("%d txns counted as voided by the host, want 1", s.hostVoided)
 	}
 }
 
-// The module answers at a txn's expiry by itself: what the host has to void is a defect.
+// The module must answer a txn by its expiry on its own; a txn that the host has to void is a defect.
 func TestModuleAnswersAtExpiry(t *testing.T) {
 	for _, raw := range []string{get("/ask"), post("/book"), post("/pay")} {
 		r := startEdge(t, "", newStubWorker(t, hang))
@@ -586,32 +595,33 @@
 			t.Errorf("got %d", answers[0].StatusCode)
 		}
 		if s := r.stats(); s.hostVoided != 0 || s.voided+s.declined != 1 {
-			t.Errorf("the host had to void %d; %d voided, %d declined", s.hostVoided, s.voided, s.declined)
+			t.Errorf("%d voided by the host, %d voided, %d declined", s.hostVoided, s.voided, s.declined)
 		}
 	}
 }
 
-// Danger: what each connection may hold, on very many of them, would still fill memory.
-func TestHeldBytesHaveABoundInSum(t *testing.T) {
-	const bound, clients = 512 << 10, 30
+// The input held for all connections together must stay within its limit, as many connections within their own limits could
+// still exhaust memory. A connection that loses its input must still get the answer to its first request.
+func TestTotalHeldBytesAreBounded(t *testing.T) {
+	const limit, clients = 512 << 10, 30
 	r := startEdge(t, "", newStubWorker(t, hang))
 	l := r.p.loops[0]
 	done := make(chan struct{})
-	l.post(func() { r.p.cfg.ClientLimits.MaxHeldBytes = bound; close(done) })
+	l.post(func() { r.p.cfg.ClientLimits.MaxHeldBytes = limit; close(done) })
 	<-done
 	var conns []net.Conn
-	behind := []byte(strings.Repeat(get("/ask"), 1+(60<<10)/len(get("/ask"))))
+	pipelined := []byte(strings.Repeat(get("/ask"), 1+(60<<10)/len(get("/ask"))))
 	for range clients {
 		c := r.dial()
 		io.WriteString(c, get("/ask"))
-		if _, err := c.Write(behind); err != nil {
+		if _, err := c.Write(pipelined); err != nil {
 			t.Fatal(err)
 		}
 		conns = append(conns, c)
 	}
 	for until := time.Now().Add(5 * time.Second); r.stats().overHeldBytes == 0; {
 		if time.Now().After(until) {
-			t.Fatal("no connection gave up what it held")
+			t.Fatal("no connection lost its held input")
 		}
 	}
 	held := 0
@@ -623,15 +633,15 @@
 			}
 		}
 		if held != l.heldBytes {
-			t.Errorf("%d bytes are held, %d are counted", held, l.heldBytes)
+			t.Errorf("%d bytes are held, but %d are counted", held, l.heldBytes)
 		}
 		close(done)
 	})
 	<-done
-	if held > bound {
-		t.Errorf("%d bytes are held of %d", held, bound)
+	if held > limit {
+		t.Errorf("%d bytes are held, the limit is %d", held, limit)
 	}
-	for i, c := range conns { // each still gets the answer that it is owed
+	for i, c := range conns { // each still gets the answer to its first request
 		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 			t.Errorf("client %d: %v", i, err)
 		}
