--- a/edge/accept.go
+++ b/edge/accept.go
@@ -11,6 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
+// acceptRetryDelay is the pause after a failed accept.
+const acceptRetryDelay = 10 * time.Millisecond
+
 // accept accepts connections until the listener is closed or its deadline passes.
 func (p *Process) accept() {
 	failures := 0 // consecutive
@@ -24,7 +27,7 @@
 			if failures++; failures == 1 {
 				p.log.Warn("accept failed", zap.Error(err))
 			}
-			time.Sleep(10 * time.Millisecond)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if failures > 0 {
--- a/edge/client.go
+++ b/edge/client.go
@@ -140,6 +140,15 @@
 	l.timers.push(timer{at: at, token: slotToken(cc.at, cc.gen), kind: timerClientConn})
 }
 
+const (
+	// outputCheckInterval is the interval between checks of a connection with unsent output.
+	outputCheckInterval = 50 * logic.Millisecond
+	// flushCheckInterval is the interval between checks of a connection that closes once its output is sent.
+	flushCheckInterval = 2 * logic.Millisecond
+	// unreadCheckInterval is the delay after which a connection is checked again if its socket has unread bytes.
+	unreadCheckInterval = logic.Millisecond
+)
+
 // checkClient enforces the connection's timeouts and schedules the next check. Slow heads and bodies hold memory, so each
 // has a timeout.
 func (l *loop) checkClient(cc *clientConn) {
@@ -169,9 +178,9 @@
 			cc.abort(endSlowReader)
 			return
 		}
-		wait := l.now + 50*logic.Millisecond
+		wait := l.now + outputCheckInterval
 		if cc.state == stateFlushing {
-			wait = l.now + 2*logic.Millisecond
+			wait = l.now + flushCheckInterval
 		}
 		until = min(max(until, wait), wait)
 	}
@@ -379,7 +388,7 @@
 			cc.abort(endSlowReader)
 			return
 		}
-		cc.l.scheduleClientCheck(cc, cc.l.now+50*logic.Millisecond)
+		cc.l.scheduleClientCheck(cc, cc.l.now+outputCheckInterval)
 	}
 }
 
--- a/edge/client_http.go
+++ b/edge/client_http.go
@@ -144,7 +144,7 @@
 	if l.calls.inUse() >= l.p.cfg.ClientLimits.MaxOpenTxns || !l.admitsRequests() {
 		l.stats.overLimit++
 		cc.discardInput(n)
-		l.reply(cc, 503, declinedBody, 100*logic.Millisecond, r.Length == 0 && !r.Close && !l.draining)
+		l.reply(cc, 503, declinedBody, overloadRetryAfter, r.Length == 0 && !r.Close && !l.draining)
 		hc.headStart = 0
 		return !cc.closed && cc.state == stateReading
 	}
@@ -320,6 +320,9 @@
 	return id
 }
 
+// overloadRetryAfter is the retry delay sent with requests that are declined before they reach the module.
+const overloadRetryAfter = 100 * logic.Millisecond
+
 const declinedBody = "declined: trying again does no harm\n"
 
 // reply sends a response that the edge itself generates. A positive retryAfter adds the retry headers.
--- a/edge/closing.go
+++ b/edge/closing.go
@@ -34,7 +34,7 @@
 		return
 	}
 	cc.state, cc.closeReason = stateFlushing, why
-	cc.l.scheduleClientCheck(cc, cc.l.now+2*logic.Millisecond)
+	cc.l.scheduleClientCheck(cc, cc.l.now+flushCheckInterval)
 }
 
 // leaveLoop removes the connection from the event loop: it is closed now, or once its last answer has been delivered. It
--- a/edge/drain.go
+++ b/edge/drain.go
@@ -50,11 +50,11 @@
 // drainClient closes a quiescent connection, or schedules another check.
 func (l *loop) drainClient(cc *clientConn) {
 	if cc.hasUnread() && l.now < l.answerDeadline { // a request has just arrived: answering it is cheaper for the client than a retry
-		l.scheduleClientCheck(cc, l.now+logic.Millisecond)
+		l.scheduleClientCheck(cc, l.now+unreadCheckInterval)
 		return
 	}
 	if !cc.closeIfQuiescent(endDrain) {
-		l.scheduleClientCheck(cc, l.now+2*logic.Millisecond)
+		l.scheduleClientCheck(cc, l.now+flushCheckInterval)
 	}
 }
 
--- a/edge/end_reason.go
+++ b/edge/end_reason.go
@@ -119,10 +119,10 @@
 // endIdle closes a connection whose idle timeout has expired. It returns 0 if it did, else when to check again.
 func (cc *clientConn) endIdle() (again logic.Nanos) {
 	if cc.hasUnread() { // a request has just arrived
-		return cc.l.now + logic.Millisecond
+		return cc.l.now + unreadCheckInterval
 	}
 	if cc.closeIfQuiescent(endIdle) {
 		return 0
 	}
-	return cc.l.now + 50*logic.Millisecond
+	return cc.l.now + outputCheckInterval
 }
--- a/edge/pg.go
+++ b/edge/pg.go
@@ -10,6 +10,13 @@
 	"dunegrade/pgwire"
 )
 
+const (
+	// probeCheckInterval is the interval at which a held readiness probe is retried.
+	probeCheckInterval = 5 * logic.Millisecond
+	// maxKeptAnswerBytes is the largest answer buffer that is kept for reuse.
+	maxKeptAnswerBytes = 8 << 10
+)
+
 // StatementInfo holds the attributes of a statement.
 type StatementInfo struct {
 	ID           uint64 // assigned by the client; unique among the open statements
@@ -91,7 +98,7 @@
 		if cc.closed || cc.state != stateReading {
 			return 0
 		}
-		return l.now + 5*logic.Millisecond
+		return l.now + probeCheckInterval
 	case cc.answersSent == 0 && (pc.partialSince > 0 || !pc.parser.Started()):
 		if until = cc.openedAt + logic.Nanos(limits.HeadTimeout); until <= l.now {
 			l.stats.refused++
@@ -182,7 +189,7 @@
 		}
 		if !l.canServe() {
 			pc.probeSince = l.now
-			l.scheduleClientCheck(cc, l.now+5*logic.Millisecond)
+			l.scheduleClientCheck(cc, l.now+probeCheckInterval)
 			return false
 		}
 		cc.discardInput(size)
@@ -347,7 +354,7 @@
 }
 
 func (pw *pgWorker) releaseBuffers() {
-	if cap(pw.parser.Answer) > 8<<10 {
+	if cap(pw.parser.Answer) > maxKeptAnswerBytes {
 		pw.parser.Answer = nil
 	}
 }
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -220,6 +220,9 @@
 	}
 }
 
+// relayBufferBytes is the size of a relay's read buffer.
+const relayBufferBytes = 64 << 10
+
 // relayAnswer forwards the rest of the answer, and returns the error of the side that failed, if any.
 func (r *streamRelay) relayAnswer() (fromWorker, toClient error) {
 	limits := &r.l.p.cfg.ClientLimits
@@ -235,7 +238,7 @@
 		return nil, toClient
 	}
 	r.initial = nil
-	readBuf := make([]byte, 64<<10)
+	readBuf := make([]byte, relayBufferBytes)
 	var out, spill []byte
 	pending := append([]byte(nil), r.buffered...)
 	r.buffered = nil
