--- a/edge/client_http.go
+++ b/edge/client_http.go
@@ -13,68 +13,68 @@
 	"dunegrade/trace"
 )
 
-// httpProtocol is HTTP/1.1 behind the seam.
+// httpProtocol implements protocol for HTTP/1.1.
 type httpProtocol struct{}
 
-func (httpProtocol) newClientProtocol(cc *clientConn, was clientProtocol) clientProtocol {
-	d, ok := was.(*httpFront)
+func (httpProtocol) newClientProtocol(cc *clientConn, reused clientProtocol) clientProtocol {
+	hc, ok := reused.(*httpClient)
 	if !ok {
-		d = &httpFront{}
+		hc = &httpClient{}
 	}
-	*d = httpFront{cc: cc}
-	return d
+	*hc = httpClient{cc: cc}
+	return hc
 }
 
-func (httpProtocol) newWorkerProtocol(wc *workerConn, was workerProtocol) workerProtocol {
-	k, ok := was.(*httpWorker)
+func (httpProtocol) newWorkerProtocol(wc *workerConn, reused workerProtocol) workerProtocol {
+	hw, ok := reused.(*httpWorker)
 	if !ok {
-		k = &httpWorker{}
+		hw = &httpWorker{}
 	}
-	*k = httpWorker{wc: wc, answer: k.answer[:0], unsizedBody: k.unsizedBody[:0]}
-	return k
+	*hw = httpWorker{wc: wc, answer: hw.answer[:0], unsizedBody: hw.unsizedBody[:0]}
+	return hw
 }
 
-// httpPart is what of a request is being read.
-type httpPart uint8
+// requestPart is the part of a request that is being read.
+type requestPart uint8
 
 const (
-	readHead httpPart = iota
-	readFixed
-	readChunks
+	partHead requestPart = iota
+	partFixedBody
+	partChunkedBody
 )
 
-// httpFront is a client's connection that speaks HTTP/1.1.
-type httpFront struct {
-	cc      *clientConn
-	part    httpPart
-	left    int64 // of a body of known length
-	chunks  http1.Dechunker
-	scanned int         // bytes known to hold no end of a head
-	headAt  logic.Nanos // when the first byte of the head was seen; 0: none yet
+// httpClient implements clientProtocol for one HTTP/1.1 connection.
+type httpClient struct {
+	cc           *clientConn
+	part         requestPart
+	remaining    int64 // in partFixedBody: bytes of the body still to be read
+	chunks       http1.Dechunker
+	scannedBytes int         // length of the input prefix that is known not to contain a complete head
+	headStart    logic.Nanos // when the first byte of the head was seen; 0: none yet
 }
 
-func (d *httpFront) ahead() bool { return false }
-func (d *httpFront) fresh() bool { return d.part == readHead && d.headAt == 0 }
-func (d *httpFront) begin()      { d.part = readHead }
+func (hc *httpClient) supportsPipelining() bool { return false }
+func (hc *httpClient) betweenRequests() bool    { return hc.part == partHead && hc.headStart == 0 }
+func (hc *httpClient) startNextRequest()        { hc.part = partHead }
 
-// waits ends what has waited for too long. Slow heads and bodies hold memory, so each has its limit.
-func (d *httpFront) waits() (until logic.Nanos) {
-	cc := d.cc
+// checkTimeout enforces the timeouts for heads, bodies and idle connections.
+func (hc *httpClient) checkTimeout() (until logic.Nanos) {
+	cc := hc.cc
 	l := cc.l
-	door := &l.p.cfg.ClientLimits
-	switch d.part {
-	case readHead:
-		if d.headAt > 0 {
-			until = d.headAt + logic.Nanos(door.HeadTimeout)
+	limits := &l.p.cfg.ClientLimits
+	switch hc.part {
+	case partHead:
+		if hc.headStart > 0 {
+			until = hc.headStart + logic.Nanos(limits.HeadTimeout)
 			if until <= l.now {
 				l.refuse(cc, 408, "the head came too slowly")
 				return 0
 			}
-		} else if until = cc.since + logic.Nanos(door.IdleTimeout); until <= l.now {
+		} else if until = cc.stateSince + logic.Nanos(limits.IdleTimeout); until <= l.now {
 			return cc.endIdle()
 		}
-	case readFixed, readChunks:
-		if until = cc.since + logic.Nanos(door.BodyTimeout); until <= l.now {
+	case partFixedBody, partChunkedBody:
+		if until = cc.stateSince + logic.Nanos(limits.BodyTimeout); until <= l.now {
 			l.refuse(cc, 408, "the body came too slowly")
 			return 0
 		}
@@ -82,48 +82,48 @@
 	return until
 }
 
-func (d *httpFront) stop(why endReason) {
+func (hc *httpClient) terminate(why endReason) {
 	text := "the process stops"
 	if why == endOverfull {
 		text = "too much was sent ahead of its answers"
 	}
-	d.cc.l.refuse(d.cc, 503, text)
+	hc.cc.l.refuse(hc.cc, 503, text)
 }
 
-func (d *httpFront) read(in []byte) bool {
-	cc := d.cc
-	switch d.part {
-	case readHead:
-		return d.head(in)
-	case readFixed:
-		n := int(min(d.left, int64(len(in))))
+func (hc *httpClient) read(in []byte) bool {
+	cc := hc.cc
+	switch hc.part {
+	case partHead:
+		return hc.parseHead(in)
+	case partFixedBody:
+		n := int(min(hc.remaining, int64(len(in))))
 		cc.call.request = append(cc.call.request, in[:n]...)
-		cc.used(n)
-		if d.left -= int64(n); d.left == 0 {
-			cc.whole(cc.call)
+		cc.discardInput(n)
+		if hc.remaining -= int64(n); hc.remaining == 0 {
+			cc.admitCall(cc.call)
 		}
 		return true
 	}
-	return d.chunk(in)
+	return hc.parseChunk(in)
 }
 
-// head reads a request's head, and tells whether there may be more to do.
-func (d *httpFront) head(in []byte) bool {
-	cc := d.cc
+// parseHead reads a request's head, and reports whether more input may be processed.
+func (hc *httpClient) parseHead(in []byte) bool {
+	cc := hc.cc
 	l := cc.l
-	if d.headAt == 0 {
-		d.headAt = l.now
-		l.armClient(cc, l.now+logic.Nanos(l.p.cfg.ClientLimits.HeadTimeout))
+	if hc.headStart == 0 {
+		hc.headStart = l.now
+		l.scheduleClientCheck(cc, l.now+logic.Nanos(l.p.cfg.ClientLimits.HeadTimeout))
 	}
 	limit := int(l.p.cfg.ClientLimits.MaxHeadBytes)
-	// Danger: a head that drips in byte by byte must not be parsed anew for each.
-	if d.scanned > 0 && len(in) <= limit && !bytes.Contains(in[max(0, d.scanned-3):], []byte("\r\n\r\n")) {
-		d.scanned = len(in)
+	// Skip parsing until the end of the head has arrived: a head sent byte by byte would be parsed again for each byte.
+	if hc.scannedBytes > 0 && len(in) <= limit && !bytes.Contains(in[max(0, hc.scannedBytes-3):], []byte("\r\n\r\n")) {
+		hc.scannedBytes = len(in)
 		return false
 	}
 	n, err := l.req.Parse(in, limit)
 	if err == http1.ErrIncomplete {
-		d.scanned = len(in)
+		hc.scannedBytes = len(in)
 		return false
 	}
 	if err != nil {
@@ -131,7 +131,7 @@
 		l.refuse(cc, f.Status, f.Message)
 		return false
 	}
-	d.scanned = 0
+	hc.scannedBytes = 0
 	r := &l.req
 	if r.ExpectOther {
 		l.refuse(cc, 417, "only 100-continue can be expected")
@@ -141,12 +141,12 @@
 		l.refuse(cc, 413, "the body is larger than the limit")
 		return false
 	}
-	if l.calls.inUse() >= l.p.cfg.ClientLimits.MaxOpenTxns || !l.inDrainTime() {
+	if l.calls.inUse() >= l.p.cfg.ClientLimits.MaxOpenTxns || !l.admitsRequests() {
 		l.stats.overLimit++
-		cc.used(n)
-		l.reply(cc, 503, declinedBody, 100*logic.Millisecond, r.Length == 0 && !r.Close && !l.draining)
-		d.headAt = 0
-		return !cc.closed && cc.state == reading
+		cc.discardInput(n)
+		l.reply(cc, 503, declinedBody, overloadRetryAfter, r.Length == 0 && !r.Close && !l.draining)
+		hc.headStart = 0
+		return !cc.closed && cc.state == stateReading
 	}
 	c := l.newCall()
 	c.client, cc.call = cc, c
@@ -154,52 +154,52 @@
 		cc.call, c.client = nil, nil
 		l.releaseCall(c)
 		l.stats.noRoute++
-		cc.used(n)
+		cc.discardInput(n)
 		l.reply(cc, 404, "no route fits this request\n", 0, r.Length == 0 && !r.Close && !l.draining)
-		d.headAt = 0
-		return !cc.closed && cc.state == reading
+		hc.headStart = 0
+		return !cc.closed && cc.state == stateReading
 	}
 	c.keepAlive = !r.Close && !l.draining
 	c.httpMinor = r.Minor
-	wants, length := r.ExpectContinue, r.Length
-	cc.used(n)
-	d.headAt, cc.since = 0, l.now
+	expectContinue, length := r.ExpectContinue, r.Length
+	cc.discardInput(n)
+	hc.headStart, cc.stateSince = 0, l.now
 	switch {
 	case length == http1.Chunked:
-		d.part, d.chunks = readChunks, http1.Dechunker{}
+		hc.part, hc.chunks = partChunkedBody, http1.Dechunker{}
 	case length > 0:
-		d.part, d.left = readFixed, length
+		hc.part, hc.remaining = partFixedBody, length
 		c.request = append(c.request, "Content-Length: "...)
 		c.request = strconv.AppendInt(c.request, length, 10)
 		c.request = append(c.request, "\r\n\r\n"...)
 		c.bodyOffset = len(c.request)
 	default:
-		// A method that may have a body says that there is none (RFC 9110, 8.6).
+		// Methods that expect a body (POST, PUT, PATCH) state that there is none (RFC 9110, section 8.6).
 		if m := c.request[0]; m == 'P' {
 			c.request = append(c.request, "Content-Length: 0\r\n"...)
 		}
 		c.request = append(c.request, "\r\n"...)
 		c.bodyOffset = len(c.request)
-		cc.whole(cc.call)
+		cc.admitCall(cc.call)
 		return true
 	}
-	l.armClient(cc, l.now+logic.Nanos(l.p.cfg.ClientLimits.BodyTimeout))
-	if wants && len(cc.input()) == 0 {
-		cc.put([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	l.scheduleClientCheck(cc, l.now+logic.Nanos(l.p.cfg.ClientLimits.BodyTimeout))
+	if expectContinue && len(cc.input()) == 0 {
+		cc.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	return !cc.closed
 }
 
-// chunk reads a part of a chunked body, and tells whether there may be more to do.
-func (d *httpFront) chunk(in []byte) bool {
-	cc := d.cc
+// parseChunk reads part of a chunked body, and reports whether more input may be processed.
+func (hc *httpClient) parseChunk(in []byte) bool {
+	cc := hc.cc
 	l, c := cc.l, cc.call
-	took, data, done, err := d.chunks.Next(in)
+	consumed, data, done, err := hc.chunks.Next(in)
 	if err != nil && err != http1.ErrIncomplete {
 		l.refuse(cc, 400, err.Error())
 		return false
 	}
-	if c.bodyOffset == 0 { // its length is known at its end only: room is left for it
+	if c.bodyOffset == 0 { // the length is known only at the end of the body; reserve digits for it
 		c.request = append(c.request, "Content-Length: 0000000000\r\n\r\n"...)
 		c.bodyOffset = len(c.request)
 	}
@@ -208,17 +208,17 @@
 		return false
 	}
 	c.request = append(c.request, data...)
-	cc.used(took)
+	cc.discardInput(consumed)
 	if done {
 		size, at := len(c.request)-c.bodyOffset, c.bodyOffset-len("\r\n\r\n")
 		for i := 1; i <= 10; i++ {
 			c.request[at-i] = byte('0' + size%10)
 			size /= 10
 		}
-		cc.whole(cc.call)
+		cc.admitCall(cc.call)
 		return true
 	}
-	return err == nil && took > 0
+	return err == nil && consumed > 0
 }
 
 var (
@@ -227,7 +227,8 @@
 	expectedHeader = "x-envoy-expected-rq-timeout-ms: "
 )
 
-// classify finds a request's product, key, customer, cost and patience, and builds what workers are sent.
+// classify determines a request's product, key, customer, cost and timeout, and builds the head that workers are sent.
+// It reports whether a route matches.
 func (l *loop) classify(c *call, r *http1.Request) bool {
 	path := r.Path()
 	route := l.p.routes.match(r.Method, path)
@@ -236,9 +237,9 @@
 	}
 	c.product = route.Product
 	c.isHead = string(r.Method) == "HEAD"
-	in := logic.Txn{Product: logic.ProductID(route.Product)}
-	patience := l.p.cfg.Products[route.Product].Expiry
-	traced := false
+	txn := logic.Txn{Product: logic.ProductID(route.Product)}
+	timeout := l.p.cfg.Products[route.Product].Expiry
+	hasTraceparent := false
 	out := append(c.request[:0], r.Method...)
 	out = append(out, ' ')
 	out = append(out, r.Target...)
@@ -249,41 +250,42 @@
 		switch {
 		case equalFold(h.Name, route.KeyHeader):
 			if len(h.Value) > 0 {
-				in.Key = logic.KeyID(xxhash.Sum64(h.Value) | 1)
+				txn.Key = logic.KeyID(xxhash.Sum64(h.Value) | 1)
 			}
 		case equalFold(h.Name, route.CustomerHeader):
-			in.Customer = logic.CustomerID(l.p.customerIDs[string(h.Value)])
+			txn.Customer = logic.CustomerID(l.p.customerIDs[string(h.Value)])
 		case equalFold(h.Name, route.CostHeader):
 			if ms, err := strconv.ParseFloat(unsafeString(h.Value), 64); err == nil && ms > 0 && ms < 1e9 {
-				in.Cost = logic.Nanos(ms * 1e6)
+				txn.Cost = logic.Nanos(ms * 1e6)
 			}
 		case equalFold(h.Name, route.RepeatHeader):
-			in.Repeat = true
+			txn.Repeat = true
 		case equalFold(h.Name, timeoutHeader):
-			// A client shortens a product's expiry and never lengthens it.
+			// A client's timeout can shorten the product's expiry but not extend it.
 			if ms, err := strconv.ParseUint(unsafeString(h.Value), 10, 32); err == nil {
-				patience = min(patience, max(time.Millisecond, time.Duration(ms)*time.Millisecond))
+				timeout = min(timeout, max(time.Millisecond, time.Duration(ms)*time.Millisecond))
 			}
 		case equalFold(h.Name, "traceparent"):
-			traced = true
+			hasTraceparent = true
 			c.traceID = traceID(h.Value)
 		}
 	}
-	if !traced {
-		out = l.trace(out, c.serial)
+	if !hasTraceparent {
+		out = l.appendTraceparent(out, c.serial)
 	}
 	out = append(out, viaHeader...)
-	slack := min(l.p.cfg.AnswerSlack, patience/2)
-	in.Expiry = l.now + logic.Nanos(patience-slack)
+	slack := min(l.p.cfg.AnswerSlack, timeout/2)
+	txn.Expiry = l.now + logic.Nanos(timeout-slack)
 	out = append(out, expectedHeader...)
-	out = strconv.AppendInt(out, int64((patience-slack)/time.Millisecond), 10)
+	out = strconv.AppendInt(out, int64((timeout-slack)/time.Millisecond), 10)
 	out = append(out, "\r\n"...)
-	c.request, c.txn = out, in
+	c.request, c.txn = out, txn
 	return true
 }
 
-// trace appends a W3C trace context of our own where the client sent none. Its trace id names the txn in the traces.
-func (l *loop) trace(out []byte, serial uint64) []byte {
+// appendTraceparent appends a new W3C trace context for a request that came without one. Its trace id identifies the txn
+// in the recorded traces.
+func (l *loop) appendTraceparent(out []byte, serial uint64) []byte {
 	out = append(out, "traceparent: 00-"...)
 	out = appendHex(appendHex(out, l.runID), trace.MixSerial(serial))
 	out = append(out, '-')
@@ -298,41 +300,44 @@
 	return out
 }
 
-// traceID reads the trace id of a W3C trace context; zeros where there is none.
+// traceID parses the trace id of a W3C trace context; it returns zeros if the context is malformed.
 func traceID(v []byte) (id [2]uint64) {
 	if len(v) < 36 || v[2] != '-' || v[35] != '-' {
 		return id
 	}
 	for i, c := range v[3:35] {
-		d := uint64(0)
+		digit := uint64(0)
 		switch {
 		case '0' <= c && c <= '9':
-			d = uint64(c - '0')
+			digit = uint64(c - '0')
 		case 'a' <= c && c <= 'f':
-			d = uint64(c - 'a' + 10)
+			digit = uint64(c - 'a' + 10)
 		default:
 			return [2]uint64{}
 		}
-		id[i/16] = id[i/16]<<4 | d
+		id[i/16] = id[i/16]<<4 | digit
 	}
 	return id
 }
 
+// overloadRetryAfter is the retry delay sent with requests that are declined before they reach the module.
+const overloadRetryAfter = 100 * logic.Millisecond
+
 const declinedBody = "declined: trying again does no harm\n"
 
-// reply answers on the edge's own behalf.
-func (l *loop) reply(cc *clientConn, status int, text string, after logic.Nanos, keep bool) {
+// reply sends a response that the edge itself generates. A positive retryAfter adds the retry headers.
+func (l *loop) reply(cc *clientConn, status int, text string, retryAfter logic.Nanos, keepAlive bool) {
 	out := append(l.scratch[:0], "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(status), 10)
 	out = append(out, ' ')
-	out = append(out, reasons[status]...)
+	out = append(out, statusReasons[status]...)
 	out = append(out, "\r\nContent-Type: text/plain\r\nContent-Length: "...)
 	out = strconv.AppendInt(out, int64(len(text)), 10)
-	if after > 0 {
+	if retryAfter > 0 {
 		out = append(out, "\r\nRetry-After: "...)
-		out = strconv.AppendInt(out, int64(math.Ceil(float64(after)/1e9)), 10)
+		out = strconv.AppendInt(out, int64(math.Ceil(float64(retryAfter)/1e9)), 10)
 		out = append(out, "\r\nDunegrade-Retry-After-Ms: "...)
-		out = strconv.AppendInt(out, int64((after+logic.Millisecond-1)/logic.Millisecond), 10)
+		out = strconv.AppendInt(out, int64((retryAfter+logic.Millisecond-1)/logic.Millisecond), 10)
 	}
 	switch status {
 	case 503:
@@ -340,7 +345,7 @@
 	case 502, 504:
 		out = append(out, "\r\nDunegrade-Outcome: voided"...)
 	}
-	if !keep {
+	if !keepAlive {
 		out = append(out, "\r\nConnection: close"...)
 		if cc.call != nil {
 			cc.call.closesConn = true
@@ -352,40 +357,41 @@
 	}
 	l.scratch = out
 	l.stats.repliesByClass[status/100]++
-	cc.put(out)
+	cc.write(out)
 	if cc.closed || cc.call != nil {
 		return
 	}
-	if !keep {
+	if !keepAlive {
 		cc.close(endAnswered)
 	}
 }
 
-var reasons = map[int]string{400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 413: "Content Too Large",
+var statusReasons = map[int]string{400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 413: "Content Too Large",
 	417: "Expectation Failed", 431: "Request Header Fields Too Large", 501: "Not Implemented",
 	502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
 
-// refuse answers what was never taken, and ends the connection: what follows cannot be trusted to be a request.
+// refuse sends an error for a request that was not admitted and closes the connection, since the input that follows
+// cannot be trusted to start with a request.
 func (l *loop) refuse(cc *clientConn, status int, why string) {
 	l.stats.refused++
 	if c := cc.call; c != nil {
 		cc.call, c.client = nil, nil
 		l.releaseCall(c)
 	}
-	cc.used(len(cc.input()))
+	cc.discardInput(len(cc.input()))
 	l.reply(cc, status, why+"\n", 0, false)
 }
 
-func (d *httpFront) declined(c *call, after logic.Nanos) {
-	l := d.cc.l
-	l.reply(d.cc, 503, declinedBody, after, c.keepAlive && !l.draining)
+func (hc *httpClient) declined(c *call, retryAfter logic.Nanos) {
+	l := hc.cc.l
+	l.reply(hc.cc, 503, declinedBody, retryAfter, c.keepAlive && !l.draining)
 }
 
-func (d *httpFront) voided(c *call) {
-	l := d.cc.l
+func (hc *httpClient) voided(c *call) {
+	l := hc.cc.l
 	if c.lastEnding == logic.TimedOut || l.now >= c.txn.Expiry {
-		l.reply(d.cc, 504, "voided: no answer in time; it may have had its effect\n", 0, c.keepAlive && !l.draining)
+		l.reply(hc.cc, 504, "voided: no answer in time; it may have had its effect\n", 0, c.keepAlive && !l.draining)
 	} else {
-		l.reply(d.cc, 502, "voided: it may have had its effect\n", 0, c.keepAlive && !l.draining)
+		l.reply(hc.cc, 502, "voided: it may have had its effect\n", 0, c.keepAlive && !l.draining)
 	}
 }
