--- a/logic/emit.go
+++ b/logic/emit.go
@@ -1,90 +1,90 @@
 package logic
 
-// emit turns the difference between what is wanted and what is into actions. Only the guards of logic.go
-// stand between; nothing is decided here.
+// emit turns the difference between what is wanted and the present state into actions. Submissions still have to pass the
+// rules of logic.go; nothing else is decided here.
 func (s *Sentry) emit() {
-	for i := 0; i < len(s.touched); i++ {
-		at := s.touched[i]
-		t := &s.slab[at]
-		t.touched = false
-		if t.has == unanswered && t.want.to != nil {
-			if s.maySend(t, t.want.to) {
+	for i := 0; i < len(s.dirty); i++ {
+		slot := s.dirty[i]
+		t := &s.slab[slot]
+		t.dirty = false
+		if t.state == unresolved && t.want.target != nil {
+			if s.maySend(t, t.want.target) {
 				s.submit(t)
 			} else {
-				s.giveUp(at)
+				s.giveUp(slot)
 			}
 		}
-		t.want.to = nil
-		if t.has == unanswered && t.want.answer != unanswered {
-			t.has = t.want.answer
-			if t.has == declined {
-				s.out.Decline(t.ID, t.want.retry)
+		t.want.target = nil
+		if t.state == unresolved && t.want.resolution != unresolved {
+			t.state = t.want.resolution
+			if t.state == declined {
+				s.sink.Decline(t.ID, t.want.retryAfter)
 			} else {
-				s.out.Void(t.ID)
+				s.sink.Void(t.ID)
 			}
 		}
-		if t.has == unanswered && t.want.wake > s.now {
-			s.out.SetTimer(t.want.wake-s.now, uint64(at)|uint64(t.gen)<<32)
-			t.want.wake = 0
+		if t.state == unresolved && t.want.wakeAt > s.now {
+			s.sink.SetTimer(t.want.wakeAt-s.now, uint64(slot)|uint64(t.generation)<<32)
+			t.want.wakeAt = 0
 		}
-		if t.has != unanswered {
-			s.wind(at)
+		if t.state != unresolved {
+			s.finish(slot)
 		}
 	}
-	s.touched = s.touched[:0]
-	if s.wantWatch && s.now >= s.watchAt {
-		s.watchAt = s.now + s.span("rules.ask-within", 10*Second)
-		s.out.WatchWorkers()
+	s.dirty = s.dirty[:0]
+	if s.wantWatch && s.now >= s.nextWatchAt {
+		s.nextWatchAt = s.now + s.nanos("rules.ask-within", 10*Second)
+		s.sink.WatchWorkers()
 	}
-	for _, to := range s.tells {
-		s.out.SendToPeer(to, s.own.pack(s.trial))
+	for _, target := range s.evidenceTargets {
+		s.sink.SendToPeer(target, s.ownEvidence.encode(s.trial))
 	}
-	s.tells = s.tells[:0]
+	s.evidenceTargets = s.evidenceTargets[:0]
 	if s.wantVote != VerdictNone && s.mayVote {
 		s.mayVote = false
-		s.out.Vote(s.wantVote, s.trial, s.news.Stage)
+		s.sink.Vote(s.wantVote, s.trial, s.announced.Stage)
 	}
-	if s.now >= s.beatAt {
-		s.beatAt = s.now + beat
-		s.out.SetTimer(beat, 0)
+	if s.now >= s.nextTickAt {
+		s.nextTickAt = s.now + tickInterval
+		s.sink.SetTimer(tickInterval, 0)
 	}
 }
 
-// wind calls off, once, what is still out of a txn that is over, and frees its place when nothing is.
-func (s *Sentry) wind(at int32) {
-	t := &s.slab[at]
-	out := false
+// finish cancels, once, the pending submissions of a txn that is resolved, and frees its slot when none is pending.
+func (s *Sentry) finish(slot int32) {
+	t := &s.slab[slot]
+	pending := false
 	for k := 0; k < t.n; k++ {
-		if t.subs[k].out {
-			out = true
-			if s.flag("allow.cancel") && !t.wound && t.stream != k+1 {
-				s.out.Cancel(t.ID, k)
+		if t.submissions[k].pending {
+			pending = true
+			if s.flag("allow.cancel") && !t.cancelSent && t.stream != k+1 {
+				s.sink.Cancel(t.ID, k)
 			}
 		}
 	}
-	t.wound = true
-	if !out {
-		delete(s.byID, t.ID)
-		s.free = append(s.free, at)
+	t.cancelSent = true
+	if !pending {
+		delete(s.txnSlots, t.ID)
+		s.freeSlots = append(s.freeSlots, slot)
 	}
 }
 
-// submit sends t to the worker that is wanted and books it.
+// submit sends t to the worker that is wanted and records the submission.
 func (s *Sentry) submit(t *txn) {
-	w := t.want.to
-	w.open++
-	s.held++
+	w := t.want.target
+	w.inFlight++
+	s.open++
 	if s.ramp(w) < 1 {
-		w.cold--
+		w.coldBudget--
 	}
 	if s.onTrial(w.Rel) {
-		s.exposure[s.lane(t.Product)]--
+		s.exposure[s.exposureIndex(t.Product)]--
 	}
-	t.subs[t.n] = submission{to: w, sent: s.now, rel: w.Rel, out: true, arm: t.want.arm,
-		tells: w.Start <= 0 || s.now-w.Start >= warmUpAge,
-		asks:  t.Key != 0 && w.Rel == s.trial && s.flag("release.one-way") && s.flag("rules.unread-counts")}
-	s.ask(t, &t.subs[t.n], 1)
+	t.submissions[t.n] = submission{target: w, sentAt: s.now, rel: w.Rel, pending: true, arm: t.want.arm,
+		isEvidence:  w.Start <= 0 || s.now-w.Start >= warmUpAge,
+		reservesKey: t.Key != 0 && w.Rel == s.trial && s.flag("release.one-way") && s.flag("rules.unread-counts")}
+	s.reserveKey(t, &t.submissions[t.n], 1)
 	t.n++
-	s.weigh(w)
-	s.out.Submit(t.ID, w.ID, 0)
+	s.updateWeight(w)
+	s.sink.Submit(t.ID, w.ID, 0)
 }
--- a/logic/helper.go
+++ b/logic/helper.go
@@ -8,10 +8,11 @@
 	"sort"
 )
 
-// signTest is the chance that a fair coin gives at least against heads where it gives favour tails.
-func signTest(against, favour float64) float64 {
-	a := int(math.Round(against))
-	n := a + int(math.Round(max(0, favour)))
+// signTest returns the one-sided p-value of the sign test: the probability that a fair coin gives at least this many losses
+// in losses+wins throws.
+func signTest(losses, wins float64) float64 {
+	a := int(math.Round(losses))
+	n := a + int(math.Round(max(0, wins)))
 	if n == 0 {
 		return 1
 	}
@@ -25,112 +26,114 @@
 	return min(p, 1)
 }
 
-// enter puts a worker into the map and, by its id, into the order; it takes the place of one with its id.
-func (s *Sentry) enter(w *worker) *worker {
-	was, known := s.workers[w.ID]
+// addWorker adds a worker to the map and, in the order of ids, to sortedWorkers; it replaces one with the same id.
+func (s *Sentry) addWorker(w *worker) *worker {
+	previous, known := s.workers[w.ID]
 	if known {
-		was.in = nil
+		previous.sampler = nil
 	}
-	sum := fnv.New32a()
-	sum.Write([]byte(w.ID))
-	w.group = int(sum.Sum32()>>8) % len(s.own.groups)
+	hash := fnv.New32a()
+	hash.Write([]byte(w.ID))
+	w.bucket = int(hash.Sum32()>>8) % len(s.ownEvidence.bucketLosses)
 	s.workers[w.ID] = w
-	at := sort.Search(len(s.order), func(i int) bool { return s.order[i].ID >= w.ID })
+	index := sort.Search(len(s.sortedWorkers), func(i int) bool { return s.sortedWorkers[i].ID >= w.ID })
 	if !known {
-		s.order = append(s.order, nil)
-		copy(s.order[at+1:], s.order[at:])
+		s.sortedWorkers = append(s.sortedWorkers, nil)
+		copy(s.sortedWorkers[index+1:], s.sortedWorkers[index:])
 	}
-	s.order[at] = w
+	s.sortedWorkers[index] = w
 	return w
 }
 
-// weighAll has the draws hold the workers as they are arranged, and notes those that are not fit.
-func (s *Sentry) weighAll() {
-	s.ill = s.ill[:0]
-	for _, w := range s.order {
-		if w.in, w.ill = nil, w.State == Up && !s.fit(w); w.ill {
-			s.ill = append(s.ill, w)
+// rebuildSamplers fills the samplers with the workers as they are partitioned, and lists the unhealthy ones.
+func (s *Sentry) rebuildSamplers() {
+	s.unhealthy = s.unhealthy[:0]
+	for _, w := range s.sortedWorkers {
+		if w.sampler, w.unhealthy = nil, w.State == Up && !s.healthy(w); w.unhealthy {
+			s.unhealthy = append(s.unhealthy, w)
 		}
 	}
-	s.ofTrials.fill(s.trials, fewWorkers, s.weight)
-	s.ofBases.fill(s.bases, fewWorkers, s.weight)
-	s.ofRest.fill(s.rest, fewWorkers, s.weight)
+	s.trialSampler.fill(s.trialWorkers, maxScannedWorkers, s.weight)
+	s.baselineSampler.fill(s.baselineWorkers, maxScannedWorkers, s.weight)
+	s.otherSampler.fill(s.otherWorkers, maxScannedWorkers, s.weight)
 }
 
-// weigh gives a worker the weight that it has by now, and notes it where it is not fit any more.
-func (s *Sentry) weigh(w *worker) {
-	if w.in == nil {
+// updateWeight updates the weight of a worker in its sampler, and lists it if it has become unhealthy.
+func (s *Sentry) updateWeight(w *worker) {
+	if w.sampler == nil {
 		return
 	}
-	if w.in.drawn() {
-		w.in.weigh(w, s.weight(w))
+	if w.sampler.weighted() {
+		w.sampler.updateWeight(w, s.weight(w))
 	}
-	if !s.fit(w) && !w.ill {
-		w.ill, s.ill = true, append(s.ill, w)
+	if !s.healthy(w) && !w.unhealthy {
+		w.unhealthy, s.unhealthy = true, append(s.unhealthy, w)
 	}
 }
 
-// without has a pick do with another weight of w.
-func (s *Sentry) without(w *worker, weight float64) {
-	w.in.weigh(w, weight)
-	s.aside = append(s.aside, w)
+// overrideWeight gives a worker another weight until restoreWeights.
+func (s *Sentry) overrideWeight(w *worker, weight float64) {
+	w.sampler.updateWeight(w, weight)
+	s.reweighted = append(s.reweighted, w)
 }
 
-// restore gives all those their weights again.
-func (s *Sentry) restore(from *draw) {
-	for _, w := range s.aside {
-		from.weigh(w, s.weight(w))
+// restoreWeights resets the weights that were overridden.
+func (s *Sentry) restoreWeights(from *weightedSampler) {
+	for _, w := range s.reweighted {
+		from.updateWeight(w, s.weight(w))
 	}
-	s.aside = s.aside[:0]
+	s.reweighted = s.reweighted[:0]
 }
 
-// spread sums up values for their mean and deviation.
-type spread struct {
-	n, sum, square float64
-	parts          int
+// moments accumulates values for their mean and variance.
+type moments struct {
+	n, sum, sumSquares float64
+	workers            int // whose values were pooled
 }
 
-func (v *spread) add(x float64) { v.join(spread{n: 1, sum: x, square: x * x}, 1) }
+func (v *moments) add(x float64) { v.merge(moments{n: 1, sum: x, sumSquares: x * x}, 1) }
 
-func (v *spread) join(o spread, times float64) {
-	v.n += times * o.n
-	v.sum += times * o.sum
-	v.square += times * o.square
+func (v *moments) merge(o moments, weight float64) {
+	v.n += weight * o.n
+	v.sum += weight * o.sum
+	v.sumSquares += weight * o.sumSquares
 }
 
-func (v *spread) mean() float64     { return v.sum / v.n }
-func (v *spread) variance() float64 { return max(0, v.square/v.n-v.mean()*v.mean()) }
+func (v *moments) mean() float64     { return v.sum / v.n }
+func (v *moments) variance() float64 { return max(0, v.sumSquares/v.n-v.mean()*v.mean()) }
 
-// over tells by how many standard errors the mean is over x: the variance leans on the usual one as on so many
-// values, and the parts differ by themselves.
-func (v *spread) over(x, usual, weight, unlike float64) float64 {
-	variance := (v.n*v.variance() + weight*usual) / (v.n + weight)
-	return (v.mean() - x) / math.Sqrt(variance/v.n+unlike*unlike*(1/float64(v.parts)+0.2))
+// zScore returns by how many standard errors the mean exceeds x. The variance is a mean of the observed and the prior one,
+// which has the weight of priorWeight values; deviation is the standard deviation between the pooled workers.
+func (v *moments) zScore(x, priorVariance, priorWeight, deviation float64) float64 {
+	variance := (v.n*v.variance() + priorWeight*priorVariance) / (v.n + priorWeight)
+	return (v.mean() - x) / math.Sqrt(variance/v.n+deviation*deviation*(1/float64(v.workers)+0.2))
 }
 
-// pooled sums the workers' times but for the slowest ones.
-func pooled(side []*worker, out int) spread {
-	slices.SortStableFunc(side, func(a, b *worker) int { return cmp.Compare(b.times.mean(), a.times.mean()) })
-	var all spread
-	for _, w := range side[out:] {
-		all.join(w.times, 1)
-		all.parts++
+// poolTimes sums the workers' relative times, without those of the slowest ones.
+func poolTimes(timed []*worker, trimmed int) moments {
+	slices.SortStableFunc(timed, func(a, b *worker) int {
+		return cmp.Compare(b.relativeTime.mean(), a.relativeTime.mean())
+	})
+	var all moments
+	for _, w := range timed[trimmed:] {
+		all.merge(w.relativeTime, 1)
+		all.workers++
 	}
 	return all
 }
 
-// poisson is the chance of at least so many where mean are expected.
-func poisson(many, mean float64) float64 {
+// poissonTail returns the probability of count or more events where mean are expected.
+func poissonTail(count, mean float64) float64 {
 	p, term := 1.0, math.Exp(-mean)
-	for k := 0; k < int(math.Round(many)); k++ {
+	for k := 0; k < int(math.Round(count)); k++ {
 		p -= term
 		term *= mean / float64(k+1)
 	}
 	return max(p, 0)
 }
 
-// worst sums the n largest of the values.
-func worst(values []float64, n int) float64 {
+// sumLargest returns the sum of the n largest values. It sorts the values.
+func sumLargest(values []float64, n int) float64 {
 	sort.Float64s(values)
 	sum := 0.0
 	for i := 0; i < n; i++ {
@@ -139,7 +142,8 @@
 	return sum
 }
 
-func bit(b bool) float64 {
+// indicator returns 1 for true and 0 for false.
+func indicator(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/logic/helpers_test.go
+++ b/logic/helpers_test.go
@@ -119,7 +119,7 @@
 // wait moves the clock on, beat by beat.
 func (r *rig) wait(span Nanos) {
 	for end := r.clock + span; r.clock < end; {
-		r.clock += min(beat, end-r.clock)
+		r.clock += min(tickInterval, end-r.clock)
 		r.TimerFired(r.clock, 0)
 	}
 }
@@ -145,7 +145,7 @@
 	for i := 0; i < n; i++ {
 		t := r.take(p, key(i))
 		for s := 0; s < 4; s++ {
-			if at, held := r.byID[t]; !held || r.slab[at].n <= s {
+			if at, held := r.txnSlots[t]; !held || r.slab[at].n <= s {
 				break
 			}
 			e, took := ending(r.to(t), i)
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,10 +1,11 @@
-// This file makes every decision of a sentry: where a txn goes, when it goes again or is given up, which
-// workers are trusted, and how the sentry votes on a new build.
+// This file makes every decision of a sentry: where a txn is sent, when it is sent again or given up, which workers are
+// trusted, and how the sentry votes on a new build.
 //
-// How it is called: the host makes a Sentry with New and hands it each event by the method named for it
-// (List, Take, Begun, Outcome, Left, Timer, News, Tally, Contested, Streaming, Told), each with the clock.
-// Those set down what is wanted; emit, at the end of each, turns the difference to what is into actions on
-// the Sink. Ids, events and the Sink are in types.go. docs/design.md tells what follows the paper and why.
+// The host creates a Sentry with New and passes it each event through the method of that event (UpdateWorkers, Take,
+// ResponseStarted, Outcome, ClientLeft, TimerFired, ReleaseUpdate, Tally, Contested, StreamStarted, PeerMessage), together
+// with the clock. These methods record what is wanted; emit, called at the end of each, compares that with the present
+// state and issues the actions on the Sink. Ids, events and the Sink are declared in types.go. docs/design.md describes
+// what follows the paper, and the steps 1 to 6 that comments refer to.
 package logic
 
 import (
@@ -17,886 +18,1003 @@
 	"strconv"
 )
 
-// Tuned values: pure numbers, and spans that no setting gives.
+// Time base, and the scaling with the number of sentries.
 const (
-	beat     = 100 * Millisecond // housekeeping
-	ownBurst = beat              // in which what one worker loses counts once
-	few      = 4.0               // sentries; with more, each judges by less and as one of many
-	// The sign test: its level, stricter after so many pairs as it looks often; that without the worst workers;
-	// that for a hold under a clock; and that of a lead that stops 'on'.
-	backLevel, manyPairs, spreadLevel, holdLevel, leadLevel = 0.01, 100.0, 0.04, 0.10, 0.25
-	// Pairs before 'back'; part of them kept from beat to beat; younger workers of the pair give no evidence.
-	pairFloor, evidenceKept, warmUpAge = 11.5, 0.9954, 1 * Second
-	// Share of errors that follows a key (half: a customer), and one that a good build may have.
-	followed, errorFloor = 0.6, 0.003
-	// Times: a build this many times slower is no worse; trial times before they count; deviation between like
-	// machines, on a log scale; standard errors that mean 'back', more for e times the sentries, and no 'on'.
-	slowerBy, slowFloor, unlike, slowBack, slowMany, slowStop = 1.25, 10.0, 0.2, 3.5, 0.2, 1.0
-	// The level of all: a rise that counts for its stage; one at which a build is taken to slow all, and for how
-	// long, also so long after its release; fresh demand, and the part of capacity missing, that explain one;
-	// the part of the way from the calm level to the SLA time that a level surely gets to.
-	rise, dragged, surge, lacks, firstLevels, shown = 0.12, 0.8, 1.2, 0.15, 40.0, 0.8
-	dragTime, afterwards                            = 3 * Second, 15 * Second
-	// Outcomes that 'on' needs for the whole fleet; sentries that pool; how long what they were told counts.
-	stakes, gatherers, peerTrust = 24.0, 6, 3 * Second
-	// Typical times without a word after which a worker is silent, and until a second copy; second copies and
-	// further submissions a txn; the share of faults at which a worker rests, for how long at least, and what is
-	// forgotten from beat to beat; when what was seen counts for less; how long a worker that is gone is
-	// remembered; a crossing's price, in waiting.
-	quietTimes, hedgeTimes, hedgeShare, againShare = 5.0, 3.0, 0.06, 0.25
-	restAbove, trickle, forget                     = 0.35, 1 * Second, 0.005
-	longAgo, remembered                            = 10 * Second, 60 * Second
-	crossTimes                                     = 15.0
-	// Workers of a group up to which each is looked at; of more one is drawn with the same chance.
-	fewWorkers = 64
-	// Txns a worker may hold, of few sentries: at the least, at first; share of answers that may take two
-	// thirds of the SLA time; the step. First guess of a time, in SLA times.
-	leastOpen, firstOpen, slowShare, limitStep, firstTimes = 1.0, 8.0, 0.08, 0.2, 0.2
+	// tickInterval is the period of the housekeeping timer.
+	tickInterval = 100 * Millisecond
+	// burstWindow is the time within which losses of one worker count once: a worker that dies fails all that it holds.
+	burstWindow = tickInterval
+	// fewSentries is the number of sentries up to which each one uses the full limits and thresholds. Where there are
+	// more, each has a share of the limits, and thresholds allow for the evidence that a single sentry lacks.
+	fewSentries = 4.0
 )
 
-// New makes a sentry from the settings, a plain map of names to values.
-func New(now Nanos, seed int64, settings map[string]any, out Sink) *Sentry {
-	s := &Sentry{set: settings, rng: rand.New(rand.NewSource(seed)), out: out, now: now, byID: map[TxnID]int32{},
-		workers: map[WorkerID]*worker{}, metTrial: map[KeyID]RelID{}, asked: map[KeyID]int{}, refilled: now,
-		places: map[where]*place{},
-		blur:   0.5, unsteady: 1, squeeze: 1}
+// Evidence from pairs and errors.
+const (
+	// backAlpha is the significance level of the sign test for 'back'.
+	backAlpha = 0.01
+	// backAlphaPairs is the number of pairs above which backAlpha falls with their square root, as the test is repeated
+	// on every tick.
+	backAlphaPairs = 100.0
+	// trimmedBackAlpha is the significance level for 'back' of the second test, which leaves out the worst workers.
+	trimmedBackAlpha = 0.04
+	// holdAlpha is the significance level of the sign test for 'hold' in a clocked release.
+	holdAlpha = 0.10
+	// onBlockAlpha is the p-value at or below which a lead against the trial blocks 'on'.
+	onBlockAlpha = 0.25
+	// minBackPairs is the number of pairs that the sign test needs for 'back': 12, less some decay.
+	minBackPairs = 11.5
+	// evidenceDecay is the factor applied to the evidence on each tick, for a half-life of 15 s.
+	evidenceDecay = 0.9954
+	// warmUpAge is the time since a worker's start before which its outcomes are no evidence.
+	warmUpAge = 1 * Second
+	// followShare is the share of errors above which they are attributed to a key; half of it, to a customer.
+	followShare = 0.6
+	// errorAllowance is the share of errors that a good build may have above that of earlier builds.
+	errorAllowance = 0.003
+	// minOnOutcomes is the number of trial outcomes in the whole fleet that 'on' needs before a stage with all traffic,
+	// and in proportion before a smaller one.
+	minOnOutcomes = 24.0
+	// aggregatorCount is the number of sentries that pool the evidence on a build.
+	aggregatorCount = 6
+	// peerEvidenceTTL is how long the evidence received from another sentry counts.
+	peerEvidenceTTL = 3 * Second
+	// staleAfter is the time after which an observation loses its value: a silent worker may be probed with any txn this
+	// long after its probe was due, and an unpaired trial outcome is dropped after twice this time.
+	staleAfter = 10 * Second
+)
+
+// Response times of the trial beside those of earlier builds.
+const (
+	// toleratedSlowdown is how many times slower a build may be without counting as worse.
+	toleratedSlowdown = 1.25
+	// minTrialTimes is the number of warm response times of the trial that a comparison needs. It is also the weight, in
+	// response times, of the prior variance and the prior baseline bias.
+	minTrialTimes = 10.0
+	// machineDeviation is the standard deviation of the log response time between machines of one kind.
+	machineDeviation = 0.2
+	// slowBackZ is the number of standard errors above toleratedSlowdown that means 'back'.
+	slowBackZ = 3.5
+	// slowBackZGrowth is added to slowBackZ per unit of Sentry.logSentryRatio.
+	slowBackZGrowth = 0.2
+	// maxOnZ is the number of standard errors above toleratedSlowdown from which on 'on' is blocked.
+	maxOnZ = 1.0
+)
+
+// Slowdown of the whole fleet, on the scale of Sentry.logTime.
+const (
+	// stageRiseThreshold is the rise since the start of a stage that counts the stage as slower.
+	stageRiseThreshold = 0.12
+	// fleetSlowdownThreshold is the rise since before the trial at which a build is taken to slow the fleet.
+	fleetSlowdownThreshold = 0.8
+	// demandSurgeRatio is the ratio of demand to that before the trial above which demand explains a slowdown.
+	demandSurgeRatio = 1.2
+	// missingCapacityShare is the share of the usual capacity whose loss explains a slowdown.
+	missingCapacityShare = 0.15
+	// minTimeSamples is the number of outcomes before the level counts: one that starts at zero is wrong for long where
+	// txns are few.
+	minTimeSamples = 40.0
+	// reachableShare is the part of the way from the level before the trial to the SLA time that a level can be expected
+	// to reach, as later txns are declined.
+	reachableShare = 0.8
+	// fleetSlowdownTime is how long a slowdown with two slower stages has to last for 'back'; with one, three times this.
+	fleetSlowdownTime = 3 * Second
+	// afterReleaseTime is how long after its release a build is still watched for a slowdown of the fleet.
+	afterReleaseTime = 15 * Second
+)
+
+// Worker health, further submissions and routing.
+const (
+	// silenceTimes is the number of expected response times without a response after which a worker is silent.
+	silenceTimes = 5.0
+	// hedgeTimes is the number of expected response times after which a txn is sent a second time.
+	hedgeTimes = 3.0
+	// hedgeShare is the number of second copies granted per txn.
+	hedgeShare = 0.06
+	// retryShare is the number of resubmissions granted per txn.
+	retryShare = 0.25
+	// maxFaultRate is the fault rate, above the usual one, from which a worker is unhealthy.
+	maxFaultRate = 0.35
+	// probeInterval is the minimum time between probes of an unhealthy worker.
+	probeInterval = 1 * Second
+	// healthDecay is the part by which a worker's fault rate and slowdown, and the limit factor, relax on each tick.
+	healthDecay = 0.005
+	// goneWorkerTTL is how long a worker that is gone is remembered after its last response.
+	goneWorkerTTL = 60 * Second
+	// crossZoneTimes is the factor, per unit of price, by which the response time of a worker in another zone counts more.
+	crossZoneTimes = 15.0
+	// maxScannedWorkers is the size of a worker group up to which a pick scans all of it. From a larger group a weighted
+	// sampler draws with the same probabilities.
+	maxScannedWorkers = 64
+)
+
+// Limits on the submissions in flight at a worker, for few sentries, and the first estimate of response times.
+const (
+	// minLimit is the lowest limit, in submissions.
+	minLimit = 1.0
+	// initialLimit is the limit of a new worker, in submissions.
+	initialLimit = 8.0
+	// lateShare is the share of responses slower than two thirds of the SLA time at which a limit settles.
+	lateShare = 0.08
+	// limitStep is the relative size of a step of the limit.
+	limitStep = 0.2
+	// initialTimeShare is the first estimate of a response time, as a share of the SLA time.
+	initialTimeShare = 0.2
+)
+
+// New creates a sentry from the settings, a flat map of names to values.
+func New(now Nanos, seed int64, settings map[string]any, sink Sink) *Sentry {
+	s := &Sentry{config: settings, rng: rand.New(rand.NewSource(seed)), sink: sink, now: now, txnSlots: map[TxnID]int32{},
+		workers: map[WorkerID]*worker{}, boundKeys: map[KeyID]RelID{}, reservedKeys: map[KeyID]int{}, refilledAt: now,
+		cohorts: map[cohortKey]*cohort{},
+		noise:   0.5, logTimeVariance: 1, limitFactor: 1}
 	s.readProducts()
-	// A restart forgets what was sent: the count of exposure starts with nothing to spare, and no news.
-	s.news.Rel = -1
-	s.wantWatch = s.word("discovery") == "ask"
-	s.part = min(1, few/max(1, s.num("sentries", 1)))
-	s.most = min(int(s.num("allow.submissions", 1)), len(txn{}.subs))
-	s.many = math.Log(max(1, s.num("sentries", 1)/max(1, s.num("release.votes-back", 1))/few))
-	s.hedges, s.agains = 5*s.part, 10*s.part
+	// After a restart it is unknown what was sent, so exposure starts with an empty budget and no announced build.
+	s.announced.Rel = -1
+	s.wantWatch = s.text("discovery") == "ask"
+	s.sentryShare = min(1, fewSentries/max(1, s.num("sentries", 1)))
+	s.maxSubmissions = min(int(s.num("allow.submissions", 1)), len(txn{}.submissions))
+	s.logSentryRatio = math.Log(max(1, s.num("sentries", 1)/max(1, s.num("release.votes-back", 1))/fewSentries))
+	s.hedgeBudget, s.retryBudget = 5*s.sentryShare, 10*s.sentryShare
 	s.emit()
 	return s
 }
 
-// ---- What is known of the workers ----
+// ---- Workers ----
 
-// UpdateWorkers takes in what discovery tells.
+// UpdateWorkers handles an update of the worker list from discovery.
 func (s *Sentry) UpdateWorkers(now Nanos, mode ListMode, list []Worker) {
 	s.now = now
 	if mode == ListUnavailable {
-		// Asking again at once would flood a service that is overloaded already.
-		s.watchGap = min(max(2*s.watchGap, Second), 4*Second)
-		s.watchAt = now + s.watchGap/2 + Nanos(s.rng.Int63n(int64(s.watchGap)))
+		// An immediate retry would add to the load of an overloaded service.
+		s.watchBackoff = min(max(2*s.watchBackoff, Second), 4*Second)
+		s.nextWatchAt = now + s.watchBackoff/2 + Nanos(s.rng.Int63n(int64(s.watchBackoff)))
 	} else if mode != Restored {
-		s.watchGap, s.watchAt = 0, now+s.span("rules.ask-within", 10*Second) // a watch may fall silent
+		// A watch may stall without an error, so it is renewed after this long without an update.
+		s.watchBackoff, s.nextWatchAt = 0, now+s.nanos("rules.ask-within", 10*Second)
 	}
 	if mode == Whole || mode == Restored {
-		s.allGone() // a worker that a whole list lacks is gone
-	}
-	for _, l := range list {
-		w := s.workers[l.ID]
-		if w == nil || !w.is(l) {
-			// A new process owes nothing to what ran under its id before. Danger: one that has moved to another zone
-			// would take with it where its submissions ran, and a repeat would pass for one within the zone.
-			w = s.enter(&worker{Worker: l, slow: 1, limit: firstOpen * s.part, coldAt: now, cold: s.rng.Float64(),
-				place: s.placeOf(l)})
-			w.slow = w.place.slow
-		}
-		w.Worker, w.cross = l, s.crossing(l.Zone)
-	}
-	s.noticeTrial()
-	s.arrange()
+		s.markAllGone() // a worker that a complete list omits is gone
+	}
+	for _, entry := range list {
+		w := s.workers[entry.ID]
+		if w == nil || !w.sameProcess(entry) {
+			// A new process inherits no state from the one that had its id before. In particular, a process in another
+			// zone must not appear as the target of earlier submissions: a repeat would pass for one within the zone that
+			// drops duplicates.
+			w = s.addWorker(&worker{Worker: entry, slowdown: 1, limit: initialLimit * s.sentryShare, coldRefilledAt: now,
+				coldBudget: s.rng.Float64(), cohort: s.cohortOf(entry)})
+			w.slowdown = w.cohort.slowdown
+		}
+		w.Worker, w.zoneFactor = entry, s.crossZoneFactor(entry.Zone)
+	}
+	s.updateTrial()
+	s.partitionWorkers()
 	s.emit()
 }
 
-// fit tells whether w may be used freely. Danger: where submissions fail at all workers alike, to rest each
-// would leave nobody; so the bar lies above what is usual.
-func (s *Sentry) fit(w *worker) bool { return !w.silent && w.bad < restAbove+s.usualBad }
+// healthy reports whether w may be used without restriction. The fault rate is compared with the usual one: where
+// submissions fail at all workers alike, excluding each of them would leave none.
+func (s *Sentry) healthy(w *worker) bool {
+	return !w.silent && w.faultRate < maxFaultRate+s.usualFaultRate
+}
 
-// arrange sorts the workers into trial, baseline and rest, and sets what the pair is to get (step 1).
-func (s *Sentry) arrange() {
-	s.trials, s.bases, s.rest, s.warming = s.trials[:0], s.bases[:0], s.rest[:0], s.warming[:0]
-	defer s.weighAll()
-	up, newest, able, all, trial := 0.0, 0.0, 0.0, 0.0, 0.0
-	for _, w := range s.order {
+// partitionWorkers divides the workers into trial, baseline and others, and sets the traffic shares of the pair (step 1).
+func (s *Sentry) partitionWorkers() {
+	s.trialWorkers, s.baselineWorkers, s.otherWorkers, s.coldWorkers = s.trialWorkers[:0], s.baselineWorkers[:0],
+		s.otherWorkers[:0], s.coldWorkers[:0]
+	defer s.rebuildSamplers()
+	up, newest, usable, total, trial := 0.0, 0.0, 0.0, 0.0, 0.0
+	for _, w := range s.sortedWorkers {
 		if s.ramp(w) < 1 {
-			s.warming = append(s.warming, w)
+			s.coldWorkers = append(s.coldWorkers, w)
 		}
 		if w.State != Up {
 			continue
 		}
-		up, newest = up+1, newest+bit(w.Rel == s.trial)
-		// A slowed fleet looks silent at times; what is unheard of for long is lost.
-		if w.bad < restAbove+s.usualBad && (!w.silent || s.now-w.heard < 2*Second) {
-			able += s.ramp(w)
+		up, newest = up+1, newest+indicator(w.Rel == s.trial)
+		// Workers of a slow fleet seem silent at times; only one that has been silent for long is lost capacity.
+		if w.faultRate < maxFaultRate+s.usualFaultRate && (!w.silent || s.now-w.lastResponseAt < 2*Second) {
+			usable += s.ramp(w)
 		}
-		all += s.ramp(w)
+		total += s.ramp(w)
 		if s.onTrial(w.Rel) {
 			if w.Rel == s.trial {
 				trial += s.ramp(w)
-				s.trials = append(s.trials, w)
+				s.trialWorkers = append(s.trialWorkers, w)
 			}
 			continue
 		}
-		s.rest = append(s.rest, w)
+		s.otherWorkers = append(s.otherWorkers, w)
 	}
-	// All workers carry the load, or, where the earlier ones stay beside, as many as either build has.
-	if s.word("release.style") == "beside" {
+	// The load is carried by all workers or, where the earlier ones keep running beside the new, by as many as the larger
+	// of the two builds has.
+	if s.text("release.style") == "beside" {
 		up = max(newest, up-newest)
 	}
-	if s.fleet += (up - s.fleet) * 0.003; s.fleet <= 1 {
-		s.fleet = up
+	if s.usualWorkers += (up - s.usualWorkers) * 0.003; s.usualWorkers <= 1 {
+		s.usualWorkers = up
 	}
-	s.lacking, s.heed = able < (1-lacks)*s.fleet, 0.03*bit(able >= (1-lacks)*s.fleet)
-	s.tiltTrial, s.tiltBase = 0, 0
-	if len(s.trials) == 0 || all <= 0 {
+	s.capacityMissing, s.logTimeWeight = usable < (1-missingCapacityShare)*s.usualWorkers,
+		0.03*indicator(usable >= (1-missingCapacityShare)*s.usualWorkers)
+	s.trialShare, s.baselineShare = 0, 0
+	if len(s.trialWorkers) == 0 || total <= 0 {
 		return
 	}
-	s.tiltTrial = min(trial/all, s.capNow())
-	// The baseline: as many of the newest earlier-build workers, those of the trial's kinds of machine first.
-	s.noteKinds(s.trials)
-	like := func(w *worker) float64 { return bit(s.fit(w) && slices.Contains(s.kinds, w.Kind)) }
-	slices.SortStableFunc(s.rest, func(a, b *worker) int {
+	s.trialShare = min(trial/total, s.currentCap())
+	// The baseline is as many workers as the trial has, of the newest earlier builds; those on machines of the trial's
+	// kinds come first.
+	s.collectTrialKinds(s.trialWorkers)
+	like := func(w *worker) float64 { return indicator(s.healthy(w) && slices.Contains(s.trialKinds, w.Kind)) }
+	slices.SortStableFunc(s.otherWorkers, func(a, b *worker) int {
 		return cmp.Or(cmp.Compare(like(b), like(a)), cmp.Compare(b.Rel, a.Rel), cmp.Compare(b.Start, a.Start))
 	})
-	n := min(len(s.trials), len(s.rest))
-	for n > 0 && !s.fit(s.rest[n-1]) {
+	n := min(len(s.trialWorkers), len(s.otherWorkers))
+	for n > 0 && !s.healthy(s.otherWorkers[n-1]) {
 		n--
 	}
-	s.bases = append(s.bases, s.rest[:n]...)
-	s.rest = s.rest[:copy(s.rest, s.rest[n:])]
-	base := 0.0
-	for _, w := range s.bases {
-		base += s.ramp(w)
+	s.baselineWorkers = append(s.baselineWorkers, s.otherWorkers[:n]...)
+	s.otherWorkers = s.otherWorkers[:copy(s.otherWorkers, s.otherWorkers[n:])]
+	baseline := 0.0
+	for _, w := range s.baselineWorkers {
+		baseline += s.ramp(w)
 	}
-	s.tiltBase = min(s.tiltTrial, base/all)
+	s.baselineShare = min(s.trialShare, baseline/total)
 }
 
-// ---- The rules, in one place: nothing is sent or answered that these do not allow ----
+// ---- Rules: nothing is sent or answered that these functions do not allow ----
 
-// mayGo holds the rules on a further submission of t that are the same for all workers.
-func (s *Sentry) mayGo(t *txn) bool {
-	return t.has == unanswered && s.now < t.Expiry && t.n < s.most && (s.flag("allow.copies") ||
-		!slices.ContainsFunc(t.subs[:t.n], func(b submission) bool { return b.out }))
+// maySubmit checks the rules on a further submission of t that do not depend on the worker.
+func (s *Sentry) maySubmit(t *txn) bool {
+	return t.state == unresolved && s.now < t.Expiry && t.n < s.maxSubmissions && (s.flag("allow.copies") ||
+		!slices.ContainsFunc(t.submissions[:t.n], func(sub submission) bool { return sub.pending }))
 }
 
-// maySend holds all rules on a submission of t to w, at this moment.
-func (s *Sentry) maySend(t *txn, w *worker) bool { return s.mayGo(t) && s.mayTake(t, w) }
+// maySend checks all rules on sending t to w at this moment.
+func (s *Sentry) maySend(t *txn, w *worker) bool { return s.maySubmit(t) && s.workerAllowed(t, w) }
 
-// mayTake holds those that are not the same for all workers.
-func (s *Sentry) mayTake(t *txn, w *worker) bool {
+// workerAllowed checks the rules on sending t to w that depend on the worker.
+func (s *Sentry) workerAllowed(t *txn, w *worker) bool {
 	p := &s.products[t.Product]
-	if w.State != Up || s.ramp(w) < 1 && w.cold < 1 { // the grace of a drain is not used
+	if w.State != Up || s.ramp(w) < 1 && w.coldBudget < 1 { // the grace period of a drain is not used
 		return false
 	}
 	for i := 0; i < t.n; i++ {
-		sub := &t.subs[i]
-		if (sub.out || sub.ran) && !p.inquiry {
-			same := p.anywhere || p.byZone && w.Zone == sub.to.Zone || !p.byZone && w.Cell == sub.to.Cell
-			// The last tenth of the memory is left: the send takes time to arrive.
-			if !p.ref || !same || s.now-sub.sent >= p.memory*9/10 {
+		sub := &t.submissions[i]
+		if (sub.pending || sub.mayHaveRun) && !p.inquiryLike {
+			same := p.dedupAnywhere || p.dedupByZone && w.Zone == sub.target.Zone || !p.dedupByZone && w.Cell == sub.target.Cell
+			// The last tenth of the deduplication window is not used, as the submission takes time to arrive.
+			if !p.referenced || !same || s.now-sub.sentAt >= p.dedupWindow*9/10 {
 				return false
 			}
 		}
 	}
 	if s.onTrial(w.Rel) {
-		if w.Rel != s.trial || s.exposure[s.lane(t.Product)] < 1 || s.capNow() <= 0 {
+		if w.Rel != s.trial || s.exposure[s.exposureIndex(t.Product)] < 1 || s.currentCap() <= 0 {
 			return false
 		}
 		guarded := int(s.num("release.guarded-stages", 0))
-		if !p.inquiry && guarded > 0 && (s.trial > s.news.Rel || s.news.Stage < guarded) {
+		if !p.inquiryLike && guarded > 0 && (s.trial > s.announced.Rel || s.announced.Stage < guarded) {
 			return false
 		}
 	}
-	return w.Rel >= s.least(t)
+	return w.Rel >= s.minRel(t)
 }
 
-// mayDecline tells whether the client may be told that trying again does no harm.
+// mayDecline reports whether the client may be told that a retry does no harm.
 func (s *Sentry) mayDecline(t *txn) bool {
 	p := &s.products[t.Product]
-	return p.inquiry || p.ref && p.anywhere || !slices.ContainsFunc(t.subs[:t.n], func(b submission) bool {
-		return b.out || b.ran
+	return p.inquiryLike || p.referenced && p.dedupAnywhere || !slices.ContainsFunc(t.submissions[:t.n], func(sub submission) bool {
+		return sub.pending || sub.mayHaveRun
 	})
 }
 
-// StillAllowed tells whether a submission that the host could not send yet may still go. Danger: by the time that a
-// connection is up its worker may drain, or the cap have fallen: attempts are counted anew from then.
+// StillAllowed reports whether a submission that waits for a connection may still be sent. By the time the connection is
+// up, its worker may be draining; or the cap may have fallen, and submissions count against the lower cap from then on.
 func (s *Sentry) StillAllowed(now Nanos, id TxnID, number int) bool {
-	at, held := s.byID[id]
-	if !held || number >= s.slab[at].n {
+	slot, open := s.txnSlots[id]
+	if !open || number >= s.slab[slot].n {
 		return false
 	}
-	sub := &s.slab[at].subs[number]
-	return sub.to.State == Up && now < s.slab[at].Expiry && (!s.onTrial(sub.rel) || sub.sent > s.loweredAt)
+	sub := &s.slab[slot].submissions[number]
+	return sub.target.State == Up && now < s.slab[slot].Expiry && (!s.onTrial(sub.rel) || sub.sentAt > s.capLoweredAt)
 }
 
-// refill lets budgets grow: for each lane, free attempts a window, which with the depth of the bucket add up
-// to the rule's figure in any window; for a cold worker, its even share of what it can do by now.
-func (s *Sentry) refill() {
-	dt := float64(s.now-s.refilled) / float64(Second)
-	s.refilled = s.now
+// refillBudgets refills the token buckets. An exposure bucket gets the free submissions of a window; refill and depth
+// together stay within the rule's figure in any window. A cold worker's bucket gets its even share of the load, scaled to
+// its present capacity.
+func (s *Sentry) refillBudgets() {
+	dt := float64(s.now-s.refilledAt) / float64(Second)
+	s.refilledAt = s.now
 	free, window := s.num("release.free", 0), s.num("release.window", 1)/float64(Second)
-	deep := min(free, max(1, free/2)) // Danger: with less than one free, a bucket of one would go over
+	depth := min(free, max(1, free/2)) // with less than one free submission, a depth of one would exceed the rule
 	for i := range s.exposure {
-		s.exposure[i] = min(deep, s.exposure[i]+dt*max(0, free-deep)/max(window, 0.001))
-	}
-	// Danger: any least amount is multiplied by the number of sentries. So a cold worker's bucket starts at a
-	// random part of one, grows by the even share of what this sentry saw carried, and lapses.
-	even := s.carried / max(1, s.fleet) * s.num("rules.fall-multiple", 1)
-	half := s.span("rules.fall-after", 0) / 2
-	for _, w := range s.warming {
+		s.exposure[i] = min(depth, s.exposure[i]+dt*max(0, free-depth)/max(window, 0.001))
+	}
+	// Any fixed minimum would be multiplied by the number of sentries. So a cold worker's bucket starts at a random
+	// fraction of one submission, grows by the even share of the load that this sentry saw settled, and loses tokens that
+	// are not used in time.
+	evenShare := s.settledRate / max(1, s.usualWorkers) * s.num("rules.fall-multiple", 1)
+	half := s.nanos("rules.fall-after", 0) / 2
+	for _, w := range s.coldWorkers {
 		if r := s.ramp(w); r < 1 {
-			if w.cold < 1 {
-				w.ripeAt = s.now
-			} else if s.now-w.ripeAt > half {
-				w.cold, w.ripeAt = w.cold-1, s.now
+			if w.coldBudget < 1 {
+				w.coldAvailableSince = s.now
+			} else if s.now-w.coldAvailableSince > half {
+				w.coldBudget, w.coldAvailableSince = w.coldBudget-1, s.now
 			}
-			deep := max(1, even*r*float64(half)/float64(Second))
-			w.cold, w.coldAt = min(deep, w.cold+even*r*float64(s.now-w.coldAt)/float64(Second)), s.now
+			depth := max(1, evenShare*r*float64(half)/float64(Second))
+			w.coldBudget, w.coldRefilledAt = min(depth, w.coldBudget+evenShare*r*float64(s.now-w.coldRefilledAt)/float64(Second)),
+				s.now
 		}
 	}
 }
 
-// ---- A txn's way ----
+// ---- Routing of a txn ----
 
-// Take takes a txn from a client.
+// Take accepts a txn from a client.
 func (s *Sentry) Take(now Nanos, in Txn) {
 	s.now = now
-	s.refill()
-	at := s.hold(in)
-	t := &s.slab[at]
-	s.taken++
-	s.hedges, s.agains = min(s.hedges+hedgeShare, 1+20*s.part), min(s.agains+againShare, 1+50*s.part)
-	s.exposure[s.lane(t.Product)] += s.capNow() // refill holds it to its depth
-	s.place(at)
-	if p := &s.products[t.Product]; (p.inquiry || p.ref) && s.flag("allow.copies") {
-		t.want.wake = now + Nanos(min(hedgeTimes*s.expected(t)*math.Exp(max(0, s.drag)), float64(p.sla)/2))
+	s.refillBudgets()
+	slot := s.addTxn(in)
+	t := &s.slab[slot]
+	s.tickTaken++
+	s.hedgeBudget, s.retryBudget = min(s.hedgeBudget+hedgeShare, 1+20*s.sentryShare),
+		min(s.retryBudget+retryShare, 1+50*s.sentryShare)
+	s.exposure[s.exposureIndex(t.Product)] += s.currentCap() // refillBudgets limits it to the bucket's depth
+	s.route(slot)
+	if p := &s.products[t.Product]; (p.inquiryLike || p.referenced) && s.flag("allow.copies") {
+		t.want.wakeAt = now + Nanos(min(hedgeTimes*s.expected(t)*math.Exp(max(0, s.fleetSlowdown)), float64(p.sla)/2))
 	}
 	s.emit()
 }
 
-// place sets down where t goes next, or that it is given up.
-func (s *Sentry) place(at int32) {
-	t := &s.slab[at]
-	t.want.to, t.want.arm = s.choose(t)
-	s.touch(at)
-	if t.want.to == nil {
-		s.giveUp(at)
+// route picks the worker for the next submission of a txn, or gives the txn up where there is none.
+func (s *Sentry) route(slot int32) {
+	t := &s.slab[slot]
+	t.want.target, t.want.arm = s.chooseWorker(t)
+	s.markDirty(slot)
+	if t.want.target == nil {
+		s.giveUp(slot)
 	}
 }
 
-// choose picks the worker for t: by the pair's weighted round robin, toggle and rotation (steps 1 to 3) for a
-// first submission, else, and where the pair does not want it, the worker that should answer soonest.
-func (s *Sentry) choose(t *txn) (*worker, arm) {
-	takes := func(w *worker) bool { return s.maySend(t, w) }
-	bound := len(s.trials) > 0 && s.trial > 0 && s.least(t) == s.trial
-	if t.n == 0 && len(s.trials) > 0 && (bound || len(s.bases) == 0 ||
-		s.exposure[s.lane(t.Product)] >= 1 && slices.ContainsFunc(s.trials, takes)) {
-		s.credit += s.tiltTrial + s.tiltBase
-		s.creditTrial = min(s.creditTrial+s.tiltTrial, 2)
-		s.creditBase = min(s.creditBase+s.tiltBase, 2)
+// chooseWorker picks the worker for t. A first submission goes by the pair's weighted round robin, the toggle and the
+// rotation (steps 1 to 3); all others, and those that the pair does not take, go to the worker expected to answer soonest.
+func (s *Sentry) chooseWorker(t *txn) (*worker, arm) {
+	sendable := func(w *worker) bool { return s.maySend(t, w) }
+	bound := len(s.trialWorkers) > 0 && s.trial > 0 && s.minRel(t) == s.trial
+	if t.n == 0 && len(s.trialWorkers) > 0 && (bound || len(s.baselineWorkers) == 0 ||
+		s.exposure[s.exposureIndex(t.Product)] >= 1 && slices.ContainsFunc(s.trialWorkers, sendable)) {
+		s.pairCredit += s.trialShare + s.baselineShare
+		s.trialCredit = min(s.trialCredit+s.trialShare, 2)
+		s.baselineCredit = min(s.baselineCredit+s.baselineShare, 2)
 	}
 	if bound {
-		// Danger: keys that the trial has met come on top of its slice and crowd its workers, which then look slow.
-		// So they use up the slice, and count as what they are, trial outcomes.
-		w := s.rotate(s.trials, t)
+		// Txns with keys bound to the trial use up its traffic share and count as trial outcomes. On top of the share they
+		// would overload the trial's workers, which would then seem slow.
+		w := s.nextInRotation(s.trialWorkers, t)
 		if w == nil {
-			w = s.soonest(&s.ofTrials, t)
+			w = s.pickFastest(&s.trialSampler, t)
 		}
 		if w != nil && t.n == 0 {
-			s.credit, s.creditTrial = max(s.credit-1, -2), max(s.creditTrial-1, -2)
+			s.pairCredit, s.trialCredit = max(s.pairCredit-1, -2), max(s.trialCredit-1, -2)
 			return w, trialArm
 		}
 		return w, noArm
 	}
-	if t.n == 0 && s.credit >= 1 && len(s.trials) > 0 {
-		s.credit = min(s.credit-1, 1)
+	if t.n == 0 && s.pairCredit >= 1 && len(s.trialWorkers) > 0 {
+		s.pairCredit = min(s.pairCredit-1, 1)
 		p := &s.products[t.Product]
 		toTrial := !p.toTrial
 		p.toTrial = toTrial
-		if s.creditBase < 0.5 || len(s.bases) == 0 { // each held to its even share
+		if s.baselineCredit < 0.5 || len(s.baselineWorkers) == 0 { // each arm is held to its own share
 			toTrial = true
-		} else if s.creditTrial < 0.5 {
+		} else if s.trialCredit < 0.5 {
 			toTrial = false
 		}
-		if toTrial && s.creditTrial > 0 {
-			// Danger: a worker on trial that fell silent gets no other txn by which it would be found again.
-			if slices.ContainsFunc(s.trials, func(w *worker) bool { return w.silent }) {
-				if w := s.soonest(&s.ofTrials, t); w != nil && w.silent {
-					s.creditTrial--
+		if toTrial && s.trialCredit > 0 {
+			// The rotation skips a silent worker, and on trial it gets no other txns; without a probe it would stay silent.
+			if slices.ContainsFunc(s.trialWorkers, func(w *worker) bool { return w.silent }) {
+				if w := s.pickFastest(&s.trialSampler, t); w != nil && w.silent {
+					s.trialCredit--
 					return w, noArm
 				}
 			}
-			if w := s.rotate(s.trials, t); w != nil {
-				s.creditTrial--
+			if w := s.nextInRotation(s.trialWorkers, t); w != nil {
+				s.trialCredit--
 				return w, trialArm
 			}
-		} else if w := s.rotate(s.bases, t); w != nil {
-			s.creditBase--
-			return w, baseArm
+		} else if w := s.nextInRotation(s.baselineWorkers, t); w != nil {
+			s.baselineCredit--
+			return w, baselineArm
 		}
 	}
-	if w := s.soonest(&s.ofRest, t); w != nil {
+	if w := s.pickFastest(&s.otherSampler, t); w != nil {
 		return w, noArm
 	}
-	if w := s.soonest(&s.ofBases, t); w != nil {
+	if w := s.pickFastest(&s.baselineSampler, t); w != nil {
 		return w, noArm
 	}
-	return s.soonest(&s.ofTrials, t), noArm
+	return s.pickFastest(&s.trialSampler, t), noArm
 }
 
-// crossing is what a worker's time counts more for standing in another zone.
-func (s *Sentry) crossing(at ZoneID) float64 {
-	if at == ZoneID(s.num("zone", -1)) {
+// crossZoneFactor returns the factor by which the response time of a worker in the given zone counts.
+func (s *Sentry) crossZoneFactor(zone ZoneID) float64 {
+	if zone == ZoneID(s.num("zone", -1)) {
 		return 1
 	}
-	return 1 + crossTimes*s.num("price.cross-zone", 0)
+	return 1 + crossZoneTimes*s.num("price.cross-zone", 0)
 }
 
-// near tells whether w is as near as the slowest of the own zone.
-func (s *Sentry) near(w *worker) bool { return s.fit(w) && w.place.slow*w.cross <= s.home }
+// near reports whether w is healthy and expected to answer as soon as the slowest cohort of the sentry's own zone.
+func (s *Sentry) near(w *worker) bool {
+	return s.healthy(w) && w.cohort.slowdown*w.zoneFactor <= s.localSlowdown
+}
 
-// rotate picks the next worker of a side in turn, a cold one less often, among those as near as the own zone.
-// Danger: where traffic moves to one zone, its part of the trial would get it all and look slow; what cold
-// workers may not take would crowd the warm ones. So nobody is picked a round before its turn.
-func (s *Sentry) rotate(side []*worker, t *txn) *worker {
-	near, sum := slices.ContainsFunc(side, s.near), 0.0
-	takes := func(w *worker) bool { return s.fit(w) && (!near || s.near(w)) }
-	for _, w := range side {
-		sum += s.ramp(w) * bit(takes(w))
+// nextInRotation picks the next worker of an arm in turn, with weights by the capacity of cold workers, among the near
+// ones where there are any: if traffic shifts to one zone, the trial's workers there would otherwise get all of it and
+// seem slow. A worker is picked at most one round before its turn, so that what cold workers may not take does not crowd
+// the warm ones.
+func (s *Sentry) nextInRotation(workers []*worker, t *txn) *worker {
+	near, sum := slices.ContainsFunc(workers, s.near), 0.0
+	eligible := func(w *worker) bool { return s.healthy(w) && (!near || s.near(w)) }
+	for _, w := range workers {
+		sum += s.ramp(w) * indicator(eligible(w))
 	}
 	var best *worker
-	for _, w := range side {
-		if !takes(w) {
+	for _, w := range workers {
+		if !eligible(w) {
 			continue
 		}
-		if !w.due { // a first turn at random, or many sentries would all begin with the same
-			w.due, w.turn = true, s.rng.Float64()*sum
+		if !w.inRotation { // the first turn is random, or many sentries would all begin with the same worker
+			w.inRotation, w.rotationCredit = true, s.rng.Float64()*sum
 		}
-		w.turn = min(w.turn+s.ramp(w), 2*sum)
-		if w.turn >= 0 && (best == nil || w.turn > best.turn) && s.room(w, t) && s.maySend(t, w) {
+		w.rotationCredit = min(w.rotationCredit+s.ramp(w), 2*sum)
+		if w.rotationCredit >= 0 && (best == nil || w.rotationCredit > best.rotationCredit) && s.hasRoom(w, t) && s.maySend(t, w) {
 			best = w
 		}
 	}
 	if best != nil {
-		best.turn -= sum
+		best.rotationCredit -= sum
 	}
 	return best
 }
 
-// room tells whether w may hold one more of this sentry's txns. The limit follows how soon answers come, so
-// that what could only be late is declined early, whatever the lack comes from; repeats get less of it.
-func (s *Sentry) room(w *worker, t *txn) bool {
-	return float64(w.open) < w.limit*s.squeeze*(1-0.2*bit(t.n > 0)) && s.anyRoom()
+// hasRoom reports whether w may hold one more of this sentry's submissions. The limit follows the response times, so that
+// a txn that could only be late is declined early, whatever the cause of the shortage. Resubmissions get four fifths of it.
+func (s *Sentry) hasRoom(w *worker, t *txn) bool {
+	return float64(w.inFlight) < w.limit*s.limitFactor*(1-0.2*indicator(t.n > 0)) && s.hasTotalRoom()
 }
 
-// anyRoom tells whether one more may be held at all.
-// Danger: one txn a worker for each of many sentries is a jam; all that a sentry holds is bounded as well.
-func (s *Sentry) anyRoom() bool { return s.part == 1 || float64(s.held) < s.allowed }
+// hasTotalRoom reports whether the sentry may have one more submission in flight. Many sentries with one submission at
+// each worker would overload the fleet, so the total of each is limited as well.
+func (s *Sentry) hasTotalRoom() bool {
+	return s.sentryShare == 1 || float64(s.open) < s.totalLimit
+}
 
-// widen moves the limit of w by a factor; what is learnt of one worker tells of all where each is seldom met.
-func (s *Sentry) widen(w *worker, by float64) {
-	w.limit = max(leastOpen*s.part, w.limit*by)
-	s.squeeze = min(max(s.squeeze*(1+(by-1)*s.blur*(1-s.part)), 0.1), 2)
+// scaleLimit multiplies the limit of w by a factor, and, where there are many sentries and each rarely meets the same
+// worker, adjusts the factor on all limits as well.
+func (s *Sentry) scaleLimit(w *worker, factor float64) {
+	w.limit = max(minLimit*s.sentryShare, w.limit*factor)
+	s.limitFactor = min(max(s.limitFactor*(1+(factor-1)*s.noise*(1-s.sentryShare)), 0.1), 2)
 }
 
-// cost is how late w should answer, as far as own submissions tell.
-func (s *Sentry) cost(w *worker) float64 {
-	return w.slow * (1 + float64(w.open)) / s.ramp(w) * (1 + 4*w.bad) * w.cross
+// delay estimates how long w takes to answer, in expected response times, from this sentry's own submissions.
+func (s *Sentry) delay(w *worker) float64 {
+	return w.slowdown * (1 + float64(w.inFlight)) / s.ramp(w) * (1 + 4*w.faultRate) * w.zoneFactor
 }
 
-// weight is the chance of w, beside that of others, to be picked: none where it can have no room.
+// weight returns the weight with which w is drawn, or 0 where it cannot have room.
 func (s *Sentry) weight(w *worker) float64 {
-	// Danger: the squeeze moves with each answer for all workers, so only its upper end counts here.
-	if !s.fit(w) || float64(w.open) >= w.limit*(1+bit(s.part < 1)) {
+	// limitFactor changes the limits of all workers with each response, so only its upper bound of 2 is used here; a pick
+	// checks hasRoom.
+	if !s.healthy(w) || float64(w.inFlight) >= w.limit*(1+indicator(s.sentryShare < 1)) {
 		return 0
 	}
-	return raceWeight(s.cost(w), s.blur)
+	return raceWeight(s.delay(w), s.noise)
 }
 
-// soonest picks the worker that should answer first, by a chance that grows the sooner it should.
-func (s *Sentry) soonest(from *draw, t *txn) *worker {
-	if !s.mayGo(t) || !s.anyRoom() {
+// pickFastest picks a worker at random, with a probability that grows the sooner it is expected to answer.
+func (s *Sentry) pickFastest(from *weightedSampler, t *txn) *worker {
+	if !s.maySubmit(t) || !s.hasTotalRoom() {
 		return nil
 	}
 	var best *worker
-	if !from.drawn() { // few: each is looked at, with a draw of its own
+	if !from.weighted() { // a small group: scan it, with a random draw for each worker
 		least := math.Inf(1)
 		for _, w := range from.workers {
-			if !s.mayTake(t, w) || !s.room(w, t) {
+			if !s.workerAllowed(t, w) || !s.hasRoom(w, t) {
 				continue
 			}
-			cost := s.cost(w)
-			if !s.fit(w) {
-				if !s.asks(w, t) {
+			delay := s.delay(w)
+			if !s.healthy(w) {
+				if !s.mayProbe(w, t) {
 					continue
 				}
-				cost = 0
+				delay = 0
 			}
-			if t.tried(w) {
-				cost *= 100
+			if t.hasTried(w) {
+				delay *= 100
 			}
-			if cost *= math.Pow(s.rng.ExpFloat64(), s.blur); cost < least {
-				best, least = w, cost
+			if delay *= math.Pow(s.rng.ExpFloat64(), s.noise); delay < least {
+				best, least = w, delay
 			}
 		}
 	} else {
 		best = s.pick(from, t)
 	}
-	if best != nil && !s.fit(best) {
-		best.nextTry = s.now + Nanos(float64(trickle)*max(1, 5*s.seldom))
+	if best != nil && !s.healthy(best) {
+		best.nextProbeAt = s.now + Nanos(float64(probeInterval)*max(1, 5*s.contactInterval))
 	}
 	return best
 }
 
-// asks tells whether t may find out about a worker that is not fit.
-// Danger: a worker that answers nothing draws no load and so looks free. It gets one txn that may
-// be repeated now and then, the less the seldomer it is met; this also brings back whatever has recovered.
-// Where nothing may be repeated, what has fallen silent is asked again later, or it never would be.
-func (s *Sentry) asks(w *worker, t *txn) bool {
-	overdue := w.silent && s.now > w.nextTry+longAgo
-	return s.now >= w.nextTry && t.n == 0 && (s.products[t.Product].inquiry || overdue)
+// mayProbe reports whether t may probe the unhealthy worker w. A worker that answers nothing has no load and so seems
+// free; it gets only one repeatable txn now and then, less often the rarer this sentry meets it, which also finds out when
+// it has recovered. Where no txn is repeatable, a silent worker is probed with any txn after a longer wait, or it would
+// never be used again.
+func (s *Sentry) mayProbe(w *worker, t *txn) bool {
+	overdue := w.silent && s.now > w.nextProbeAt+staleAfter
+	return s.now >= w.nextProbeAt && t.n == 0 && (s.products[t.Product].inquiryLike || overdue)
 }
 
-// pick draws the worker from many that have weights.
-func (s *Sentry) pick(from *draw, t *txn) *worker {
-	for i := 0; i < len(s.ill) && t.n == 0; i++ {
-		w := s.ill[i]
-		if w.in == from && !s.fit(w) && s.asks(w, t) && s.room(w, t) && s.mayTake(t, w) {
+// pick draws a worker from a sampler with weights, after any unhealthy worker that t may probe.
+func (s *Sentry) pick(from *weightedSampler, t *txn) *worker {
+	for i := 0; i < len(s.unhealthy) && t.n == 0; i++ {
+		w := s.unhealthy[i]
+		if w.sampler == from && !s.healthy(w) && s.mayProbe(w, t) && s.hasRoom(w, t) && s.workerAllowed(t, w) {
 			return w
 		}
 	}
-	defer s.restore(from)
-	for i := 0; i < t.n; i++ { // asked again only where no other will do
-		if w := t.subs[i].to; w.in == from && s.weight(w) > 0 {
-			s.without(w, raceWeight(100*s.cost(w), s.blur))
+	defer s.restoreWeights(from)
+	for i := 0; i < t.n; i++ { // workers that t has been sent to are drawn only where no other is possible
+		if w := t.submissions[i].target; w.sampler == from && s.weight(w) > 0 {
+			s.overrideWeight(w, raceWeight(100*s.delay(w), s.noise))
 		}
 	}
 	for {
 		w := from.pick(s.rng.Float64())
-		if w == nil || s.fit(w) && s.room(w, t) && s.mayTake(t, w) {
+		if w == nil || s.healthy(w) && s.hasRoom(w, t) && s.workerAllowed(t, w) {
 			return w
 		}
-		s.without(w, 0)
+		s.overrideWeight(w, 0)
 	}
 }
 
-// Outcome takes the end of a submission.
+// Outcome handles the end of a submission.
 func (s *Sentry) Outcome(now Nanos, o Outcome) {
 	s.now = now
-	at, held := s.byID[o.Txn]
-	if !held || o.Number < 0 || o.Number >= s.slab[at].n || !s.slab[at].subs[o.Number].out {
+	slot, open := s.txnSlots[o.Txn]
+	if !open || o.Number < 0 || o.Number >= s.slab[slot].n || !s.slab[slot].submissions[o.Number].pending {
 		return
 	}
-	s.refill()
-	t := &s.slab[at]
-	sub := &t.subs[o.Number]
-	sub.out = false
-	sub.ran = o.Ending != Rejected && o.Ending != ConnectFailed && o.Ending != Skipped
-	sub.to.open--
-	s.held--
-	s.ask(t, sub, -1)
-	// Danger: what broke off, came spoilt or was called off may have been answered; then the key counts.
+	s.refillBudgets()
+	t := &s.slab[slot]
+	sub := &t.submissions[o.Number]
+	sub.pending = false
+	sub.mayHaveRun = o.Ending != Rejected && o.Ending != ConnectFailed && o.Ending != Skipped
+	sub.target.inFlight--
+	s.open--
+	s.reserveKey(t, sub, -1)
+	// A submission that was cut off, malformed or cancelled may have been answered, which binds the key as well.
 	if sub.rel == s.trial && (o.Ending == OK || o.MaybeAnswered) {
-		s.meet(t)
+		s.bindKey(t)
 	}
 	s.learn(t, sub, o)
-	s.weigh(sub.to)
+	s.updateWeight(sub.target)
 	if o.Final {
-		t.has = settled
-	}
-	if t.has == unanswered {
-		// Danger: workers that turn away all that comes would be asked by each txn in turn, and drown.
-		if now < t.Expiry && s.agains >= 1 && o.Ending != Cancelled &&
-			(o.Ending != ErrorResponse || !s.follows(t, o.Ending, 0, 0)) {
-			s.agains--
-			s.place(at)
+		t.state = settled
+	}
+	if t.state == unresolved {
+		// Without the retry budget, each txn would in turn try all workers that reject everything, and overload them.
+		if now < t.Expiry && s.retryBudget >= 1 && o.Ending != Cancelled &&
+			(o.Ending != ErrorResponse || !s.errorsFollowTxn(t, o.Ending, 0, 0)) {
+			s.retryBudget--
+			s.route(slot)
 		} else {
-			s.giveUp(at)
+			s.giveUp(slot)
 		}
 	}
-	s.touch(at)
+	s.markDirty(slot)
 	s.emit()
 }
 
-// ResponseStarted takes that an answer has begun to arrive. Danger: a long one takes its time, its key counts by then.
+// ResponseStarted handles the first bytes of a response. A long response takes time, and its key is bound from now on.
 func (s *Sentry) ResponseStarted(now Nanos, id TxnID, number int) {
 	s.now = now
-	if at, held := s.byID[id]; held && number < s.slab[at].n && s.slab[at].subs[number].rel == s.trial {
-		s.meet(&s.slab[at])
+	if slot, open := s.txnSlots[id]; open && number < s.slab[slot].n && s.slab[slot].submissions[number].rel == s.trial {
+		s.bindKey(&s.slab[slot])
 	}
 }
 
-// giveUp sets down a final answer unless something out may still settle the txn.
-func (s *Sentry) giveUp(at int32) {
-	t := &s.slab[at]
-	if s.now < t.Expiry && slices.ContainsFunc(t.subs[:t.n], func(b submission) bool { return b.out }) {
+// giveUp declines or voids a txn, unless a pending submission can still settle it.
+func (s *Sentry) giveUp(slot int32) {
+	t := &s.slab[slot]
+	if s.now < t.Expiry && slices.ContainsFunc(t.submissions[:t.n], func(sub submission) bool { return sub.pending }) {
 		return
 	}
-	t.want.answer = voided
-	s.turned++
+	t.want.resolution = voided
+	s.tickGivenUp++
 	if t.n == 0 {
-		// What is declined would have taken its SLA time at the least; or declines would hide what slows all.
-		s.level += s.heed * (math.Log(float64(s.products[t.Product].sla)/max(s.expected(t), 1)) - s.level)
+		// A declined txn counts as having taken its SLA time, or declines would hide a slowdown of the fleet.
+		s.logTime += s.logTimeWeight * (math.Log(float64(s.products[t.Product].sla)/max(s.expected(t), 1)) - s.logTime)
 	}
 	if s.mayDecline(t) {
-		t.want.answer = declined // what comes back soon can still be settled within its SLA time
-		t.want.retry = min(s.products[t.Product].sla/10, s.span("allow.longest-retry-after", 0))
+		t.want.resolution = declined // a txn that is retried soon can still be settled within its SLA time
+		t.want.retryAfter = min(s.products[t.Product].sla/10, s.nanos("allow.longest-retry-after", 0))
 	}
-	s.touch(at)
+	s.markDirty(slot)
 }
 
-// learn takes from an outcome what it tells of the worker, of usual times and of the pair. With no baseline
-// left, as after a release, each trial outcome meets the error share that earlier builds had. Then only
-// errors count: what is late or silent is as often the machine's or the load's doing.
+// learn updates the health of the worker, the typical times and the evidence of the pair from an outcome. With no baseline
+// left, as after a release, trial outcomes are compared with the error rate that earlier builds had. Then only errors
+// count, as late and missing responses are as often due to the machine or the load.
 func (s *Sentry) learn(t *txn, sub *submission, o Outcome) {
-	w, p := sub.to, &s.products[t.Product]
-	times := float64(o.Elapsed) / max(s.expected(t), 1)
+	w, p := sub.target, &s.products[t.Product]
+	relativeTime := float64(o.Elapsed) / max(s.expected(t), 1)
 	if o.Ending == OK || o.Ending == Rejected || o.Ending == ErrorResponse || o.Ending == MalformedResponse {
-		w.heard, w.silent = s.now, false
+		w.lastResponseAt, w.silent = s.now, false
 	}
 	switch o.Ending {
 	case OK:
-		w.bad *= 0.85
-		s.done++
+		w.faultRate *= 0.85
+		s.tickSettled++
 		if o.Elapsed > p.sla*2/3 {
-			s.widen(w, 1-limitStep*(1-slowShare))
-		} else if float64(w.open) >= w.limit*s.squeeze/2 || float64(s.held) >= s.allowed/2 && s.part < 1 {
-			s.widen(w, 1+limitStep*slowShare)
+			s.scaleLimit(w, 1-limitStep*(1-lateShare))
+		} else if float64(w.inFlight) >= w.limit*s.limitFactor/2 || float64(s.open) >= s.totalLimit/2 && s.sentryShare < 1 {
+			s.scaleLimit(w, 1+limitStep*lateShare)
 		}
-		w.slow += 0.15 * (min(times, 20) - w.slow)
-		w.place.slow += 0.03 * (min(times, 20) - w.place.slow)
-		unit := float64(o.Elapsed) / float64(max(t.Cost, 1))
-		// While a build is watched the typical time stands still, or it would hide what the build does to all.
-		if p.learnt++; p.learnt < 100 || !s.watching {
-			p.typical += max(0.01, 1/float64(p.learnt)) * (unit - p.typical)
+		w.slowdown += 0.15 * (min(relativeTime, 20) - w.slowdown)
+		w.cohort.slowdown += 0.03 * (min(relativeTime, 20) - w.cohort.slowdown)
+		timePerWork := float64(o.Elapsed) / float64(max(t.Cost, 1))
+		// While a build is watched the typical time is not updated: it would adapt to a build that slows the fleet.
+		if p.typicalSamples++; p.typicalSamples < 100 || !s.watching {
+			p.typicalTime += max(0.01, 1/float64(p.typicalSamples)) * (timePerWork - p.typicalTime)
 		}
 	case Rejected:
-		s.widen(w, 0.8)
+		s.scaleLimit(w, 0.8)
 	case ErrorResponse, MalformedResponse:
-		w.bad += 0.15 * (1 - w.bad) * bit(!s.follows(t, o.Ending, 0, 0))
+		w.faultRate += 0.15 * (1 - w.faultRate) * indicator(!s.errorsFollowTxn(t, o.Ending, 0, 0))
 	case Disconnected, ConnectFailed:
-		w.bad += 0.4 * (1 - w.bad)
+		w.faultRate += 0.4 * (1 - w.faultRate)
 	case TimedOut, Cancelled:
 		if o.Elapsed > p.sla {
-			s.widen(w, 1-limitStep*(1-slowShare))
+			s.scaleLimit(w, 1-limitStep*(1-lateShare))
 		}
-		w.slow = max(w.slow, w.slow+0.15*(min(times, 20)-w.slow))
+		w.slowdown = max(w.slowdown, w.slowdown+0.15*(min(relativeTime, 20)-w.slowdown))
 	case Skipped:
 		return
 	}
-	// Times count against those of the earlier builds at the same moment, so that load does not.
+	// The trial's times are compared with those of earlier builds at the same moment, which cancels out the load.
 	if warm := s.ramp(w) == 1; warm && (o.Ending == OK || o.Elapsed > Nanos(s.expected(t))) {
-		v := math.Log(max(times, 0.01)) // what was called off took this long at the least
-		s.levels++
-		s.level += max(s.heed, bit(s.heed > 0)/s.levels) * (v - s.level)
-		s.reach += max(0.03, 1/s.levels) * (math.Log(float64(p.sla)/max(s.expected(t), 1)) - s.reach)
-		// Danger: the last workers of an earlier build are no measure for a fleet that has replaced the rest.
-		if k := w.place; !s.onTrial(sub.rel) {
-			// Danger: what is picked for answering soon is faster than a side of the pair, which goes in turn.
-			if sub.arm == baseArm {
-				s.skew.add(v - k.level)
+		logRatio := math.Log(max(relativeTime, 0.01)) // a cancelled submission took at least this long
+		s.logTimeSamples++
+		s.logTime += max(s.logTimeWeight, indicator(s.logTimeWeight > 0)/s.logTimeSamples) * (logRatio - s.logTime)
+		s.logSLA += max(0.03, 1/s.logTimeSamples) * (math.Log(float64(p.sla)/max(s.expected(t), 1)) - s.logSLA)
+		if c := w.cohort; !s.onTrial(sub.rel) {
+			// Workers picked for answering soonest are faster than an arm of the pair, whose workers go in turn. The bias
+			// of the baseline allows for that.
+			if sub.arm == baselineArm {
+				s.baselineBias.add(logRatio - c.logTime)
 			}
-			s.unsteady += 0.02 * ((v-k.level)*(v-k.level) - s.unsteady)
-			k.level, k.at = k.level+0.04*(v-k.level), s.now
-		} else if s.now-k.at < 2*Second && 2*len(s.bases) >= len(s.trials) {
-			w.times.add(v - k.level)
+			s.logTimeVariance += 0.02 * ((logRatio-c.logTime)*(logRatio-c.logTime) - s.logTimeVariance)
+			c.logTime, c.updatedAt = c.logTime+0.04*(logRatio-c.logTime), s.now
+		} else if s.now-c.updatedAt < 2*Second && 2*len(s.baselineWorkers) >= len(s.trialWorkers) {
+			// The last few workers of an earlier build are no reference for a fleet whose other workers are replaced.
+			w.relativeTime.add(logRatio - c.logTime)
 		}
 	}
-	// Danger: errors that follow a customer or a key speak against no worker and no build.
-	if s.follows(t, o.Ending, 0.15, 0.1*bit(!s.onTrial(sub.rel))) && o.Ending == ErrorResponse {
+	// Errors that follow a customer or a key are no evidence against a worker or a build.
+	if s.errorsFollowTxn(t, o.Ending, 0.15, 0.1*indicator(!s.onTrial(sub.rel))) && o.Ending == ErrorResponse {
 		return
 	}
 	if !s.onTrial(sub.rel) && sub.rel < s.trial {
-		s.usualErr += 0.005 * (bit(o.Ending == ErrorResponse) - s.usualErr)
+		s.earlierErrorRate += 0.005 * (indicator(o.Ending == ErrorResponse) - s.earlierErrorRate)
 	}
 	if sub.rel == s.trial && (o.Ending == OK || o.Ending == ErrorResponse) {
-		s.own.tried++
-		w.fails += bit(o.Ending == ErrorResponse && s.now-w.failedAt >= ownBurst)
-		w.failedAt = max(w.failedAt, s.now*Nanos(bit(o.Ending == ErrorResponse)))
+		s.ownEvidence.trialResponses++
+		w.errors += indicator(o.Ending == ErrorResponse && s.now-w.lastErrorAt >= burstWindow)
+		w.lastErrorAt = max(w.lastErrorAt, s.now*Nanos(indicator(o.Ending == ErrorResponse)))
 	}
-	// Danger: answers that come spoilt from all alike would hide an erring build, or pass for one.
-	if o.Ending == MalformedResponse && len(s.bases) == 0 {
+	// Malformed responses from all workers alike would hide a failing build, or be taken for one.
+	if o.Ending == MalformedResponse && len(s.baselineWorkers) == 0 {
 		return
 	}
-	if sub.rel == s.trial && len(s.bases) == 0 && sub.tells {
-		s.own.pairs++
+	if sub.rel == s.trial && len(s.baselineWorkers) == 0 && sub.isEvidence {
+		s.ownEvidence.pairs++
 		if o.Ending == ErrorResponse {
-			s.lose(w, &s.own.against, 1-s.usualErr-errorFloor)
+			s.countLoss(w, &s.ownEvidence.losses, 1-s.earlierErrorRate-errorAllowance)
 		} else if o.Ending == OK {
-			s.own.favour += s.usualErr + errorFloor
+			s.ownEvidence.wins += s.earlierErrorRate + errorAllowance
 		}
 		return
 	}
-	if sub.arm == noArm || !sub.tells || sub.rel != s.trial && sub.arm == trialArm || w.silent {
+	if sub.arm == noArm || !sub.isEvidence || sub.rel != s.trial && sub.arm == trialArm || w.silent {
 		return
 	}
-	good := o.Ending == OK && o.Elapsed <= 2*p.sla
-	// Danger: a cold worker is late for being cold; only errors speak against it. A client of little patience
-	// leaves before anything can be called late.
+	success := o.Ending == OK && o.Elapsed <= 2*p.sla
+	// A cold worker is late because it is cold, so only errors count against it. A client with little patience leaves
+	// before a response can be called late.
 	if o.Ending == ConnectFailed || (o.Ending == Cancelled || o.Ending == TimedOut) && o.Elapsed <= 2*p.sla ||
-		!good && o.Ending != ErrorResponse && s.ramp(w) < 1 {
+		!success && o.Ending != ErrorResponse && s.ramp(w) < 1 {
 		return
 	}
-	// Danger: what the trial showed during a trouble would meet what the baseline shows once it is over.
-	show := showing{good, w, s.now}
-	if p.show(sub.arm, show, s.now-2*longAgo) {
-		s.pair(p.waiting[0], show)
-		p.waiting = slices.Delete(p.waiting, 0, 1)
+	// Trial outcomes expire, or those of an incident would be paired with baseline outcomes after its end.
+	record := observation{success, w, s.now}
+	if p.record(sub.arm, record, s.now-2*staleAfter) {
+		s.countPair(p.unpaired[0], record)
+		p.unpaired = slices.Delete(p.unpaired, 0, 1)
 	}
-	s.own.seen += bit(sub.arm == trialArm)
+	s.ownEvidence.trialOutcomes += indicator(sub.arm == trialArm)
 }
 
-// follows tells whether errors follow the txn's customer, or on earlier builds its key, and counts on.
-// Danger: failing workers hit all customers alike; one stands out only beside the one that fares best.
-func (s *Sentry) follows(t *txn, e Ending, customer, key float64) bool {
-	byCustomer, byKey, least := s.blamed(t, e, customer, key)
-	return t.Key != 0 && byKey > followed || byCustomer > followed/2 && byCustomer > 3*least
+// errorsFollowTxn reports whether errors are attributed to the txn's customer or, on earlier builds, to its key, after
+// counting this ending with the given weights. Failing workers affect all customers alike, so a customer has to stand out
+// beside the one with the fewest errors.
+func (s *Sentry) errorsFollowTxn(t *txn, e Ending, customer, key float64) bool {
+	byCustomer, byKey, least := s.trackErrors(t, e, customer, key)
+	return t.Key != 0 && byKey > followShare || byCustomer > followShare/2 && byCustomer > 3*least
 }
 
-// lose counts a discordant pair that w lost.
-func (s *Sentry) lose(w *worker, side *float64, by float64) {
-	// Danger: a worker that dies fails all that it holds at once, which is one piece of evidence, not many.
-	if s.now-w.counted >= ownBurst {
-		w.counted = s.now
-		w.against += by
+// countLoss counts a discordant pair that w lost. A worker that dies fails all that it holds at once, which counts as one
+// piece of evidence.
+func (s *Sentry) countLoss(w *worker, side *float64, by float64) {
+	if s.now-w.lastLossAt >= burstWindow {
+		w.lastLossAt = s.now
+		w.losses += by
 		*side += by
-		s.own.groups[w.group] += by * bit(side == &s.own.against)
+		s.ownEvidence.bucketLosses[w.bucket] += by * indicator(side == &s.ownEvidence.losses)
 	}
 }
 
-// TimerFired takes a timer: the beat, or a txn that has waited for long.
+// TimerFired handles a timer: the tick (token 0), or the time for a second copy of a txn.
 func (s *Sentry) TimerFired(now Nanos, token uint64) {
 	s.now = now
-	s.refill()
+	s.refillBudgets()
 	if token == 0 {
-		s.onBeat()
-	} else if at, held := s.due(token); held && s.slab[at].n == 1 && s.slab[at].subs[0].out && s.hedges >= 1 {
-		s.hedges--
-		s.place(at)
+		s.tick()
+	} else if slot, open := s.timerTxn(token); open && s.slab[slot].n == 1 && s.slab[slot].submissions[0].pending && s.hedgeBudget >= 1 {
+		s.hedgeBudget--
+		s.route(slot)
 	}
 	s.emit()
 }
 
-// onBeat looks after what no event brings up: silent workers, rates, the watch, votes.
-func (s *Sentry) onBeat() {
-	s.beats++
-	s.fresh += (float64(s.taken-s.turned)/(float64(beat)/float64(Second)) - s.fresh) * max(0.03, 1/s.beats)
-	s.carried += (float64(s.done)/(float64(beat)/float64(Second)) - s.carried) * max(0.02, 1/s.beats)
-	s.taken, s.turned, s.done = 0, 0, 0
-	for at := range s.slab {
-		t := &s.slab[at]
+// tick does the periodic work that no event triggers: silent workers, rates, the watch of the worker list, votes.
+func (s *Sentry) tick() {
+	s.ticks++
+	s.demand += (float64(s.tickTaken-s.tickGivenUp)/(float64(tickInterval)/float64(Second)) - s.demand) * max(0.03, 1/s.ticks)
+	s.settledRate += (float64(s.tickSettled)/(float64(tickInterval)/float64(Second)) - s.settledRate) * max(0.02, 1/s.ticks)
+	s.tickTaken, s.tickGivenUp, s.tickSettled = 0, 0, 0
+	for slot := range s.slab {
+		t := &s.slab[slot]
 		for i := 0; i < t.n; i++ {
-			sub := &t.subs[i]
-			w := sub.to
-			quiet := min(quietTimes*s.expected(t)*max(1, w.slow), float64(s.products[t.Product].sla))
-			if sub.out && !w.silent && w.heard < sub.sent && float64(s.now-sub.sent) > quiet {
-				w.silent, w.nextTry = true, s.now+trickle
+			sub := &t.submissions[i]
+			w := sub.target
+			silentAfter := min(silenceTimes*s.expected(t)*max(1, w.slowdown), float64(s.products[t.Product].sla))
+			if sub.pending && !w.silent && w.lastResponseAt < sub.sentAt && float64(s.now-sub.sentAt) > silentAfter {
+				w.silent, w.nextProbeAt = true, s.now+probeInterval
 			}
-			// What a silent worker holds goes out again where a repeat does no harm, whatever keeps it silent.
-			if sub.out && w.silent && t.n == 1 && t.has == unanswered && s.agains >= 1 {
-				if s.place(int32(at)); t.want.to != nil {
-					s.agains--
+			// A submission at a silent worker is sent again where a repeat does no harm, whatever keeps the worker silent.
+			if sub.pending && w.silent && t.n == 1 && t.state == unresolved && s.retryBudget >= 1 {
+				if s.route(int32(slot)); t.want.target != nil {
+					s.retryBudget--
 				}
 			}
 		}
 	}
-	up, bad := 0.0, 0.0
-	s.allowed, s.squeeze = 0, s.squeeze+forget*(1-s.squeeze)
-	for _, w := range s.order {
-		if w.State == Up && s.fit(w) {
-			s.allowed += w.limit * s.squeeze * s.ramp(w)
+	up, faults := 0.0, 0.0
+	s.totalLimit, s.limitFactor = 0, s.limitFactor+healthDecay*(1-s.limitFactor)
+	for _, w := range s.sortedWorkers {
+		if w.State == Up && s.healthy(w) {
+			s.totalLimit += w.limit * s.limitFactor * s.ramp(w)
 		}
-		up, bad = up+bit(w.State == Up), bad+min(w.bad, restAbove)*bit(w.State == Up)
-		// What a worker showed is forgotten slowly, or one bad moment would keep an idle fleet away for good.
-		w.bad *= 1 - forget
-		w.slow += forget * (w.place.slow - w.slow)
+		up, faults = up+indicator(w.State == Up), faults+min(w.faultRate, maxFaultRate)*indicator(w.State == Up)
+		// Health relaxes slowly by itself, or one bad moment would exclude workers that get no more txns for good.
+		w.faultRate *= 1 - healthDecay
+		w.slowdown += healthDecay * (w.cohort.slowdown - w.slowdown)
 	}
-	s.usualBad = s.part * bad / max(1, up) // of many, each sees too little of all
-	s.forgetGone(remembered)
-	// Danger: who meets a worker only now and then knows little of it, and would follow that with all its txns.
-	s.seldom = (1 - s.part) * s.fleet / max(s.carried, 0.1) // seconds between meetings, of many sentries
-	s.blur = min(0.5, 0.02+0.03*s.seldom)
-	s.slowestAtHome()
-	s.arrange()
-	s.look()
-	s.judge()
+	s.usualFaultRate = s.sentryShare * faults / max(1, up) // one of many sentries sees too little of each worker
+	s.dropGone(goneWorkerTTL)
+	// A sentry that rarely meets a worker knows little about it, and without noise would send all txns by that knowledge.
+	s.contactInterval = (1 - s.sentryShare) * s.usualWorkers / max(s.settledRate, 0.1)
+	s.noise = min(0.5, 0.02+0.03*s.contactInterval)
+	s.updateLocalSlowdown()
+	s.partitionWorkers()
+	s.detectFleetSlowdown()
+	s.decideVote()
 }
 
 // ---- The build on trial ----
 
-// ReleaseUpdate takes what the platform tells of the newest build.
+// ReleaseUpdate handles an update from the platform on the newest build.
 func (s *Sentry) ReleaseUpdate(now Nanos, n ReleaseUpdate) {
 	s.now = now
-	// Danger: an answer to a vote may trail the news. It must not put a build that goes back on trial again.
-	if n.Ending != OK || n.VoteReply && s.news.back() && (n.Rel < s.news.Rel || n.Rel == s.news.Rel && !n.back()) {
+	// A reply to a vote may be older than the last pushed update. It must not put a build on trial again that goes back.
+	if n.Ending != OK || n.VoteReply && s.announced.rollingBack() &&
+		(n.Rel < s.announced.Rel || n.Rel == s.announced.Rel && !n.rollingBack()) {
 		return
 	}
-	old := s.capNow()
-	if n.Rel != s.news.Rel || n.Stage != s.news.Stage || n.Phase != s.news.Phase {
-		s.stageLevel, s.roseAt = s.warmLevel, -1
-		if n.Rel != s.news.Rel {
-			s.rises = 0
+	oldCap := s.currentCap()
+	if n.Rel != s.announced.Rel || n.Stage != s.announced.Stage || n.Phase != s.announced.Phase {
+		s.stageLogTime, s.lastSlowStage = s.steadyLogTime, -1
+		if n.Rel != s.announced.Rel {
+			s.slowStages = 0
 		}
-		s.out.Log(fmt.Sprintf("build %d stage %d phase %d cap %.3f", n.Rel, n.Stage, n.Phase, n.Cap))
+		s.sink.Log(fmt.Sprintf("build %d stage %d phase %d cap %.3f", n.Rel, n.Stage, n.Phase, n.Cap))
 	}
-	// Danger: keys that were forgotten for a build that was named by a slip would meet earlier ones again. So
-	// those of the newest two stay, but for a build that goes back.
-	last := s.news.Rel
-	maps.DeleteFunc(s.metTrial, func(_ KeyID, rel RelID) bool {
-		return n.back() && rel == n.Rel || n.Rel > last && rel < last
+	// Keys of the newest two builds stay bound, except for a build that goes back. If an erroneous update for another
+	// build freed them all, they could be sent to earlier builds again once the error is corrected.
+	last := s.announced.Rel
+	maps.DeleteFunc(s.boundKeys, func(_ KeyID, rel RelID) bool {
+		return n.rollingBack() && rel == n.Rel || n.Rel > last && rel < last
 	})
-	s.news, s.newsAt = n, now
-	s.noticeTrial()
-	if s.capNow() < old { // counted anew from a lower cap on
-		s.loweredAt = now
+	s.announced, s.announcedAt = n, now
+	s.updateTrial()
+	if s.currentCap() < oldCap { // exposure is counted from zero under a lower cap
+		s.capLoweredAt = now
 		for i := range s.exposure {
 			s.exposure[i] = min(s.exposure[i], 0)
 		}
 	}
-	s.arrange()
+	s.partitionWorkers()
 	s.emit()
 }
 
-// Tally takes the platform's count. It names no worker, so a machine would pass for the build: not used.
+// Tally ignores the platform's counts: they name no worker, so a bad machine would be taken for a bad build.
 func (s *Sentry) Tally(now Nanos, t Tally) {}
 
-// Contested takes that a client found an answer wrong: the submission erred after all.
+// Contested handles a client's report that a response was wrong: the submission counts as an error.
 func (s *Sentry) Contested(now Nanos, p ProductID, id WorkerID, age Nanos) {
 	s.now = now
 	if w := s.workers[id]; w != nil && w.Start <= now-age {
-		s.own.pairs++
-		s.own.against += bit(w.Rel == s.trial)
-		s.own.groups[w.group] += bit(w.Rel == s.trial)
-		s.own.favour += bit(w.Rel != s.trial)
+		s.ownEvidence.pairs++
+		s.ownEvidence.losses += indicator(w.Rel == s.trial)
+		s.ownEvidence.bucketLosses[w.bucket] += indicator(w.Rel == s.trial)
+		s.ownEvidence.wins += indicator(w.Rel != s.trial)
 	}
 }
 
-// judge sets down the vote that is wanted (steps 5 and 6).
-func (s *Sentry) judge() {
+// decideVote sets the vote that is wanted (steps 5 and 6).
+func (s *Sentry) decideVote() {
 	s.wantVote = VerdictNone
-	if s.trial != s.news.Rel || s.news.back() {
+	if s.trial != s.announced.Rel || s.announced.rollingBack() {
 		return
 	}
-	// Danger: a few bad machines on either side pass for the build. So as many of the worst on each side are
-	// left out as are a fifth of the trial, for a second look.
-	trials, bases, fails := s.losses(evidenceKept)
-	s.own.fade(evidenceKept)
-	out := (len(trials) + 4) / 5
-	if len(trials) == 1 {
-		out = 0
-	}
-	s.own.leanFavour = s.own.favour - worst(bases, min(max(out, 1), len(bases)-1))
-	s.own.leanAgainst = s.own.against - worst(trials, out)
-	// Each sees a part only; where messages are allowed all judge by what all saw, so that the one that has seen
-	// least does not push a build that others see fail. Lost messages cost only their part of the evidence.
-	all := s.pool(peerTrust)
-	// Danger: who has seen one loss at one worker would leave it out, and so would all. Many sentries tell what
-	// they saw by groups of workers, the same for all; the worst group is left out once all is added up.
-	if s.part < 1 {
-		all.leanAgainst, all.leanFavour = all.against-slices.Max(all.groups[:]), all.favour*3/4
-	}
-	gathers := s.gather()
-	// Danger: where each sees little, a failing build is released before any sees pairs enough. Errors are rare,
-	// so a few at two workers are told from the usual share.
-	// Danger: machines that fail by themselves pass for the build where no baseline is left. Few sentries
-	// see enough of each to leave a third of them out.
-	spare := min(len(fails), 1)
-	if s.part == 1 {
-		spare = (len(fails) + 2) / 3
-	}
-	erring := worst(fails, len(fails)) - worst(fails, spare)
-	fluke := poisson(erring, s.own.tried*(s.usualErr+errorFloor))
-	slow := s.slowness(slowFloor * math.Exp(-s.many/4))
-	p, spread := signTest(all.against, all.favour), signTest(all.leanAgainst, all.leanFavour)
-	age := s.news.Age + s.now - s.newsAt
-	next := s.num("release.shares."+strconv.Itoa(s.news.Stage+1), 1)
-	enough := all.seen >= stakes*next*math.Exp(-s.many/2) || age > 2*s.span("release.bake", 0)+4*Second
-	level := backLevel * min(1, math.Sqrt(manyPairs/all.pairs))
-	// Where stages are short, it has to show sooner. Danger: so soon that any jam would pass for the build.
-	drags := max(dragTime/2, min(dragTime, s.span("release.bake", dragTime)))
-	failing := all.pairs >= pairFloor && (p < level && spread < spreadLevel || spread < level)
+	// A few bad machines on either side could be taken for the build. So a second test leaves out the worst workers on
+	// each side, as many as a fifth of the trial.
+	trialLosses, baselineLosses, errors := s.decayLosses(evidenceDecay)
+	s.ownEvidence.decay(evidenceDecay)
+	trimmed := (len(trialLosses) + 4) / 5
+	if len(trialLosses) == 1 {
+		trimmed = 0
+	}
+	s.ownEvidence.trimmedWins = s.ownEvidence.wins - sumLargest(baselineLosses, min(max(trimmed, 1), len(baselineLosses)-1))
+	s.ownEvidence.trimmedLosses = s.ownEvidence.losses - sumLargest(trialLosses, trimmed)
+	// Each sentry sees only part of the traffic. Where messages are allowed, the evidence of several is pooled, so that the
+	// sentry that has seen least does not push a build that others see fail. A lost message costs only its own evidence.
+	all := s.pooledEvidence(peerEvidenceTTL)
+	// A sentry that has seen one loss, at one worker, would leave out that worker, and so would all. Many sentries
+	// therefore report losses by buckets of workers that are the same for all, and the worst bucket is left out of the sum.
+	if s.sentryShare < 1 {
+		all.trimmedLosses, all.trimmedWins = all.losses-slices.Max(all.bucketLosses[:]), all.wins*3/4
+	}
+	isAggregator := s.shareEvidence()
+	// Where each sentry sees little, a failing build would be released before any of them has enough pairs. As errors are
+	// rare, a few at two workers already differ from the usual rate. Machines that fail by themselves are left out, as they
+	// would be taken for the build where no baseline is left: a third of the workers where there are few sentries, and one
+	// worker otherwise, as one of many sentries sees too little of each.
+	excluded := min(len(errors), 1)
+	if s.sentryShare == 1 {
+		excluded = (len(errors) + 2) / 3
+	}
+	errorSum := sumLargest(errors, len(errors)) - sumLargest(errors, excluded)
+	errorP := poissonTail(errorSum, s.ownEvidence.trialResponses*(s.earlierErrorRate+errorAllowance))
+	slowdownZ := s.trialSlowdown(minTrialTimes * math.Exp(-s.logSentryRatio/4))
+	p, trimmedP := signTest(all.losses, all.wins), signTest(all.trimmedLosses, all.trimmedWins)
+	stageAge := s.announced.Age + s.now - s.announcedAt
+	nextShare := s.num("release.shares."+strconv.Itoa(s.announced.Stage+1), 1)
+	enough := all.trialOutcomes >= minOnOutcomes*nextShare*math.Exp(-s.logSentryRatio/2) ||
+		stageAge > 2*s.nanos("release.bake", 0)+4*Second
+	alpha := backAlpha * min(1, math.Sqrt(backAlphaPairs/all.pairs))
+	// Where stages are short, a slowdown of the fleet counts sooner, but not so soon that any congestion is taken for the
+	// build.
+	slowdownTime := max(fleetSlowdownTime/2, min(fleetSlowdownTime, s.nanos("release.bake", fleetSlowdownTime)))
+	failing := all.pairs >= minBackPairs && (p < alpha && trimmedP < trimmedBackAlpha || trimmedP < alpha)
 	switch {
-	case failing, slow > slowBack+slowMany*s.many, fluke < backLevel/few*math.Exp(-s.many),
-		s.now-s.draggedAt >= drags && s.rises > 1, s.now-s.draggedAt >= 3*drags:
+	case failing, slowdownZ > slowBackZ+slowBackZGrowth*s.logSentryRatio,
+		errorP < backAlpha/fewSentries*math.Exp(-s.logSentryRatio),
+		s.now-s.lastNormalAt >= slowdownTime && s.slowStages > 1, s.now-s.lastNormalAt >= 3*slowdownTime:
 		s.wantVote = VerdictBack
-	case s.news.Phase == Released:
-	case s.word("release.votes") == "clocked":
-		if p < holdLevel {
+	case s.announced.Phase == Released:
+	case s.text("release.votes") == "clocked":
+		if p < holdAlpha {
 			s.wantVote = VerdictHold
 		}
-	case gathers && age >= s.span("release.bake", 0) && enough && slow < slowStop &&
-		spread > leadLevel && (p > leadLevel || all.leanAgainst < 2) &&
-		(s.drag < dragged*3/4 || !s.lacking && s.rises == 0):
+	case isAggregator && stageAge >= s.nanos("release.bake", 0) && enough && slowdownZ < maxOnZ &&
+		trimmedP > onBlockAlpha && (p > onBlockAlpha || all.trimmedLosses < 2) &&
+		(s.fleetSlowdown < fleetSlowdownThreshold*3/4 || !s.capacityMissing && s.slowStages == 0):
 		s.wantVote = VerdictOn
 	}
-	if mode := int(s.trial)*8 + int(s.wantVote); s.wantVote != VerdictNone && mode != s.mode {
-		s.mode = mode
-		s.out.Log(fmt.Sprintf("vote %d on build %d: %.0f pairs, %.1f against, %.1f for, p %.4f, spread %.4f; "+
+	if voteKey := int(s.trial)*8 + int(s.wantVote); s.wantVote != VerdictNone && voteKey != s.voteKey {
+		s.voteKey = voteKey
+		s.sink.Log(fmt.Sprintf("vote %d on build %d: %.0f pairs, %.1f against, %.1f for, p %.4f, spread %.4f; "+
 			"slower by %.1f, all by %.2f",
-			s.wantVote, s.trial, all.pairs, all.against, all.favour, p, spread, slow, s.drag))
+			s.wantVote, s.trial, all.pairs, all.losses, all.wins, p, trimmedP, slowdownZ, s.fleetSlowdown))
 	}
-	// Chance voting: all sentries together keep to the calls that the platform takes.
-	if s.now >= s.voteAt {
-		s.voteAt = s.now - s.now%Second + Second + Nanos(s.rng.Int63n(int64(Second)))
+	// Votes are sent at random, so that all sentries together stay within the rate of calls that the platform accepts.
+	if s.now >= s.nextVoteAt {
+		s.nextVoteAt = s.now - s.now%Second + Second + Nanos(s.rng.Int63n(int64(Second)))
 		s.mayVote = s.rng.Float64() < s.num("release.votes-per-second", 1)/max(1, s.num("sentries", 1))
 	}
 }
 
-// gather has what was seen told, once a second, to a few sentries, others for each build, and says whether
-// this one is to judge 'on'. Danger: telling all grows with the square of the sentries, and the one that was
-// told least would push a build that the others see fail.
-func (s *Sentry) gather() bool {
-	n := len(s.peers)
-	few := min(n, gatherers)
-	self := !s.flag("allow.messages") || few == n || s.word("release.votes") != "single"
-	s.tells = s.tells[:0]
-	for i := 0; i < few && s.flag("allow.messages"); i++ {
-		if at := (int(s.trial) + i*n/few) % n; at == int(s.num("index", -1)) {
-			self = true
-		} else if s.own.pairs >= 1 && s.now/Second != (s.now-beat)/Second {
-			s.tells = append(s.tells, at)
+// shareEvidence schedules, once a second, the report of this sentry's evidence to the aggregators of the build, and reports
+// whether this sentry may vote 'on'. Reports to all sentries would grow with the square of their number, and the sentry
+// that has received least would push a build that the others see fail.
+func (s *Sentry) shareEvidence() bool {
+	n := len(s.peerEvidence)
+	targets := min(n, aggregatorCount)
+	isAggregator := !s.flag("allow.messages") || targets == n || s.text("release.votes") != "single"
+	s.evidenceTargets = s.evidenceTargets[:0]
+	for i := 0; i < targets && s.flag("allow.messages"); i++ {
+		if peer := (int(s.trial) + i*n/targets) % n; peer == int(s.num("index", -1)) {
+			isAggregator = true
+		} else if s.ownEvidence.pairs >= 1 && s.now/Second != (s.now-tickInterval)/Second {
+			s.evidenceTargets = append(s.evidenceTargets, peer)
 		}
 	}
-	return self
+	return isAggregator
 }
 
-// slowness tells by how many standard errors the trial's times are over slowerBy times those of the earlier
-// builds, on a log scale, without its slowest quarter of workers: a lone one says nothing, as one slow
-// machine is likelier than that and the next stage brings others.
-func (s *Sentry) slowness(floor float64) float64 {
-	s.timed()
-	all := pooled(s.side, (len(s.side)+3)/4)
-	if all.n < floor || all.parts == 0 {
+// trialSlowdown returns by how many standard errors the trial's log response times exceed those of the earlier builds by
+// more than toleratedSlowdown, or 0 with too few samples. The slowest quarter of the workers is left out, and so is a
+// single worker: it is more likely a slow machine, and the next stage adds others.
+func (s *Sentry) trialSlowdown(minSamples float64) float64 {
+	s.collectTimed()
+	all := poolTimes(s.timedWorkers, (len(s.timedWorkers)+3)/4)
+	if all.n < minSamples || all.workers == 0 {
 		return 0
 	}
-	return all.over(math.Log(slowerBy)+s.skew.sum/(s.skew.n+slowFloor), s.unsteady, slowFloor, unlike)
+	return all.zScore(math.Log(toleratedSlowdown)+s.baselineBias.sum/(s.baselineBias.n+minTrialTimes), s.logTimeVariance,
+		minTrialTimes, machineDeviation)
 }
 
-// look sees to the level of all: a build may slow every worker, so that no pair shows it. Then earlier builds
-// take longer than before the trial, and longer with each stage, though not much more is asked of them. It
-// should also catch a build that starves what all share; a fleet that fails bit by bit could pass for it.
-func (s *Sentry) look() {
-	// Danger: what slows all shows in full only when a build has all the traffic, and is released by then.
-	onTrial := s.news.Phase == OnTrial && len(s.trials) > 0
+// detectFleetSlowdown watches the response times of all builds. A build may slow every worker, so that pairs show no
+// difference; then earlier builds take longer than before the trial, and longer with each stage, though demand has hardly
+// grown. This also detects a build that exhausts a shared resource, but a fleet that fails gradually could be taken for it.
+func (s *Sentry) detectFleetSlowdown() {
+	// Such a slowdown shows in full only once the build has all the traffic, and by then it is released; so the build is
+	// watched for some time after its release.
+	onTrial := s.announced.Phase == OnTrial && len(s.trialWorkers) > 0
 	if onTrial {
-		s.watched = s.trial
-	}
-	fresh := s.news.Phase == Released && s.watched == s.trial && s.news.Age+s.now-s.newsAt < afterwards
-	s.watching = onTrial || fresh
-	// Danger: a level that starts at nothing is long untrue where txns are few, and hides any drag till then.
-	if !s.watching || s.levels < firstLevels {
-		s.calms++
-		s.calmLevel += max(0.01, 1/s.calms) * (s.level - s.calmLevel)
-		s.calmFresh += max(0.01, 1/s.calms) * (s.fresh - s.calmFresh)
-	}
-	s.drag = s.level - s.calmLevel
-	// Danger: workers that are gone, ail or are cold take capacity away, which slows all too; so does a surge.
-	if s.lacking || s.calmFresh > 0 && s.fresh > surge*s.calmFresh {
-		s.draggedAt = s.now
+		s.lastOnTrial = s.trial
+	}
+	justReleased := s.announced.Phase == Released && s.lastOnTrial == s.trial &&
+		s.announced.Age+s.now-s.announcedAt < afterReleaseTime
+	s.watching = onTrial || justReleased
+	if !s.watching || s.logTimeSamples < minTimeSamples {
+		s.preTrialTicks++
+		s.preTrialLogTime += max(0.01, 1/s.preTrialTicks) * (s.logTime - s.preTrialLogTime)
+		s.preTrialDemand += max(0.01, 1/s.preTrialTicks) * (s.demand - s.preTrialDemand)
+	}
+	s.fleetSlowdown = s.logTime - s.preTrialLogTime
+	// Gone, unhealthy or cold workers reduce capacity, which slows the fleet without any fault of the build; so does a
+	// surge of demand.
+	if s.capacityMissing || s.preTrialDemand > 0 && s.demand > demandSurgeRatio*s.preTrialDemand {
+		s.lastNormalAt = s.now
 		return
 	}
-	if s.warmLevel = s.level; s.news.Stage > 0 && s.level > s.stageLevel+rise && s.news.Stage != s.roseAt {
-		s.rises, s.roseAt = s.rises+1, s.news.Stage
+	if s.steadyLogTime = s.logTime; s.announced.Stage > 0 && s.logTime > s.stageLogTime+stageRiseThreshold &&
+		s.announced.Stage != s.lastSlowStage {
+		s.slowStages, s.lastSlowStage = s.slowStages+1, s.announced.Stage
 	}
-	// Danger: what would take longer than its SLA time is declined, so where that is short no level ever gets
-	// to a bar that rises with the sentries.
-	bar := max(dragged, min(dragged*(1+0.4*s.many), shown*(s.reach-s.calmLevel)))
-	if s.drag < bar || s.rises < 1 || !s.watching {
-		s.draggedAt = s.now
+	// The threshold rises with the number of sentries. Txns that would take longer than their SLA time are declined, so
+	// where that is short the level would never get to the threshold without a bound.
+	threshold := max(fleetSlowdownThreshold,
+		min(fleetSlowdownThreshold*(1+0.4*s.logSentryRatio), reachableShare*(s.logSLA-s.preTrialLogTime)))
+	if s.fleetSlowdown < threshold || s.slowStages < 1 || !s.watching {
+		s.lastNormalAt = s.now
 	}
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -139,7 +139,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(2, 8, c.cap, c.changes...)
 			if !c.news {
-				r.Sentry.news = ReleaseUpdate{Rel: 1, Phase: Released, Cap: 1}
+				r.Sentry.announced = ReleaseUpdate{Rel: 1, Phase: Released, Cap: 1}
 			}
 			r.run(400, c.product, noKey, fine)
 			got := 0
@@ -200,11 +200,11 @@
 		})
 		want(t, "keys bound", len(met) > 5, true)
 		r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Phase: GoingBack})
-		want(t, "keys bound after going back", len(r.metTrial), 0)
+		want(t, "keys bound after going back", len(r.boundKeys), 0)
 	})
 	t.Run("bound key without room is declined with a time", func(t *testing.T) {
 		r := newRig(8, 1, 0.1, "release.one-way", true, "release.free", 1.0)
-		r.metTrial[5] = 2
+		r.boundKeys[5] = 2
 		for i := 0; i < 20; i++ {
 			r.take(inquiry, 5)
 		}
@@ -334,13 +334,13 @@
 			r.wait(20 * Millisecond)
 		}
 		want(t, "back", r.count("vote 3"), 0)
-		want(t, "workers taken for ill", slices.ContainsFunc(r.order, func(w *worker) bool { return !r.fit(w) }), false)
+		want(t, "workers taken for ill", slices.ContainsFunc(r.sortedWorkers, func(w *worker) bool { return !r.healthy(w) }), false)
 	})
 	t.Run("missing workers", func(t *testing.T) {
 		r := newRig(8, 2, 1)
-		want(t, "lacking at first", r.lacking, false)
+		want(t, "lacking at first", r.capacityMissing, false)
 		r.UpdateWorkers(r.clock, Changes, []Worker{{ID: "old00", Rel: 1, State: Gone}, {ID: "old01", Rel: 1, State: Gone}})
-		want(t, "lacking", r.lacking, true)
+		want(t, "lacking", r.capacityMissing, true)
 	})
 }
 
@@ -357,16 +357,16 @@
 	t.Run("one loss at each of many", func(t *testing.T) { // Danger: each would leave out the one worker that lost
 		r := newRig(6, 4, 1, "sentries", 100.0, "allow.messages", true, "index", 2.0)
 		for i := 3; i < 43; i++ {
-			loss := evidence{pairs: 3, against: 1}
-			loss.groups[i%4] = 1
-			r.PeerMessage(r.clock, i, loss.pack(2))
+			loss := evidence{pairs: 3, losses: 1}
+			loss.bucketLosses[i%4] = 1
+			r.PeerMessage(r.clock, i, loss.encode(2))
 		}
 		r.wait(2 * Second)
 		want(t, "back", r.count("vote 3 2 0") > 0, true)
 		r.run(100, inquiry, noKey, fine)
 		slices.Sort(r.lines)
 		tells := slices.DeleteFunc(slices.Compact(r.lines), func(l string) bool { return !strings.HasPrefix(l, "tell") })
-		want(t, "others told", len(tells), gatherers-1)
+		want(t, "others told", len(tells), aggregatorCount-1)
 	})
 }
 
@@ -509,7 +509,7 @@
 	}); n > 0 {
 		t.Errorf("%v allocations a txn", n)
 	}
-	want(t, "txns left in hand", len(r.byID), 0)
+	want(t, "txns left in hand", len(r.txnSlots), 0)
 }
 
 func TestSameEventsSameActions(t *testing.T) {
@@ -548,10 +548,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(4, 2, 0.5, "release.one-way", true)
 			r.Sentry.ReleaseUpdate(r.clock, c.held)
-			held := r.news
+			held := r.announced
 			r.Sentry.ReleaseUpdate(r.clock, c.next)
-			want(t, "taken", r.news != held, c.taken)
-			if !c.taken && held.back() {
+			want(t, "taken", r.announced != held, c.taken)
+			if !c.taken && held.rollingBack() {
 				clear(r.sent)
 				r.run(200, inquiry, noKey, fine)
 				want(t, "sent to the build that goes back", r.sent["trial00"]+r.sent["trial01"], 0)
@@ -589,10 +589,10 @@
 			for i, until := range sent {
 				many, all := 0, 0
 				for _, at := range sent[:i+1] {
-					many += int(bit(at > until-4*Second))
+					many += int(indicator(at > until-4*Second))
 				}
 				for _, at := range took {
-					all += int(bit(at > until-4*Second && at <= until))
+					all += int(indicator(at > until-4*Second && at <= until))
 				}
 				if allowed := c.free + c.cap*float64(all); float64(many) > allowed+1e-9 {
 					t.Fatalf("%d submissions in the 4 s until %v; %.1f allowed by %d txns", many, until, allowed, all)
@@ -639,13 +639,13 @@
 			w := r.workers["old00"]
 			want(t, "another", w != old, true)
 			r.Outcome(r.clock, Outcome{Txn: id, Ending: ErrorResponse, Elapsed: Millisecond, Load: &Load{Queue: 50}})
-			pairs := r.own.pairs
+			pairs := r.ownEvidence.pairs
 			r.Contested(r.clock, inquiry, "old00", 90*Second)
-			want(t, "held", w.open, 0)
-			want(t, "faults", w.bad, 0.0)
+			want(t, "held", w.inFlight, 0)
+			want(t, "faults", w.faultRate, 0.0)
 			want(t, "silent", w.silent, false)
 			if w.Start > 0 {
-				want(t, "complaints", r.own.pairs, pairs)
+				want(t, "complaints", r.ownEvidence.pairs, pairs)
 			}
 		})
 	}
@@ -656,12 +656,12 @@
 	for _, p := range []ProductID{inquiry, hold, pay} {
 		r := newRig(2, 0, 0)
 		r.run(50, p, noKey, fine)
-		for _, w := range r.order {
-			w.silent, w.nextTry, w.heard = true, r.clock+trickle, r.clock
+		for _, w := range r.sortedWorkers {
+			w.silent, w.nextProbeAt, w.lastResponseAt = true, r.clock+probeInterval, r.clock
 		}
 		clear(r.sent)
 		r.run(1500, p, noKey, fine)
-		for _, w := range r.order {
+		for _, w := range r.sortedWorkers {
 			want(t, "silent", w.silent, false)
 			want(t, "met", r.sent[w.ID] > 100, true)
 		}
@@ -675,10 +675,10 @@
 		r.run(50, inquiry, noKey, fine)
 		for i := 0; i < many; i++ {
 			w := r.workers[WorkerID(fmt.Sprintf("trial%02d", i))]
-			w.silent, w.nextTry, w.heard = true, r.clock+trickle, r.clock
+			w.silent, w.nextProbeAt, w.lastResponseAt = true, r.clock+probeInterval, r.clock
 		}
 		r.run(400, inquiry, noKey, fine)
-		for _, w := range r.trials {
+		for _, w := range r.trialWorkers {
 			want(t, "silent", w.silent, false)
 		}
 	}
@@ -688,7 +688,7 @@
 func TestSlowWorkerIsMetAgain(t *testing.T) {
 	r := newRig(6, 0, 0)
 	r.run(50, inquiry, noKey, fine)
-	r.workers["old03"].slow = 20 // the most that it can be
+	r.workers["old03"].slowdown = 20 // the most that it can be
 	clear(r.sent)
 	for i := 0; i < 3000 && r.sent["old03"] == 0; i++ { // one at a time
 		r.run(1, inquiry, noKey, fine)
@@ -701,9 +701,9 @@
 	r := newRig(4, 4, 1)
 	r.run(100, inquiry, noKey, fine)
 	p := &r.products[inquiry]
-	p.waiting = p.waiting[:0]
+	p.unpaired = p.unpaired[:0]
 	for i := 0; i < 40; i++ { // the baseline showed nothing meanwhile
-		p.waiting = append(p.waiting, showing{false, r.trials[i%4], r.clock})
+		p.unpaired = append(p.unpaired, observation{false, r.trialWorkers[i%4], r.clock})
 	}
 	r.wait(25 * Second)
 	r.run(150, inquiry, noKey, fine)
@@ -718,21 +718,21 @@
 		r.run(20, inquiry, noKey, fine)
 		r.UpdateWorkers(r.clock, Changes, []Worker{{ID: id, Rel: 1, State: Gone}})
 	}
-	if len(r.order) > 160 || len(r.order) != len(r.workers) {
-		t.Errorf("%d workers kept in order, %d by id, of 2 that run", len(r.order), len(r.workers))
+	if len(r.sortedWorkers) > 160 || len(r.sortedWorkers) != len(r.workers) {
+		t.Errorf("%d workers kept in order, %d by id, of 2 that run", len(r.sortedWorkers), len(r.workers))
 	}
 	r.wait(61 * Second)
-	want(t, "kept", len(r.order), 2)
+	want(t, "kept", len(r.sortedWorkers), 2)
 	t.Run("one that holds a txn stays", func(t *testing.T) {
 		r := newRig(1, 0, 0)
 		id := r.take(pay, 0)
 		r.UpdateWorkers(r.clock, Whole, nil)
 		r.wait(90 * Second)
-		want(t, "kept", len(r.order), 1)
+		want(t, "kept", len(r.sortedWorkers), 1)
 		r.end(id, 0, OK, 90*Second)
 		r.wait(90 * Second)
-		want(t, "kept after", len(r.order), 0)
-		want(t, "held", r.held, 0)
+		want(t, "kept after", len(r.sortedWorkers), 0)
+		want(t, "held", r.open, 0)
 	})
 }
 
@@ -811,14 +811,14 @@
 func TestKeysOfABuildThatIsNotNamedYet(t *testing.T) {
 	for _, phase := range []Phase{Withdrawn, GoingBack, Released} {
 		r := newRig(6, 2, 0.5, "release.one-way", true)
-		for _, w := range r.order {
+		for _, w := range r.sortedWorkers {
 			line := w.Worker
 			if line.Rel == 2 {
 				line.Rel = 3
 			}
 			r.UpdateWorkers(r.clock, Changes, []Worker{line})
 		}
-		r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Phase: phase, Cap: bit(phase == Released)})
+		r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Phase: phase, Cap: indicator(phase == Released)})
 		met := map[KeyID]bool{}
 		ending := func(w string, i int) (Ending, Nanos) {
 			key := KeyID(i%50 + 1)
@@ -850,7 +850,7 @@
 				met[keys(i)] = true
 				return c.ending, 50 * Millisecond
 			}
-			below += int(bit(met[keys(i)]))
+			below += int(indicator(met[keys(i)]))
 			return OK, 50 * Millisecond
 		})
 		want(t, fmt.Sprintf("ending %d: keys kept from the earlier build", c.ending), below == 0, c.bound)
@@ -875,8 +875,8 @@
 				}
 				return OK, 50 * Millisecond
 			})
-			for _, w := range r.order {
-				resting += int(bit(!r.fit(w)))
+			for _, w := range r.sortedWorkers {
+				resting += int(indicator(!r.healthy(w)))
 			}
 		}
 		if resting > 80 {
@@ -908,12 +908,12 @@
 	r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Cap: 1})
 	r.run(50, inquiry, noKey, fine)
 	r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Cap: 1, Stage: 2, Phase: Released})
-	before := r.products[inquiry].typical
+	before := r.products[inquiry].typicalTime
 	slow := func(string, int) (Ending, Nanos) { return OK, 150 * Millisecond }
 	r.run(200, inquiry, noKey, slow)
-	want(t, "typical time right after", r.products[inquiry].typical, before)
+	want(t, "typical time right after", r.products[inquiry].typicalTime, before)
 	r.run(1000, inquiry, noKey, slow)
-	want(t, "learns again", r.products[inquiry].typical > before, true)
+	want(t, "learns again", r.products[inquiry].typicalTime > before, true)
 }
 
 // Where stages bake for less than 3 s, a drag of all counts after as long.
--- a/logic/draw_test.go
+++ b/logic/sampler_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-func drawOf(weights []float64) (*draw, []*worker) {
+func drawOf(weights []float64) (*weightedSampler, []*worker) {
 	var ws []*worker
 	for i := range weights {
 		ws = append(ws, &worker{Worker: Worker{ID: WorkerID(fmt.Sprint(i))}})
 	}
-	d := &draw{}
-	d.fill(ws, 0, func(w *worker) float64 { return weights[w.at] })
+	d := &weightedSampler{}
+	d.fill(ws, 0, func(w *worker) float64 { return weights[w.samplerIndex] })
 	return d, ws
 }
 
@@ -33,7 +33,7 @@
 					}
 				}
 				for i, w := range ws {
-					d.weigh(w, weights[i])
+					d.updateWeight(w, weights[i])
 				}
 			}
 			sum, many, got := 0.0, 20000, make([]float64, len(weights))
@@ -41,7 +41,7 @@
 				sum += w
 			}
 			for k := 0; k < many; k++ {
-				got[d.pick(rng.Float64()).at]++
+				got[d.pick(rng.Float64()).samplerIndex]++
 			}
 			for i, w := range weights {
 				want := w / sum * float64(many)
@@ -50,8 +50,8 @@
 				}
 			}
 			for _, part := range []float64{0, math.Nextafter(1, 0)} { // the ends
-				if w := d.pick(part); weights[w.at] == 0 {
-					t.Errorf("%v: %g gave worker %d, which has no weight", weights, part, w.at)
+				if w := d.pick(part); weights[w.samplerIndex] == 0 {
+					t.Errorf("%v: %g gave worker %d, which has no weight", weights, part, w.samplerIndex)
 				}
 			}
 		}
@@ -59,15 +59,15 @@
 	for k := 0; k < 2000; k++ { // sums that are rounded, with nothing behind the last
 		weights := []float64{rng.Float64(), rng.Float64(), rng.Float64(), 0, 0, 0}
 		d, _ := drawOf(weights)
-		if w := d.pick(math.Nextafter(1, 0)); weights[w.at] == 0 {
-			t.Fatalf("%v: the end gave worker %d, which has no weight", weights, w.at)
+		if w := d.pick(math.Nextafter(1, 0)); weights[w.samplerIndex] == 0 {
+			t.Fatalf("%v: the end gave worker %d, which has no weight", weights, w.samplerIndex)
 		}
 	}
 	d, ws := drawOf([]float64{1, 2})
-	d.weigh(ws[0], 0)
-	d.weigh(ws[1], 0)
+	d.updateWeight(ws[0], 0)
+	d.updateWeight(ws[1], 0)
 	if w := d.pick(0.5); w != nil {
-		t.Errorf("picked worker %d, wanted none", w.at)
+		t.Errorf("picked worker %d, wanted none", w.samplerIndex)
 	}
 }
 
@@ -91,7 +91,7 @@
 				}
 			}
 			raced[best]++
-			drawn[d.pick(rng.Float64()).at]++
+			drawn[d.pick(rng.Float64()).samplerIndex]++
 		}
 		for i := range costs {
 			if math.Abs(raced[i]-drawn[i]) > 5*math.Sqrt(raced[i]+drawn[i])+1 {
@@ -103,7 +103,7 @@
 
 // Danger: a weight that is not kept up to date sends txns where no room is, or hides a worker until the next beat.
 func TestWeightsAreKeptUpToDate(t *testing.T) {
-	for _, c := range []struct{ workers, trial, hand int }{{200, 0, 400}, {200, 80, 400}, {fewWorkers, 0, 100}, {90, 0, 2000}} {
+	for _, c := range []struct{ workers, trial, hand int }{{200, 0, 400}, {200, 80, 400}, {maxScannedWorkers, 0, 100}, {90, 0, 2000}} {
 		x := newCrowd(c.workers, c.trial)
 		drawn := 0
 		for i := 0; i < 6000; i++ {
@@ -111,22 +111,22 @@
 			if i%50 > 0 {
 				continue
 			}
-			for _, d := range []*draw{&x.s.ofTrials, &x.s.ofBases, &x.s.ofRest} {
-				if d.drawn() != (len(d.workers) > fewWorkers) {
-					t.Fatalf("%+v: %d workers, drawn %t", c, len(d.workers), d.drawn())
+			for _, d := range []*weightedSampler{&x.s.trialSampler, &x.s.baselineSampler, &x.s.otherSampler} {
+				if d.weighted() != (len(d.workers) > maxScannedWorkers) {
+					t.Fatalf("%+v: %d workers, drawn %t", c, len(d.workers), d.weighted())
 				}
 				for k, w := range d.workers {
-					if w.in != d || w.at != k {
+					if w.sampler != d || w.samplerIndex != k {
 						t.Fatalf("%+v: worker %s is not where it is held", c, w.ID)
 					}
-					if d.drawn() && d.sums[d.half+k] != x.s.weight(w) {
-						t.Fatalf("%+v, step %d: worker %s weighs %g, wanted %g", c, i, w.ID, d.sums[d.half+k], x.s.weight(w))
+					if d.weighted() && d.sums[d.leaves+k] != x.s.weight(w) {
+						t.Fatalf("%+v, step %d: worker %s weighs %g, wanted %g", c, i, w.ID, d.sums[d.leaves+k], x.s.weight(w))
 					}
-					drawn += int(bit(d.drawn()))
+					drawn += int(indicator(d.weighted()))
 				}
 			}
 		}
-		if (drawn > 0) != (c.workers > fewWorkers) {
+		if (drawn > 0) != (c.workers > maxScannedWorkers) {
 			t.Errorf("%+v: %d weights were looked at", c, drawn)
 		}
 		if x.declined > 0 && c.hand < 2000 {
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -75,7 +75,7 @@
 		c.head = 0
 	}
 	if c.now >= c.beatAt {
-		c.beatAt = c.now + beat
+		c.beatAt = c.now + tickInterval
 		c.s.TimerFired(c.now, 0)
 	}
 }
--- a/logic/types.go
+++ b/logic/types.go
@@ -1,11 +1,11 @@
-// Package logic is the decision module of a sentry. This file holds what passes between the module and
-// whatever hosts it: ids, events and the sink for actions. All decisions are in logic.go.
+// Package logic is the decision module of a sentry. This file declares what passes between the module and its host: ids,
+// events and the sink for actions. All decisions are made in logic.go.
 package logic
 
-// Nanos is a clock time or a span of time, in whole nanoseconds.
+// Nanos is a time of the host's clock, or a duration, in nanoseconds.
 type Nanos int64
 
-// Spans that read well in code.
+// Units of a duration.
 const (
 	Millisecond Nanos = 1_000_000
 	Second      Nanos = 1_000_000_000
@@ -15,25 +15,25 @@
 type (
 	TxnID      uint64
 	WorkerID   string
-	KeyID      uint64 // what a txn is about; 0 for none
+	KeyID      uint64 // identifies what a txn is about; 0 for none
 	ProductID  int
-	CustomerID int // 0 for none, else the place in the settings' list plus one
+	CustomerID int // index in the settings' list plus one; 0 for none
 	ZoneID     int
-	KindID     int
-	RelID      int // a build; a later one has a higher number
+	KindID     int // of a machine
+	RelID      int // number of a build; a later build has a higher one
 )
 
-// State is a worker's standing in the list.
+// State is a worker's state in the worker list.
 type State int
 
-// Standings of a worker.
+// States of a worker.
 const (
 	Up State = iota
 	Draining
 	Gone
 )
 
-// Worker is one line of the list of workers.
+// Worker is one entry of the worker list.
 type Worker struct {
 	ID     WorkerID
 	Zone   ZoneID
@@ -42,15 +42,15 @@
 	State  State
 	Weight float64
 	Rel    RelID
-	Start  Nanos // of its latest start; 0: long past
+	Start  Nanos // when it last started; 0 if long ago
 }
 
-// ListMode says how a list event relates to the list held so far.
+// ListMode is how an update of the worker list relates to the list held so far.
 type ListMode int
 
-// Modes of a list event.
+// Modes of a list update.
 const (
-	Changes         ListMode = iota // altered lines only
+	Changes         ListMode = iota // changed entries only
 	Whole                           // the complete list
 	Restored                        // the complete list as held before a restart
 	ListUnavailable                 // a call for the list failed
@@ -62,8 +62,8 @@
 	Product  ProductID
 	Customer CustomerID
 	Key      KeyID
-	Cost     Nanos // expected work, 0 where unknown
-	Repeat   bool  // the client marked it as its own repeat
+	Cost     Nanos // expected work, 0 if unknown
+	Repeat   bool  // the client marked it as a repeat of its own
 	Expiry   Nanos // clock time at which the client gives up
 }
 
@@ -75,19 +75,19 @@
 	OK Ending = iota
 	Cancelled
 	TimedOut
-	Rejected          // turned away unseen
-	Skipped           // not sent, or a vote that no longer applies
+	Rejected          // the worker rejected it without running it
+	Skipped           // it was not sent; a vote: it no longer applied
 	Disconnected      // the connection broke
-	ErrorResponse     // answered with an error
-	ConnectFailed     // no connection could be made
-	MalformedResponse // answered with what cannot be read: it has run
+	ErrorResponse     // the response was an error
+	ConnectFailed     // no connection could be established
+	MalformedResponse // the response could not be parsed: the submission has run
 )
 
-// Load is a worker's load report; a value that it lacks is negative.
+// Load is a worker's load report. A negative value was not reported.
 type Load struct {
-	Util  float64 // share of its cores busy
+	Util  float64 // share of its cores that are busy
 	Queue float64 // txns waiting
-	Busy  float64 // txns in hand
+	Busy  float64 // txns being processed
 }
 
 // Outcome is the end of one submission.
@@ -97,14 +97,14 @@
 	Ending        Ending
 	Elapsed       Nanos
 	Final         bool // the txn has its final answer
-	MaybeAnswered bool // where it did not end well: an answer may have been given that did not arrive
+	MaybeAnswered bool // if it did not end well: the worker may have sent a response that was not received
 	Load          *Load
 }
 
-// Phase is where a build stands.
+// Phase is the phase of a build's release.
 type Phase int
 
-// Phases of a build.
+// Phases of a release.
 const (
 	OnTrial Phase = iota
 	GoingBack
@@ -112,14 +112,14 @@
 	Withdrawn
 )
 
-// ReleaseUpdate is what the platform tells of the newest build.
+// ReleaseUpdate is the state of the newest build's release, as announced by the platform.
 type ReleaseUpdate struct {
 	Stage     int
-	VoteReply bool // in answer to a vote
+	VoteReply bool // received in reply to a vote
 	Rel       RelID
 	Cap       float64
 	Phase     Phase
-	Age       Nanos // of this state
+	Age       Nanos // time since it entered this state
 	Ending    Ending
 }
 
@@ -142,15 +142,15 @@
 	VerdictBack
 )
 
-// Sink takes the actions of one sentry, in order, at the time of the event being handled.
+// Sink performs the actions of one sentry, in order, at the time of the event being handled.
 type Sink interface {
-	Submit(t TxnID, w WorkerID, timeout Nanos) // 0: until the client gives up
+	Submit(t TxnID, w WorkerID, timeout Nanos) // timeout 0: until the client gives up
 	Cancel(t TxnID, number int)
-	Decline(t TxnID, retryAfter Nanos) // 0: no guidance
+	Decline(t TxnID, retryAfter Nanos) // retryAfter 0: no guidance
 	Void(t TxnID)
 	SetTimer(after Nanos, token uint64)
 	Vote(v Verdict, rel RelID, stage int)
-	WatchWorkers()                  // changes of the list from now on
-	SendToPeer(to int, data []byte) // to the sentry of that number, at most 256 bytes
+	WatchWorkers()                  // request changes of the worker list from now on
+	SendToPeer(to int, data []byte) // to the sentry with that number, at most 256 bytes
 	Log(text string)
 }
--- a/logic/version.go
+++ b/logic/version.go
@@ -7,10 +7,10 @@
 )
 
 //go:embed logic.go
-var text []byte
+var source []byte
 
-// Version is a digest of the decisions' text: records of one version replay under the same one.
+// Version returns a digest of the source of logic.go. A trace can only be replayed by the version that recorded it.
 func Version() string {
-	sum := sha256.Sum256(text)
+	sum := sha256.Sum256(source)
 	return hex.EncodeToString(sum[:8])
 }
