--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,4 @@
-// Command wirehost hosts many isolated sentries on one pair of pipes.
+// Command wirehost serves many isolated sentries over standard input and output.
 package main
 
 import (
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire speaks the line-by-line JSON protocol of the bench and hosts the sentries behind it. It
-// translates words and units and decides nothing.
+// Package wire speaks the line-based JSON protocol of the bench and hosts the sentries behind it. It converts names and
+// units, and makes no decisions.
 package wire
 
 import (
@@ -16,7 +16,7 @@
 	"dunegrade/logic"
 )
 
-// instance is one hosted sentry with its own tables of names.
+// instance is a hosted sentry with its own tables of names.
 type instance struct {
 	sentry *logic.Sentry
 	number int
@@ -25,18 +25,20 @@
 	*InitSettings
 }
 
+// host is the state of one connection with the bench.
 type host struct {
 	now       logic.Nanos
 	out       bytes.Buffer
-	complain  io.Writer
+	errOut    io.Writer
 	pages     map[int][]json.RawMessage
-	ids       map[string]logic.WorkerID
+	workerIDs map[string]logic.WorkerID
 	instances map[int]*instance
 }
 
-// Serve reads batches from in and answers each on out until in ends; complaints go to errs.
+// Serve reads batches of messages from in and writes the actions for each to out, until in ends. Messages that cannot be
+// decoded are reported on errs.
 func Serve(in io.Reader, out, errs io.Writer) error {
-	h := &host{complain: errs, pages: map[int][]json.RawMessage{}, ids: map[string]logic.WorkerID{},
+	h := &host{errOut: errs, pages: map[int][]json.RawMessage{}, workerIDs: map[string]logic.WorkerID{},
 		instances: map[int]*instance{}}
 	r := bufio.NewReaderSize(in, 1<<20)
 	for {
@@ -61,37 +63,38 @@
 	}
 }
 
-// row is a message's values; its readers record the first fault.
-type row struct {
-	v     []json.RawMessage
-	fault error
+// message is the values of a message. Its methods record the first error in fault.
+type message struct {
+	values []json.RawMessage
+	fault  error
 }
 
-func (r *row) get(i int, what string, into any, must bool) {
+// get decodes value i into a variable. A value that is missing or null is an error if it is required.
+func (r *message) get(i int, field string, into any, required bool) {
 	if r.fault != nil {
 		return
 	}
-	if i >= len(r.v) || string(r.v[i]) == "null" {
-		if must {
-			r.fault = fmt.Errorf("%s is missing", what)
+	if i >= len(r.values) || string(r.values[i]) == "null" {
+		if required {
+			r.fault = fmt.Errorf("%s is missing", field)
 		}
 		return
 	}
-	if err := json.Unmarshal(r.v[i], into); err != nil {
-		r.fault = fmt.Errorf("%s has a wrong value %.40s", what, r.v[i])
+	if err := json.Unmarshal(r.values[i], into); err != nil {
+		r.fault = fmt.Errorf("%s has a wrong value %.40s", field, r.values[i])
 	}
 }
 
-func (r *row) num(i int, what string) (n int64) { r.get(i, what, &n, true); return n }
-func (r *row) opt(i int, what string) (n int64) { r.get(i, what, &n, false); return n }
-func (r *row) text(i int, what string) (s string) {
-	r.get(i, what, &s, true)
+func (r *message) num(i int, field string) (n int64)    { r.get(i, field, &n, true); return n }
+func (r *message) optNum(i int, field string) (n int64) { r.get(i, field, &n, false); return n }
+func (r *message) text(i int, field string) (s string) {
+	r.get(i, field, &s, true)
 	return s
 }
-func (r *row) optText(i int, what string) (s string) { r.get(i, what, &s, false); return s }
-func (r *row) time(i int, what string) logic.Nanos   { return logic.Nanos(r.num(i, what) * 1000) }
+func (r *message) optText(i int, field string) (s string) { r.get(i, field, &s, false); return s }
+func (r *message) time(i int, field string) logic.Nanos   { return logic.Nanos(r.num(i, field) * 1000) }
 
-func (r *row) txn(i int) logic.TxnID {
+func (r *message) txn(i int) logic.TxnID {
 	s := r.text(i, "opId")
 	n, err := strconv.ParseUint(s, 16, 64)
 	if r.fault == nil && (err != nil || s != fmt.Sprintf("%016x", n)) {
@@ -100,7 +103,7 @@
 	return logic.TxnID(n)
 }
 
-func (r *row) ending(i int) logic.Ending {
+func (r *message) ending(i int) logic.Ending {
 	n := int(r.num(i, "ending"))
 	e, ok := endings[n]
 	if r.fault == nil && !ok {
@@ -109,18 +112,19 @@
 	return e
 }
 
-// lookup turns a name into a number by a table, or records a fault.
-func lookup[V any](r *row, table map[string]V, name, what string) V {
+// lookup returns the entry of a table for a name, or records an error.
+func lookup[V any](r *message, table map[string]V, name, field string) V {
 	v, ok := table[name]
 	if r.fault == nil && !ok {
-		r.fault = fmt.Errorf("%s %q is unknown", what, name)
+		r.fault = fmt.Errorf("%s %q is unknown", field, name)
 	}
 	return v
 }
 
+// line handles one message, and reports whether it ends a batch.
 func (h *host) line(line []byte) (end bool, err error) {
-	r := row{}
-	if err := json.Unmarshal(line, &r.v); err != nil {
+	r := message{}
+	if err := json.Unmarshal(line, &r.values); err != nil {
 		return false, fmt.Errorf("not a JSON array: %w", err)
 	}
 	name := r.text(0, "message name")
@@ -167,32 +171,35 @@
 	return false, nil
 }
 
-// guard turns a panic of the decision module into the fault action.
+// guard runs a call into the decision module, and reports a panic with the die action; the instance ignores messages from
+// then on.
 func (in *instance) guard(call func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			in.failed = true
-			in.act("die", jsonText(fmt.Sprint(p)))
+			in.writeAction("die", jsonText(fmt.Sprint(p)))
 		}
 	}()
 	call()
 }
 
-func (h *host) start(r *row, number int) error {
+// start creates an instance from an init message.
+func (h *host) start(r *message, number int) error {
 	seed := r.num(2, "initSeed")
 	var params map[string]any
 	r.get(3, "params", &params, true)
 	if r.fault != nil {
 		return r.fault
 	}
-	terms := DecodeInit(params)
-	in := &instance{number: number, out: &h.out, InitSettings: terms}
+	settings := DecodeInit(params)
+	in := &instance{number: number, out: &h.out, InitSettings: settings}
 	h.instances[number] = in
-	in.guard(func() { in.sentry = logic.New(h.now, seed, terms.Values, in) })
+	in.guard(func() { in.sentry = logic.New(h.now, seed, settings.Values, in) })
 	return nil
 }
 
-func (h *host) decode(in *instance, name string, r *row) (func(), error) {
+// decode returns the call into the decision module that a message asks for.
+func (h *host) decode(in *instance, name string, r *message) (func(), error) {
 	now, s := h.now, in.sentry
 	var call func()
 	switch name {
@@ -202,7 +209,7 @@
 		if r.fault == nil && mode != logic.ListUnavailable {
 			page, ok := h.pages[int(r.num(2, "page"))]
 			if !ok {
-				return nil, fmt.Errorf("page %s was never sent", r.v[2])
+				return nil, fmt.Errorf("page %s was never sent", r.values[2])
 			}
 			for _, e := range page {
 				list = append(list, h.worker(in, r, e))
@@ -217,14 +224,14 @@
 			t.Customer = logic.CustomerID(lookup(r, in.Customers, o, "org"))
 		}
 		t.Product = logic.ProductID(lookup(r, in.Products, r.text(4, "class"), "class"))
-		marks := r.opt(5, "marks")
+		marks := r.optNum(5, "marks")
 		if key := r.optText(6, "resource"); key != "" {
 			f := fnv.New64a()
 			io.WriteString(f, key)
 			t.Key = logic.KeyID(f.Sum64() | 1)
 		}
 		if marks&1 != 0 {
-			t.Cost = logic.Nanos(r.opt(7, "effort") * 1000)
+			t.Cost = logic.Nanos(r.optNum(7, "effort") * 1000)
 		}
 		t.Repeat = marks&2 != 0
 		t.Expiry = r.time(8, "expires")
@@ -248,7 +255,7 @@
 		r.ending(3)
 		r.time(4, "costTime")
 		in.load(r, 5)
-		call = func() {} // the module sends no probes
+		call = func() {} // the module sends no probes, so their outcomes are ignored
 	case "whisper":
 		from := int(r.num(2, "originPeer"))
 		data, err := base64.StdEncoding.DecodeString(r.optText(3, "data"))
@@ -258,16 +265,16 @@
 		call = func() { s.PeerMessage(now, from, data) }
 	case "trialNews":
 		n := logic.ReleaseUpdate{Ending: r.ending(8)}
-		n.Stage, n.VoteReply = int(r.opt(2, "stage")), r.opt(3, "mark") == 1
-		n.Rel = logic.RelID(r.opt(4, "edition"))
+		n.Stage, n.VoteReply = int(r.optNum(2, "stage")), r.optNum(3, "mark") == 1
+		n.Rel = logic.RelID(r.optNum(4, "edition"))
 		r.get(5, "cap", &n.Cap, false)
-		n.Phase = logic.Phase(r.opt(6, "phase"))
-		n.Age = logic.Nanos(r.opt(7, "old") * 1000)
+		n.Phase = logic.Phase(r.optNum(6, "phase"))
+		n.Age = logic.Nanos(r.optNum(7, "old") * 1000)
 		call = func() { s.ReleaseUpdate(now, n) }
 	case "countsByBuild":
 		t := logic.Tally{Rel: logic.RelID(r.num(2, "edition")), Many: int(r.num(3, "many")), Bad: int(r.num(4, "bad"))}
 		t.Product = logic.ProductID(lookup(r, in.Products, r.text(6, "class"), "class"))
-		t.Mean = logic.Nanos(r.opt(7, "costTime") * 1000)
+		t.Mean = logic.Nanos(r.optNum(7, "costTime") * 1000)
 		call = func() { s.Tally(now, t) }
 	case "contested":
 		p := logic.ProductID(lookup(r, in.Products, r.text(2, "class"), "class"))
@@ -280,37 +287,40 @@
 	return call, r.fault
 }
 
+// workerID returns one shared copy of each worker id.
 func (h *host) workerID(s string) logic.WorkerID {
-	id, ok := h.ids[s]
+	id, ok := h.workerIDs[s]
 	if !ok {
 		id = logic.WorkerID(s)
-		h.ids[s] = id
+		h.workerIDs[s] = id
 	}
 	return id
 }
 
-func (h *host) worker(in *instance, r *row, entry json.RawMessage) logic.Worker {
-	e := row{}
-	if err := json.Unmarshal(entry, &e.v); err != nil {
+// worker decodes an entry of the worker list.
+func (h *host) worker(in *instance, r *message, entry json.RawMessage) logic.Worker {
+	e := message{}
+	if err := json.Unmarshal(entry, &e.values); err != nil {
 		e.fault = fmt.Errorf("a census entry is not an array: %w", err)
 	}
 	w := logic.Worker{ID: h.workerID(e.text(0, "worker")), Weight: 1}
 	w.Zone = logic.ZoneID(lookup(&e, in.Zones, e.text(1, "hall"), "hall"))
 	w.Kind = logic.KindID(in.Kinds[e.optText(2, "machine")])
-	w.Cell = int(e.opt(3, "block"))
+	w.Cell = int(e.optNum(3, "block"))
 	w.State = lookup(&e, states, e.text(4, "readiness"), "readiness")
 	e.get(5, "rating", &w.Weight, false)
 	var ver float64
 	e.get(6, "ver", &ver, false)
 	w.Rel = logic.RelID(ver)
-	w.Start = logic.Nanos(e.opt(7, "lastStart") * 1000)
+	w.Start = logic.Nanos(e.optNum(7, "lastStart") * 1000)
 	if r.fault == nil {
 		r.fault = e.fault
 	}
 	return w
 }
 
-func (in *instance) load(r *row, i int) *logic.Load {
+// load decodes the load report at index i, or returns nil if there is none.
+func (in *instance) load(r *message, i int) *logic.Load {
 	var v []float64
 	r.get(i, "feedback", &v, false)
 	if v == nil {
@@ -328,8 +338,8 @@
 
 func jsonText(s string) string { b, _ := json.Marshal(s); return string(b) }
 
-// act writes one action line; the values are JSON already.
-func (in *instance) act(name string, values ...string) {
+// writeAction writes the line of an action. The values are JSON already.
+func (in *instance) writeAction(name string, values ...string) {
 	fmt.Fprintf(in.out, "[%q,%d", name, in.number)
 	for _, v := range values {
 		in.out.WriteByte(',')
@@ -343,25 +353,25 @@
 func numText[T ~int](n T) string     { return strconv.Itoa(int(n)) }
 func idText(w logic.WorkerID) string { return jsonText(string(w)) }
 
-// Submit and the methods below write the module's actions.
+// Submit and the methods below implement logic.Sink.
 func (in *instance) Submit(t logic.TxnID, w logic.WorkerID, timeout logic.Nanos) {
-	in.act("issue", txnText(t), timeText(timeout), idText(w))
+	in.writeAction("issue", txnText(t), timeText(timeout), idText(w))
 }
 func (in *instance) Cancel(t logic.TxnID, number int) {
-	in.act("abortAttempt", txnText(t), numText(number))
+	in.writeAction("abortAttempt", txnText(t), numText(number))
 }
 func (in *instance) Decline(t logic.TxnID, retryAfter logic.Nanos) {
-	in.act("refuse", txnText(t), timeText(retryAfter))
+	in.writeAction("refuse", txnText(t), timeText(retryAfter))
 }
-func (in *instance) Void(t logic.TxnID) { in.act("reportFailure", txnText(t)) }
+func (in *instance) Void(t logic.TxnID) { in.writeAction("reportFailure", txnText(t)) }
 func (in *instance) SetTimer(after logic.Nanos, token uint64) {
-	in.act("remind", timeText(after), strconv.FormatUint(token, 10))
+	in.writeAction("remind", timeText(after), strconv.FormatUint(token, 10))
 }
 func (in *instance) Vote(v logic.Verdict, rel logic.RelID, stage int) {
-	in.act("vote", numText(v), numText(rel), numText(stage))
+	in.writeAction("vote", numText(v), numText(rel), numText(stage))
 }
-func (in *instance) WatchWorkers() { in.act("watch", "true") }
+func (in *instance) WatchWorkers() { in.writeAction("watch", "true") }
 func (in *instance) SendToPeer(to int, data []byte) {
-	in.act("broadcastTo", numText(to), jsonText(base64.StdEncoding.EncodeToString(data)))
+	in.writeAction("broadcastTo", numText(to), jsonText(base64.StdEncoding.EncodeToString(data)))
 }
-func (in *instance) Log(text string) { in.act("trace", jsonText(text)) }
+func (in *instance) Log(text string) { in.writeAction("trace", jsonText(text)) }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -20,8 +20,8 @@
 ["peersKnown",3,0,"restored",7]
 ["trialNews",3,1,0,41,1,2,5000000,0]`
 
-// play runs the lines as one batch after a start and gives standard output and error.
-func play(t *testing.T, lines string) (string, string) {
+// serveLines serves one batch that starts an instance and continues with lines, and returns the output and the errors.
+func serveLines(t *testing.T, lines string) (string, string) {
 	t.Helper()
 	var out, errs bytes.Buffer
 	in := "[\"mark\",1000000]\n" + initLine + "\n" + listLines + "\n" + lines + "\n[\"eofBatch\"]\n"
@@ -29,24 +29,24 @@
 		t.Fatal(err)
 	}
 	if !strings.HasSuffix(out.String(), "[\"done\"]\n") {
-		t.Errorf("no closing line in %q", out.String())
+		t.Errorf("no done line in %q", out.String())
 	}
 	return out.String(), errs.String()
 }
 
 func TestServe(t *testing.T) {
-	knock := `["knock",3,"553760735d3a91c4","east","pay",1,"acct/k",12000,1800000]`
+	take := `["knock",3,"553760735d3a91c4","east","pay",1,"acct/k",12000,1800000]`
 	for _, c := range []struct{ name, lines, out string }{
-		{"a later page takes the place of an earlier one", knock, `["issue",3,"553760735d3a91c4",0,"10.0.0.2:7000"]`},
-		{"no effort, no key, no tenant", `["knock",3,"553760735d3a91c4",null,"read",0,null,null,1800000]`, `["issue",3,`},
-		{"asks for the list", "", `["watch",3,true]`},
-		{"an outcome with a report", knock + "\n" + `["completed",3,"553760735d3a91c4",0,"10.0.0.2:7000",13,900,false,[1,2]]`,
+		{"a page replaces an earlier one of the same number", take, `["issue",3,"553760735d3a91c4",0,"10.0.0.2:7000"]`},
+		{"without expected work, key and customer", `["knock",3,"553760735d3a91c4",null,"read",0,null,null,1800000]`, `["issue",3,`},
+		{"watches the worker list", "", `["watch",3,true]`},
+		{"an outcome with a load report", take + "\n" + `["completed",3,"553760735d3a91c4",0,"10.0.0.2:7000",13,900,false,[1,2]]`,
 			`["reportFailure",3,"553760735d3a91c4"]`},
-		{"not run: declined in the end", knock + strings.Repeat("\n"+`["completed",3,"553760735d3a91c4",0,"10.0.0.2:7000",8,900,false]`, 1) +
+		{"declined after it was never run", take + strings.Repeat("\n"+`["completed",3,"553760735d3a91c4",0,"10.0.0.2:7000",8,900,false]`, 1) +
 			"\n" + `["completed",3,"553760735d3a91c4",1,"10.0.0.2:7000",8,900,false,null]` +
 			"\n" + `["completed",3,"553760735d3a91c4",2,"10.0.0.2:7000",8,900,false,null]`, `["refuse",3,"553760735d3a91c4",30000]`},
-		{"stop and start in one batch", `["teardown",3]` + "\n" + initLine + "\n" + listLines + "\n" + knock, `["issue",3,`},
-		{"events of no use are passed over", `["countsByBuild",3,41,9,1,1000,"read",20]
+		{"teardown and init in one batch", `["teardown",3]` + "\n" + initLine + "\n" + listLines + "\n" + take, `["issue",3,`},
+		{"events without effect", `["countsByBuild",3,41,9,1,1000,"read",20]
 ["contested",3,"read","10.0.0.2:7000",100]
 ["whisper",3,2,"aGk="]
 ["echo",3,"10.0.0.2:7000",0,1400,[1,2]]
@@ -54,48 +54,48 @@
 ["completed",3,"0000000000000001",0,"10.0.0.2:7000",0,9,true,null]
 ["timer",3,99999]
 ["trialNews",3,null,1,41,null,null,null,9]
-` + knock, `["issue",3,`},
+` + take, `["issue",3,`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			out, errs := play(t, c.lines)
+			out, errs := serveLines(t, c.lines)
 			if !strings.Contains(out, c.out) {
-				t.Errorf("%s is not in\n%s", c.out, out)
+				t.Errorf("%s is missing in\n%s", c.out, out)
 			}
 			if errs != "" {
-				t.Errorf("complaints: %s", errs)
+				t.Errorf("errors: %s", errs)
 			}
 		})
 	}
 }
 
 func TestMalformedInput(t *testing.T) {
-	for _, c := range []struct{ name, line, complaint string }{
-		{"no JSON", `{oops`, "not a JSON array"},
+	for _, c := range []struct{ name, line, err string }{
+		{"not JSON", `{oops`, "not a JSON array"},
 		{"unknown message", `["greet",3]`, `message "greet" is unknown`},
 		{"unknown sentry", `["timer",9,1]`, "timer for unknown sentry 9"},
 		{"wrong type", `["timer",3,"x"]`, "keyBack has a wrong value"},
 		{"missing value", `["knock",3]`, "opId is missing"},
-		{"bad id", `["dropped",3,"xyz"]`, `opId "xyz" is not 16 hex digits`},
+		{"malformed id", `["dropped",3,"xyz"]`, `opId "xyz" is not 16 hex digits`},
 		{"unknown class", `["knock",3,"553760735d3a91c4",null,"write",0,null,null,1800000]`, `class "write" is unknown`},
 		{"unknown ending", `["completed",3,"553760735d3a91c4",0,"w",77,1,false,null]`, "ending 77 is unknown"},
 		{"unknown page", `["peersKnown",3,5,"update",1]`, "page 5 was never sent"},
-		{"bad entry", "[\"census\",1,[[\"w\",\"west\",\"big\",0,\"up\",1,41,null]]]\n[\"peersKnown\",3,1,\"update\",8]",
+		{"unknown zone in an entry", "[\"census\",1,[[\"w\",\"west\",\"big\",0,\"up\",1,41,null]]]\n[\"peersKnown\",3,1,\"update\",8]",
 			`hall "west" is unknown`},
-		{"settings that are none", `["init",4,1,[]]`, "params has a wrong value"},
+		{"params that are not an object", `["init",4,1,[]]`, "params has a wrong value"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			out, errs := play(t, c.line)
-			if !strings.Contains(errs, c.complaint) {
-				t.Errorf("want %q, got %q", c.complaint, errs)
+			out, errs := serveLines(t, c.line)
+			if !strings.Contains(errs, c.err) {
+				t.Errorf("want %q, got %q", c.err, errs)
 			}
 			if strings.Contains(out, `"die"`) {
-				t.Errorf("a malformed line is no failure of the decisions: %s", out)
+				t.Errorf("a malformed line failed the instance: %s", out)
 			}
 		})
 	}
 }
 
-func TestPanicBecomesAFault(t *testing.T) {
+func TestPanicBecomesDieAction(t *testing.T) {
 	var out bytes.Buffer
 	in := &instance{number: 3, out: &out}
 	in.guard(func() { panic("boom \"quoted\"") })
