--- a/logic/helpers_test.go
+++ b/logic/helpers_test.go
@@ -6,65 +6,69 @@
 	"testing"
 )
 
-// tape is a Sink that keeps what was done, one line an action.
-type tape struct {
-	lines []string
-	sent  map[WorkerID]int
-	told  []byte // the last message
-	mute  bool   // count only
-	total int
-}
-
-func (k *tape) put(format string, args ...any) {
-	if !k.mute {
-		k.lines = append(k.lines, fmt.Sprintf(format, args...))
+// actionLog is a Sink that records the actions as lines of text.
+type actionLog struct {
+	actions     []string
+	sent        map[WorkerID]int
+	lastMessage []byte
+	discard     bool // only count submissions
+	submitted   int
+}
+
+func (l *actionLog) record(format string, args ...any) {
+	if !l.discard {
+		l.actions = append(l.actions, fmt.Sprintf(format, args...))
 	}
 }
-func (k *tape) Submit(t TxnID, w WorkerID, timeout Nanos) {
-	k.total++
-	if k.mute { // formatting allocates
+func (l *actionLog) Submit(t TxnID, w WorkerID, timeout Nanos) {
+	l.submitted++
+	if l.discard { // formatting allocates
 		return
 	}
-	k.sent[w]++
-	k.put("submit %d %s", t, w)
-}
-func (k *tape) Cancel(t TxnID, number int)           { k.put("cancel %d %d", t, number) }
-func (k *tape) Decline(t TxnID, retryAfter Nanos)    { k.put("decline %d %d", t, retryAfter/Millisecond) }
-func (k *tape) Void(t TxnID)                         { k.put("void %d", t) }
-func (k *tape) SetTimer(after Nanos, token uint64)   {}
-func (k *tape) Vote(v Verdict, rel RelID, stage int) { k.put("vote %d %d %d", v, rel, stage) }
-func (k *tape) WatchWorkers()                        { k.put("watch") }
-func (k *tape) SendToPeer(to int, data []byte) {
-	k.told = append(k.told[:0], data...)
-	k.put("tell %d", to)
-}
-func (k *tape) Log(text string) {}
-
-func (k *tape) count(prefix string) int {
+	l.sent[w]++
+	l.record("submit %d %s", t, w)
+}
+func (l *actionLog) Cancel(t TxnID, number int) { l.record("cancel %d %d", t, number) }
+func (l *actionLog) Decline(t TxnID, retryAfter Nanos) {
+	l.record("decline %d %d", t, retryAfter/Millisecond)
+}
+func (l *actionLog) Void(t TxnID)                         { l.record("void %d", t) }
+func (l *actionLog) SetTimer(after Nanos, token uint64)   {}
+func (l *actionLog) Vote(v Verdict, rel RelID, stage int) { l.record("vote %d %d %d", v, rel, stage) }
+func (l *actionLog) WatchWorkers()                        { l.record("watch") }
+func (l *actionLog) SendToPeer(to int, data []byte) {
+	l.lastMessage = append(l.lastMessage[:0], data...)
+	l.record("message %d", to)
+}
+func (l *actionLog) Log(text string) {}
+
+// count returns the number of actions that start with prefix.
+func (l *actionLog) count(prefix string) int {
 	n := 0
-	for _, l := range k.lines {
-		if strings.HasPrefix(l, prefix) {
+	for _, action := range l.actions {
+		if strings.HasPrefix(action, prefix) {
 			n++
 		}
 	}
 	return n
 }
 
-// rig is a sentry with a clock, some workers and products, and a tape.
-type rig struct {
+// harness is a sentry with a clock, some workers and products, and a log of its actions.
+type harness struct {
 	*Sentry
-	*tape
-	clock Nanos
-	next  TxnID
+	*actionLog
+	clock  Nanos
+	lastID TxnID
 }
 
+// Products of settings.
 const (
-	inquiry ProductID = iota
-	hold
-	pay
+	inquiry ProductID = iota // inquiry-like
+	reserve                  // referenced
+	pay                      // once-only
 )
 
-// settings gives a plain deployment of three products, with changes as name, value pairs.
+// settings returns the settings of a small deployment with three products, with changes as pairs of a name and a value.
 func settings(changes ...any) map[string]any {
 	m := map[string]any{
 		"products.count": 3.0, "sentries": 1.0, "discovery": "push", "zone": 0.0,
@@ -86,12 +90,12 @@
 	return m
 }
 
-// newRig starts a sentry with so many workers of build 1 and of build 2, warm unless told otherwise, and build 2
-// on trial under the cap.
-func newRig(old, trial int, cap float64, changes ...any) *rig {
-	k := &tape{sent: map[WorkerID]int{}}
-	r := &rig{tape: k, clock: 100 * Second}
-	r.Sentry = New(r.clock, 7, settings(changes...), k)
+// newHarness starts a sentry with warm workers: old ones of build 1, and trial ones of build 2, which is on trial with the
+// given cap.
+func newHarness(old, trial int, trialCap float64, changes ...any) *harness {
+	log := &actionLog{sent: map[WorkerID]int{}}
+	h := &harness{actionLog: log, clock: 100 * Second}
+	h.Sentry = New(h.clock, 7, settings(changes...), log)
 	var list []Worker
 	for i := 0; i < old+trial; i++ {
 		w := Worker{ID: WorkerID(fmt.Sprintf("old%02d", i)), Rel: 1, Weight: 1}
@@ -100,78 +104,80 @@
 		}
 		list = append(list, w)
 	}
-	r.UpdateWorkers(r.clock, Restored, list)
+	h.UpdateWorkers(h.clock, Restored, list)
 	if trial > 0 {
-		r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 2, Cap: cap, Phase: OnTrial})
+		h.Sentry.ReleaseUpdate(h.clock, ReleaseUpdate{Rel: 2, Cap: trialCap, Phase: OnTrial})
 	} else {
-		r.Sentry.ReleaseUpdate(r.clock, ReleaseUpdate{Rel: 1, Cap: 1, Phase: Released})
+		h.Sentry.ReleaseUpdate(h.clock, ReleaseUpdate{Rel: 1, Cap: 1, Phase: Released})
 	}
-	return r
+	return h
 }
 
-// take hands in one txn and gives its id.
-func (r *rig) take(p ProductID, key KeyID) TxnID {
-	r.next++
-	r.Take(r.clock, Txn{ID: r.next, Product: p, Key: key, Expiry: r.clock + 2*Second})
-	return r.next
+// take hands a txn to the sentry and returns its id.
+func (h *harness) take(p ProductID, key KeyID) TxnID {
+	h.lastID++
+	h.Take(h.clock, Txn{ID: h.lastID, Product: p, Key: key, Expiry: h.clock + 2*Second})
+	return h.lastID
 }
 
-// wait moves the clock on, beat by beat.
-func (r *rig) wait(span Nanos) {
-	for end := r.clock + span; r.clock < end; {
-		r.clock += min(tickInterval, end-r.clock)
-		r.TimerFired(r.clock, 0)
+// advance moves the clock forward, tick by tick.
+func (h *harness) advance(duration Nanos) {
+	for end := h.clock + duration; h.clock < end; {
+		h.clock += min(tickInterval, end-h.clock)
+		h.TimerFired(h.clock, 0)
 	}
 }
 
-// end ends a submission.
-func (r *rig) end(t TxnID, number int, e Ending, took Nanos) {
-	r.Outcome(r.clock, Outcome{Txn: t, Number: number, Ending: e, Elapsed: took, Final: e == OK,
+// endSubmission ends a submission.
+func (h *harness) endSubmission(t TxnID, number int, e Ending, elapsed Nanos) {
+	h.Outcome(h.clock, Outcome{Txn: t, Number: number, Ending: e, Elapsed: elapsed, Final: e == OK,
 		MaybeAnswered: e == MalformedResponse || e == Disconnected || e == Cancelled})
 }
 
-// to is the worker that the txn's last submission went to, or "".
-func (r *rig) to(t TxnID) string {
-	for i := len(r.lines) - 1; i >= 0; i-- {
-		if after, found := strings.CutPrefix(r.lines[i], fmt.Sprintf("submit %d ", t)); found {
-			return after
+// lastTarget returns the worker that the txn's last submission went to, or "".
+func (h *harness) lastTarget(t TxnID) string {
+	for i := len(h.actions) - 1; i >= 0; i-- {
+		if target, found := strings.CutPrefix(h.actions[i], fmt.Sprintf("submit %d ", t)); found {
+			return target
 		}
 	}
 	return ""
 }
 
-// run plays n txns of a product, 20 ms apart, each ended at once as the worker's side of the pair has it.
-func (r *rig) run(n int, p ProductID, key func(i int) KeyID, ending func(worker string, i int) (Ending, Nanos)) {
+// runTxns takes n txns of a product, 20 ms apart, and ends each submission at once as ending determines.
+func (h *harness) runTxns(n int, p ProductID, key func(i int) KeyID, ending func(worker string, i int) (Ending, Nanos)) {
 	for i := 0; i < n; i++ {
-		t := r.take(p, key(i))
-		for s := 0; s < 4; s++ {
-			if at, held := r.txnSlots[t]; !held || r.slab[at].n <= s {
+		id := h.take(p, key(i))
+		for number := 0; number < 4; number++ {
+			if slot, open := h.txnSlots[id]; !open || h.slab[slot].n <= number {
 				break
 			}
-			e, took := ending(r.to(t), i)
-			r.end(t, s, e, took)
+			e, elapsed := ending(h.lastTarget(id), i)
+			h.endSubmission(id, number, e, elapsed)
 		}
-		r.wait(20 * Millisecond)
+		h.advance(20 * Millisecond)
 	}
 }
 
 func noKey(int) KeyID { return 0 }
 
-func fine(string, int) (Ending, Nanos) { return OK, 50 * Millisecond }
+func succeed(string, int) (Ending, Nanos) { return OK, 50 * Millisecond }
 
-// only ends every so manieth txn at workers of such names so, and the others well.
-func only(names string, every int, e Ending, took Nanos) func(string, int) (Ending, Nanos) {
+// everyNth gives every n-th txn the ending e if it was sent to a worker whose name starts with prefix, and lets all other
+// txns succeed.
+func everyNth(prefix string, n int, e Ending, elapsed Nanos) func(string, int) (Ending, Nanos) {
 	return func(w string, i int) (Ending, Nanos) {
-		if strings.HasPrefix(w, names) && i%every == 0 {
-			return e, took
+		if strings.HasPrefix(w, prefix) && i%n == 0 {
+			return e, elapsed
 		}
 		return OK, 50 * Millisecond
 	}
 }
 
-func want[T comparable](t *testing.T, what string, got, wanted T) {
+// want checks that two values are equal.
+func want[T comparable](t *testing.T, name string, got, expected T) {
 	t.Helper()
-	if got != wanted {
-		t.Errorf("%s: got %v, want %v", what, got, wanted)
+	if got != expected {
+		t.Errorf("%s: got %v, want %v", name, got, expected)
 	}
 }
--- a/logic/sampler_test.go
+++ b/logic/sampler_test.go
@@ -7,24 +7,25 @@
 	"testing"
 )
 
-func drawOf(weights []float64) (*weightedSampler, []*worker) {
-	var ws []*worker
+// newTestSampler returns a sampler of workers with the given weights.
+func newTestSampler(weights []float64) (*weightedSampler, []*worker) {
+	var workers []*worker
 	for i := range weights {
-		ws = append(ws, &worker{Worker: Worker{ID: WorkerID(fmt.Sprint(i))}})
+		workers = append(workers, &worker{Worker: Worker{ID: WorkerID(fmt.Sprint(i))}})
 	}
 	d := &weightedSampler{}
-	d.fill(ws, 0, func(w *worker) float64 { return weights[w.samplerIndex] })
-	return d, ws
+	d.fill(workers, 0, func(w *worker) float64 { return weights[w.samplerIndex] })
+	return d, workers
 }
 
-// Each worker is picked as often as its weight says, after changes too, and none without weight ever.
-func TestDrawPicksByWeight(t *testing.T) {
+// Each worker must be drawn in proportion to its weight, also after changes, and one without weight never.
+func TestSamplerPicksByWeight(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	for _, weights := range [][]float64{{1}, {1, 3}, {0, 0, 5, 0, 0}, {1, 2, 3, 4, 5, 6, 7}, {0, 1e-290, 0}, {1e290, 1e290, 0, 1e290},
 		{1e-200, 1, 1e-200, 1}} {
 		for _, change := range []bool{false, true} {
 			weights := append([]float64(nil), weights...)
-			d, ws := drawOf(weights)
+			d, workers := newTestSampler(weights)
 			if change {
 				for i := range weights {
 					j := len(weights) - 1 - i
@@ -32,105 +33,106 @@
 						weights[i], weights[j] = weights[j], weights[i]
 					}
 				}
-				for i, w := range ws {
+				for i, w := range workers {
 					d.updateWeight(w, weights[i])
 				}
 			}
-			sum, many, got := 0.0, 20000, make([]float64, len(weights))
+			sum, draws, picked := 0.0, 20000, make([]float64, len(weights))
 			for _, w := range weights {
 				sum += w
 			}
-			for k := 0; k < many; k++ {
-				got[d.pick(rng.Float64()).samplerIndex]++
+			for k := 0; k < draws; k++ {
+				picked[d.pick(rng.Float64()).samplerIndex]++
 			}
 			for i, w := range weights {
-				want := w / sum * float64(many)
-				if w == 0 && got[i] > 0 || math.Abs(got[i]-want) > 5*math.Sqrt(want)+1 {
-					t.Errorf("%v: worker %d picked %g times, wanted about %g", weights, i, got[i], want)
+				want := w / sum * float64(draws)
+				if w == 0 && picked[i] > 0 || math.Abs(picked[i]-want) > 5*math.Sqrt(want)+1 {
+					t.Errorf("%v: worker %d picked %g times, want about %g", weights, i, picked[i], want)
 				}
 			}
-			for _, part := range []float64{0, math.Nextafter(1, 0)} { // the ends
-				if w := d.pick(part); weights[w.samplerIndex] == 0 {
-					t.Errorf("%v: %g gave worker %d, which has no weight", weights, part, w.samplerIndex)
+			for _, fraction := range []float64{0, math.Nextafter(1, 0)} { // both ends of the range
+				if w := d.pick(fraction); weights[w.samplerIndex] == 0 {
+					t.Errorf("%v: %g picked worker %d, which has no weight", weights, fraction, w.samplerIndex)
 				}
 			}
 		}
 	}
-	for k := 0; k < 2000; k++ { // sums that are rounded, with nothing behind the last
+	for k := 0; k < 2000; k++ { // rounded sums, with no weight after the last worker that has one
 		weights := []float64{rng.Float64(), rng.Float64(), rng.Float64(), 0, 0, 0}
-		d, _ := drawOf(weights)
+		d, _ := newTestSampler(weights)
 		if w := d.pick(math.Nextafter(1, 0)); weights[w.samplerIndex] == 0 {
-			t.Fatalf("%v: the end gave worker %d, which has no weight", weights, w.samplerIndex)
+			t.Fatalf("%v: the end of the range picked worker %d, which has no weight", weights, w.samplerIndex)
 		}
 	}
-	d, ws := drawOf([]float64{1, 2})
-	d.updateWeight(ws[0], 0)
-	d.updateWeight(ws[1], 0)
+	d, workers := newTestSampler([]float64{1, 2})
+	d.updateWeight(workers[0], 0)
+	d.updateWeight(workers[1], 0)
 	if w := d.pick(0.5); w != nil {
-		t.Errorf("picked worker %d, wanted none", w.samplerIndex)
+		t.Errorf("picked worker %d, want none", w.samplerIndex)
 	}
 }
 
-// A draw by raceWeight stands for a race: the least of cost times e^blur, with an e of its own for each worker.
-func TestRaceWeightStandsForTheRace(t *testing.T) {
+// A draw by raceWeight must pick each worker as often as it has the least delay*e^noise, where e is drawn for each
+// worker.
+func TestRaceWeightMatchesRace(t *testing.T) {
 	rng := rand.New(rand.NewSource(2))
-	costs := []float64{0.5, 0.7, 1, 1.1, 2, 8}
-	for _, blur := range []float64{0.05, 0.2, 0.5} {
-		const many = 40000
-		raced, drawn := make([]float64, len(costs)), make([]float64, len(costs))
-		weights := make([]float64, len(costs))
-		for i, c := range costs {
-			weights[i] = raceWeight(c, blur)
+	delays := []float64{0.5, 0.7, 1, 1.1, 2, 8}
+	for _, noise := range []float64{0.05, 0.2, 0.5} {
+		const rounds = 40000
+		raced, drawn := make([]float64, len(delays)), make([]float64, len(delays))
+		weights := make([]float64, len(delays))
+		for i, delay := range delays {
+			weights[i] = raceWeight(delay, noise)
 		}
-		d, _ := drawOf(weights)
-		for k := 0; k < many; k++ {
+		d, _ := newTestSampler(weights)
+		for k := 0; k < rounds; k++ {
 			best, least := 0, math.Inf(1)
-			for i, c := range costs {
-				if c *= math.Pow(rng.ExpFloat64(), blur); c < least {
-					best, least = i, c
+			for i, delay := range delays {
+				if delay *= math.Pow(rng.ExpFloat64(), noise); delay < least {
+					best, least = i, delay
 				}
 			}
 			raced[best]++
 			drawn[d.pick(rng.Float64()).samplerIndex]++
 		}
-		for i := range costs {
+		for i := range delays {
 			if math.Abs(raced[i]-drawn[i]) > 5*math.Sqrt(raced[i]+drawn[i])+1 {
-				t.Errorf("blur %g, cost %g: won %g races, was drawn %g times", blur, costs[i], raced[i], drawn[i])
+				t.Errorf("noise %g, delay %g: won %g races, was drawn %g times", noise, delays[i], raced[i], drawn[i])
 			}
 		}
 	}
 }
 
-// Danger: a weight that is not kept up to date sends txns where no room is, or hides a worker until the next beat.
+// A weight that is not updated sends txns to workers without room, or hides a worker until the next tick.
 func TestWeightsAreKeptUpToDate(t *testing.T) {
-	for _, c := range []struct{ workers, trial, hand int }{{200, 0, 400}, {200, 80, 400}, {maxScannedWorkers, 0, 100}, {90, 0, 2000}} {
-		x := newCrowd(c.workers, c.trial)
-		drawn := 0
+	for _, c := range []struct{ workers, trial, inFlight int }{{200, 0, 400}, {200, 80, 400}, {maxScannedWorkers, 0, 100}, {90, 0, 2000}} {
+		fleet := newLoadFleet(c.workers, c.trial)
+		weighted := 0
 		for i := 0; i < 6000; i++ {
-			x.step(c.hand)
+			fleet.step(c.inFlight)
 			if i%50 > 0 {
 				continue
 			}
-			for _, d := range []*weightedSampler{&x.s.trialSampler, &x.s.baselineSampler, &x.s.otherSampler} {
+			for _, d := range []*weightedSampler{&fleet.sentry.trialSampler, &fleet.sentry.baselineSampler, &fleet.sentry.otherSampler} {
 				if d.weighted() != (len(d.workers) > maxScannedWorkers) {
-					t.Fatalf("%+v: %d workers, drawn %t", c, len(d.workers), d.weighted())
+					t.Fatalf("%+v: %d workers, weighted %t", c, len(d.workers), d.weighted())
 				}
 				for k, w := range d.workers {
 					if w.sampler != d || w.samplerIndex != k {
-						t.Fatalf("%+v: worker %s is not where it is held", c, w.ID)
+						t.Fatalf("%+v: worker %s is not at its index", c, w.ID)
 					}
-					if d.weighted() && d.sums[d.leaves+k] != x.s.weight(w) {
-						t.Fatalf("%+v, step %d: worker %s weighs %g, wanted %g", c, i, w.ID, d.sums[d.leaves+k], x.s.weight(w))
+					if d.weighted() && d.sums[d.leaves+k] != fleet.sentry.weight(w) {
+						t.Fatalf("%+v, step %d: worker %s has weight %g, want %g", c, i, w.ID, d.sums[d.leaves+k], fleet.sentry.weight(w))
 					}
-					drawn += int(indicator(d.weighted()))
+					weighted += int(indicator(d.weighted()))
 				}
 			}
 		}
-		if (drawn > 0) != (c.workers > maxScannedWorkers) {
-			t.Errorf("%+v: %d weights were looked at", c, drawn)
+		if (weighted > 0) != (c.workers > maxScannedWorkers) {
+			t.Errorf("%+v: %d weights were checked", c, weighted)
 		}
-		if x.declined > 0 && c.hand < 2000 {
-			t.Errorf("%+v: %d declined", c, x.declined)
+		if fleet.declined > 0 && c.inFlight < 2000 {
+			t.Errorf("%+v: %d declined", c, fleet.declined)
 		}
 	}
 }
