--- a/edge/harden_test.go
+++ b/edge/harden_test.go
@@ -264,8 +264,8 @@
  {"id":"b","address":"127.0.0.1:2","state":"up","build":1,"startedAt":%d,"weight":1}],
  "release":{"name":"1","build":1,"stage":0,"phase":"released","cap":1,"since":1}}`
 
-// savedState returns a saved state that is three seconds old, from a platform whose clock is an hour behind the local one.
-func savedState() string {
+// savedStateJSON returns a saved state that is three seconds old, from a platform whose clock is an hour behind the local one.
+func savedStateJSON() string {
 	now := time.Now().Add(-3 * time.Second).UnixNano()
 	clock := now - int64(time.Hour)
 	return fmt.Sprintf(savedStateFormat, now, clock, clock-int64(time.Second))
@@ -288,7 +288,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			p := New(parseTestConfig(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
-			writeFile(t, p.statePath(), strings.Replace(savedState(), c.from, c.to, 1))
+			writeFile(t, p.statePath(), strings.Replace(savedStateJSON(), c.from, c.to, 1))
 			list, release := p.restoreState()
 			if valid := c.from == ""; (list != nil) != valid || (release != nil) != valid {
 				t.Errorf("restored %v, %v", list, release)
@@ -297,7 +297,7 @@
 	}
 	t.Run("truncated at every byte", func(t *testing.T) {
 		dir := t.TempDir()
-		text := savedState()
+		text := savedStateJSON()
 		for n := 0; n < len(text); n++ {
 			p := New(parseTestConfig(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
 			writeFile(t, p.statePath(), text[:n])
@@ -319,7 +319,7 @@
 // look warm. When the platform's list arrives after the restart, the same process must keep its start.
 func TestRestoredListKeepsWorkerAges(t *testing.T) {
 	dir := t.TempDir()
-	writeFile(t, filepath.Join(dir, "t.list.json"), strings.Replace(savedState(), `"state":"up","build":1,"weight"`, `"state":"resting","build":1,"weight"`, 1))
+	writeFile(t, filepath.Join(dir, "t.list.json"), strings.Replace(savedStateJSON(), `"state":"up","build":1,"weight"`, `"state":"resting","build":1,"weight"`, 1))
 	r := startEdge(t, fmt.Sprintf("(state %q)", dir))
 	age := make(chan logic.Nanos)
 	l := r.p.loops[0]
--- a/edge/trace_test.go
+++ b/edge/trace_test.go
@@ -75,9 +75,9 @@
 // Each trace level must record the txns that it promises, and only whole traces can be replayed.
 func TestTraceLevels(t *testing.T) {
 	for _, c := range []struct {
-		level  string
-		recorded  int
-		replay bool
+		level    string
+		recorded int
+		replay   bool
 	}{{"(level whole)", 40, true}, {"(level sampled) (one-in 1000000)", 20, false}, {"(level decisions)", 40, false}} {
 		t.Run(c.level, func(t *testing.T) {
 			dir := t.TempDir()
