--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -189,17 +189,17 @@
 	})
 	t.Run("one-way keys", func(t *testing.T) {
 		h := newHarness(8, 2, 0.5, "release.one-way", true)
-		met := map[KeyID]bool{}
+		answered := map[KeyID]bool{}
 		h.runTxns(1000, inquiry, func(i int) KeyID { return KeyID(i%100 + 1) }, func(w string, i int) (Ending, Nanos) {
 			key := KeyID(i%100 + 1)
 			if strings.HasPrefix(w, "trial") {
-				met[key] = true
-			} else if met[key] {
+				answered[key] = true
+			} else if answered[key] {
 				t.Errorf("key %d was answered by the trial and then sent to %s", key, w)
 			}
 			return OK, 50 * Millisecond
 		})
-		want(t, "keys bound", len(met) > 5, true)
+		want(t, "keys bound", len(answered) > 5, true)
 		h.Sentry.ReleaseUpdate(h.clock, ReleaseUpdate{Rel: 2, Phase: GoingBack})
 		want(t, "keys bound after going back", len(h.boundKeys), 0)
 	})
@@ -779,21 +779,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(6, 2, 0.5, "release.one-way", true)
-			met := map[KeyID]bool{}
+			answered := map[KeyID]bool{}
 			keys := func(i int) KeyID { return KeyID(i%50 + 1) }
 			h.runTxns(400, inquiry, keys, func(w string, i int) (Ending, Nanos) {
-				met[keys(i)] = met[keys(i)] || strings.HasPrefix(w, "trial")
+				answered[keys(i)] = answered[keys(i)] || strings.HasPrefix(w, "trial")
 				return OK, 50 * Millisecond
 			})
 			mistake(h)
 			h.runTxns(400, inquiry, keys, func(w string, i int) (Ending, Nanos) {
-				if strings.HasPrefix(w, "old") && met[keys(i)] {
+				if strings.HasPrefix(w, "old") && answered[keys(i)] {
 					t.Errorf("key %d was answered by the trial and then sent to %s", keys(i), w)
 				}
-				met[keys(i)] = met[keys(i)] || strings.HasPrefix(w, "trial")
+				answered[keys(i)] = answered[keys(i)] || strings.HasPrefix(w, "trial")
 				return OK, 50 * Millisecond
 			})
-			want(t, "keys answered by the trial", len(met) > 5, true)
+			want(t, "keys answered by the trial", len(answered) > 5, true)
 		})
 	}
 }
@@ -828,20 +828,20 @@
 			h.UpdateWorkers(h.clock, Changes, []Worker{line})
 		}
 		h.Sentry.ReleaseUpdate(h.clock, ReleaseUpdate{Rel: 2, Phase: phase, Cap: indicator(phase == Released)})
-		met := map[KeyID]bool{}
+		answered := map[KeyID]bool{}
 		ending := func(w string, i int) (Ending, Nanos) {
 			key := KeyID(i%50 + 1)
-			if strings.HasPrefix(w, "old") && met[key] {
+			if strings.HasPrefix(w, "old") && answered[key] {
 				t.Errorf("update with phase %d: key %d was answered by build 3 and then sent to %s", phase, key, w)
 			}
-			met[key] = met[key] || strings.HasPrefix(w, "trial")
+			answered[key] = answered[key] || strings.HasPrefix(w, "trial")
 			return OK, 50 * Millisecond
 		}
 		keys := func(i int) KeyID { return KeyID(i%50 + 1) }
 		h.runTxns(200, inquiry, keys, ending)
 		h.Sentry.ReleaseUpdate(h.clock, ReleaseUpdate{Rel: 3, Cap: 0.5})
 		h.runTxns(400, inquiry, keys, ending)
-		want(t, "keys answered by the trial", len(met) > 5, true)
+		want(t, "keys answered by the trial", len(answered) > 5, true)
 	}
 }
 
@@ -852,14 +852,14 @@
 		bound  bool
 	}{{OK, true}, {MalformedResponse, true}, {Disconnected, true}, {Cancelled, true}, {ErrorResponse, false}, {ConnectFailed, false}} {
 		h := newHarness(6, 2, 0.5, "release.one-way", true, "allow.submissions", 1.0)
-		met, below := map[KeyID]bool{}, 0
+		answered, below := map[KeyID]bool{}, 0
 		keys := func(i int) KeyID { return KeyID(i%40 + 1) }
 		h.runTxns(400, pay, keys, func(w string, i int) (Ending, Nanos) {
 			if strings.HasPrefix(w, "trial") {
-				met[keys(i)] = true
+				answered[keys(i)] = true
 				return c.ending, 50 * Millisecond
 			}
-			below += int(indicator(met[keys(i)]))
+			below += int(indicator(answered[keys(i)]))
 			return OK, 50 * Millisecond
 		})
 		want(t, fmt.Sprintf("ending %d: keys not sent to the earlier build", c.ending), below == 0, c.bound)
--- a/logic/state.go
+++ b/logic/state.go
@@ -50,7 +50,7 @@
 	at      Nanos
 }
 
-// worker is what is known of a worker process.
+// worker is the state of a worker process, as far as this sentry knows it.
 type worker struct {
 	Worker
 	cohort             *cohort
@@ -84,7 +84,7 @@
 	kind KindID
 }
 
-// cohort is the response times of the workers in a zone on machines of one kind.
+// cohort holds the response times of the workers in a zone on machines of one kind.
 type cohort struct {
 	slowdown  float64 // smoothed response time, in expected times
 	logTime   float64 // smoothed log of the same, of earlier builds
@@ -111,7 +111,7 @@
 	reservesKey bool // its key counts as answered while it is pending
 }
 
-// txn is an open txn: its state, and in want, what emit is to do for it.
+// txn is an open txn. want holds the actions that emit is to take for it.
 type txn struct {
 	Txn
 	generation  uint32 // of the slot, so that a timer for an earlier txn in it is recognized
@@ -256,7 +256,7 @@
 func (s *Sentry) flag(name string) bool   { v, _ := s.setting(name).(bool); return v }
 func (s *Sentry) text(name string) string { v, _ := s.setting(name).(string); return v }
 
-// readProducts reads the products from the settings and sizes what depends on settings.
+// readProducts reads the products from the settings, and allocates the exposure buckets and the evidence of other sentries.
 func (s *Sentry) readProducts() {
 	n := int(s.num("products.count", 0))
 	for i := 0; i < n; i++ {
@@ -332,7 +332,7 @@
 	return false
 }
 
-// evidence is what a sentry has observed of the build on trial, decayed.
+// evidence is a sentry's decayed counts of outcomes of the build on trial.
 type evidence struct {
 	rel            RelID      // of received evidence: the build
 	receivedAt     Nanos      // of received evidence
@@ -341,7 +341,7 @@
 	wins           float64    // discordant pairs in favour of the trial
 	trimmedLosses  float64    // losses without the workers with the most
 	trimmedWins    float64    // wins without the workers with the most
-	trialOutcomes  float64    // trial outcomes, paired or not; not decayed
+	trialOutcomes  float64    // trial outcomes, paired or not; these do not decay
 	bucketLosses   [4]float64 // losses by bucket of workers
 	trialResponses float64    // successes and errors of the trial; not sent to other sentries
 }
--- a/logic/types.go
+++ b/logic/types.go
@@ -1,5 +1,5 @@
-// Package logic is the decision module of a sentry. This file declares what passes between the module and its host: ids,
-// events and the sink for actions. All decisions are made in logic.go.
+// Package logic is the decision module of a sentry. This file declares its interface with the host: ids, events and the
+// sink for actions. All decisions are made in logic.go.
 package logic
 
 // Nanos is a time of the host's clock, or a duration, in nanoseconds.
@@ -123,7 +123,7 @@
 	Ending    Ending
 }
 
-// Tally is what the platform counted for one build and product.
+// Tally holds the platform's counts for one build and product.
 type Tally struct {
 	Rel       RelID
 	Product   ProductID
--- a/wire/init_settings.go
+++ b/wire/init_settings.go
@@ -2,7 +2,7 @@
 
 import "dunegrade/logic"
 
-// InitSettings is what an init message contains: the module's settings, and the numbers of the names that it lists.
+// InitSettings holds the contents of an init message: the module's settings, and the numbers of the names that it lists.
 type InitSettings struct {
 	Values     map[string]any // a flat map of names to values, as the module reads it
 	Products   map[string]int
