--- a/lab/checker.go
+++ b/lab/checker.go
@@ -41,9 +41,9 @@
 	rec      *Record
 	byTxn    map[uint64][]*Arrival
 	txns     map[uint64]*TxnRecord
-	lives    map[[2]int]Life
-	releases map[int][]Told // by edge
-	lists    map[int][]Told
+	lives    map[[2]int]Incarnation
+	releases map[int][]EdgeUpdate // by edge
+	lists    map[int][]EdgeUpdate
 	slacks
 	out []Violation
 }
@@ -54,28 +54,28 @@
 func check(day *Day, rec *Record, allow slacks) []Violation {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
-	c := &checker{day: day, rec: rec, byTxn: map[uint64][]*Arrival{}, txns: map[uint64]*TxnRecord{}, lives: map[[2]int]Life{},
-		releases: map[int][]Told{}, lists: map[int][]Told{}, slacks: allow}
+	c := &checker{day: day, rec: rec, byTxn: map[uint64][]*Arrival{}, txns: map[uint64]*TxnRecord{}, lives: map[[2]int]Incarnation{},
+		releases: map[int][]EdgeUpdate{}, lists: map[int][]EdgeUpdate{}, slacks: allow}
 	for _, t := range rec.Txns {
 		c.txns[t.ID] = t
 	}
-	for _, a := range rec.Arrivals {
+	for _, a := range rec.Submissions {
 		c.byTxn[a.Txn] = append(c.byTxn[a.Txn], a)
 	}
 	for _, list := range c.byTxn {
 		sort.SliceStable(list, func(i, j int) bool { return list[i].At < list[j].At })
 	}
-	for _, l := range rec.Lives {
-		c.lives[[2]int{l.Edge, l.N}] = l
+	for _, l := range rec.Incarnations {
+		c.lives[[2]int{l.Edge, l.Number}] = l
 	}
-	for _, t := range rec.Told {
+	for _, t := range rec.Updates {
 		if t.Release != nil {
 			c.releases[t.Edge] = append(c.releases[t.Edge], t)
 		} else {
 			c.lists[t.Edge] = append(c.lists[t.Edge], t)
 		}
 	}
-	for _, m := range []map[int][]Told{c.releases, c.lists} {
+	for _, m := range []map[int][]EdgeUpdate{c.releases, c.lists} {
 		for _, list := range m {
 			sort.SliceStable(list, func(i, j int) bool { return list[i].At < list[j].At })
 		}
@@ -103,14 +103,14 @@
 // story tells all that is known of a txn.
 func (c *checker) story(t *TxnRecord) []string {
 	s := []string{fmt.Sprintf("txn %d (%s, key %d) sent to edge %d at %.3fs, patience until %.3fs", t.ID, c.day.Products[t.Product].Name,
-		t.Key, t.Edge, t.Sent.Seconds(), t.Until.Seconds())}
+		t.Key, t.Edge, t.SentAt.Seconds(), t.Until.Seconds())}
 	for _, a := range c.byTxn[t.ID] {
 		s = append(s, fmt.Sprintf("%.3fs at worker %s of build %d: %s (began %t, ended %.3fs)", a.At.Seconds(), a.Worker, a.Build, a.End,
 			a.Began, a.Finished.Seconds()))
 	}
 	switch {
-	case t.Answered > 0:
-		s = append(s, fmt.Sprintf("answered at %.3fs: %d %s", t.Answered.Seconds(), t.Status, t.Outcome))
+	case t.AnsweredAt > 0:
+		s = append(s, fmt.Sprintf("answered at %.3fs: %d %s", t.AnsweredAt.Seconds(), t.Status, t.Outcome))
 	case t.Left > 0:
 		s = append(s, fmt.Sprintf("client left at %.3fs", t.Left.Seconds()))
 	default:
@@ -123,32 +123,32 @@
 // was asked to stop is excused only for what no worker ever saw and the client sent as it closed.
 func (c *checker) cut(t *TxnRecord) bool {
 	l, known := c.lives[[2]int{t.Edge, t.Life}]
-	if !known || l.Till == 0 {
+	if !known || l.EndedAt == 0 {
 		return false
 	}
 	if l.Killed {
-		return t.Sent <= l.Till+c.after && t.Until+c.slacks.answer >= l.Till
+		return t.SentAt <= l.EndedAt+c.after && t.Until+c.slacks.answer >= l.EndedAt
 	}
-	return l.Asked > 0 && t.Sent >= l.Asked-c.after && len(c.byTxn[t.ID]) == 0
+	return l.StopRequestedAt > 0 && t.SentAt >= l.StopRequestedAt-c.after && len(c.byTxn[t.ID]) == 0
 }
 
 // answers is rule 1: exactly one final answer in time, and nothing sent after.
 func (c *checker) answers() {
 	for _, t := range c.rec.Txns {
 		if t.Extra || t.Strange {
-			c.break_(1, t.Answered, t, "more than one answer, or another txn's")
+			c.break_(1, t.AnsweredAt, t, "more than one answer, or another txn's")
 		}
 		switch {
 		case t.Broken == "broken" && !c.cut(t):
-			c.break_(1, t.Sent, t, "the connection ended without an answer")
+			c.break_(1, t.SentAt, t, "the connection ended without an answer")
 		case t.Left >= t.Until && t.Left > 0 && !c.cut(t):
 			c.break_(1, t.Until, t, "no answer within the client's patience")
-		case t.Answered > t.Until+c.slacks.answer:
-			c.break_(1, t.Answered, t, "answered %v after the client's patience", t.Answered-t.Until)
+		case t.AnsweredAt > t.Until+c.slacks.answer:
+			c.break_(1, t.AnsweredAt, t, "answered %v after the client's patience", t.AnsweredAt-t.Until)
 		}
 		over := t.Until
-		if t.Answered > 0 {
-			over = min(over, t.Answered)
+		if t.AnsweredAt > 0 {
+			over = min(over, t.AnsweredAt)
 		}
 		if t.Left > 0 {
 			over = min(over, t.Left)
@@ -177,8 +177,8 @@
 			if first != nil && p.Effect == "once-only" {
 				c.break_(2, a.At, t, "once-only, sent again though it may have run")
 			}
-			if first != nil && p.Effect == "referenced" && a.At-first.At > p.Memory+c.drain {
-				c.break_(2, a.At, t, "referenced, sent again %v after its first submission; workers remember %v", a.At-first.At, p.Memory)
+			if first != nil && p.Effect == "referenced" && a.At-first.At > p.DedupMemory+c.drain {
+				c.break_(2, a.At, t, "referenced, sent again %v after its first submission; workers remember %v", a.At-first.At, p.DedupMemory)
 			}
 			if !a.Turned && first == nil {
 				first = a
@@ -187,11 +187,11 @@
 				ran[t.Lineage]++
 			}
 		}
-		if t.Outcome == "declined" && p.Effect == "once-only" && first != nil && first.At < t.Answered {
-			c.break_(2, t.Answered, t, "once-only, declined though it may have run")
+		if t.Outcome == "declined" && p.Effect == "once-only" && first != nil && first.At < t.AnsweredAt {
+			c.break_(2, t.AnsweredAt, t, "once-only, declined though it may have run")
 		}
 		if p.Effect == "once-only" && ran[t.Lineage] > 1 {
-			c.break_(2, t.Sent, t, "a once-only effect took place %d times", ran[t.Lineage])
+			c.break_(2, t.SentAt, t, "a once-only effect took place %d times", ran[t.Lineage])
 			ran[t.Lineage] = -1000
 		}
 	}
@@ -210,19 +210,19 @@
 			if key[0] != edge {
 				continue
 			}
-			till := life.Till
+			till := life.EndedAt
 			if till == 0 {
 				till = 1 << 62
 			}
 			told := map[string][]state{}
 			for i := 0; i < len(list); i++ {
 				t := list[i]
-				if t.At < life.From || t.At > till {
+				if t.At < life.StartedAt || t.At > till {
 					continue
 				}
-				if t.Whole {
+				if t.FullList {
 					has := map[string]bool{}
-					for k := i + 1; k < len(list) && list[k].At == t.At && !list[k].Whole; k++ {
+					for k := i + 1; k < len(list) && list[k].At == t.At && !list[k].FullList; k++ {
 						has[list[k].Worker] = true
 					}
 					for w, s := range told {
@@ -234,7 +234,7 @@
 				}
 				told[t.Worker] = append(told[t.Worker], state{t.At, t.State != api.Up, t.Started})
 			}
-			for _, a := range c.rec.Arrivals {
+			for _, a := range c.rec.Submissions {
 				t := c.txns[a.Txn]
 				if t == nil || t.Edge != edge || t.Life != key[1] {
 					continue
@@ -243,7 +243,7 @@
 				back := false
 				for i := range told[a.Worker] {
 					s := &told[a.Worker][i]
-					if s.at <= a.At-c.day.Grace-c.drain {
+					if s.at <= a.At-c.day.DrainGrace-c.drain {
 						last, back = s, false
 					} else if s.at <= a.At+c.drain && !s.gone {
 						back = true
@@ -279,15 +279,15 @@
 
 // possible gives what an edge may have held for the newest news at a moment, widened by the slack and, backwards, by
 // the grace as well: a lower cap binds after it.
-func (c *checker) possible(edge int, life Life, when time.Duration) []Told {
-	var out []Told
+func (c *checker) possible(edge int, life Incarnation, when time.Duration) []EdgeUpdate {
+	var out []EdgeUpdate
 	list := c.releases[edge]
-	early, late := when-c.day.Grace-c.slacks.exposure, when+c.slacks.exposure
+	early, late := when-c.day.DrainGrace-c.slacks.exposure, when+c.slacks.exposure
 	for i, t := range list {
-		if t.At > late || t.At < life.From {
+		if t.At > late || t.At < life.StartedAt {
 			continue
 		}
-		if i+1 < len(list) && list[i+1].At < early && list[i+1].At >= life.From {
+		if i+1 < len(list) && list[i+1].At < early && list[i+1].At >= life.StartedAt {
 			continue // replaced long before
 		}
 		out = append(out, t)
@@ -305,7 +305,7 @@
 	subs, took := map[lane][]*Arrival{}, map[lane][]time.Duration{}
 	laneOf := func(t *TxnRecord) lane {
 		l := lane{t.Edge, t.Life, -1}
-		if c.day.Counts == "product" {
+		if c.day.ExposureScope == "product" {
 			l.product = t.Product
 		}
 		return l
@@ -313,7 +313,7 @@
 	for _, t := range c.rec.Txns {
 		if t.Broken != "refused" {
 			l := laneOf(t)
-			took[l] = append(took[l], t.Sent)
+			took[l] = append(took[l], t.SentAt)
 		}
 		for _, a := range c.byTxn[t.ID] {
 			l := laneOf(t)
@@ -327,7 +327,7 @@
 		var trial []shown
 		for _, a := range list {
 			build := c.buildOf(l.edge, life, a)
-			onTrial, cap, from := true, 0.0, a.At-c.day.Window
+			onTrial, cap, from := true, 0.0, a.At-c.day.ExposureWindow
 			known := c.possible(l.edge, life, a.At)
 			guarded := len(known) > 0
 			for _, t := range known {
@@ -337,10 +337,10 @@
 				}
 				x, stage := r.Cap, r.Stage
 				if build > r.Build { // not announced: as in the first stage
-					x, stage = c.day.caps()[0], 0
+					x, stage = c.day.stageCaps()[0], 0
 				}
 				cap = max(cap, x)
-				guarded = guarded && stage < c.day.Guarded
+				guarded = guarded && stage < c.day.GuardedStages
 			}
 			if !onTrial || len(known) == 0 {
 				continue
@@ -365,21 +365,21 @@
 				took[l][k] > from-c.slacks.exposure; k-- {
 				all++
 			}
-			wide := 1 + 2*c.slacks.exposure.Seconds()/c.day.Window.Seconds()
-			allowed := c.day.Free*float64(c.day.Loops)*wide + cap*float64(all)
+			wide := 1 + 2*c.slacks.exposure.Seconds()/c.day.ExposureWindow.Seconds()
+			allowed := c.day.FreeSubmissions*float64(c.day.Loops)*wide + cap*float64(all)
 			if float64(n) > allowed+1e-9 {
-				c.break_(5, a.At, t, "%d submissions to build %d in %v; allowed %.1f = %g free + %g of %d txns", n, build, c.day.Window, allowed,
-					c.day.Free, cap, all)
+				c.break_(5, a.At, t, "%d submissions to build %d in %v; allowed %.1f = %g free + %g of %d txns", n, build, c.day.ExposureWindow, allowed,
+					c.day.FreeSubmissions, cap, all)
 			}
 		}
 	}
 }
 
 // buildOf is the build that counts for a submission: the one that ran, unless the edge's list had not shown it yet.
-func (c *checker) buildOf(edge int, life Life, a *Arrival) int {
+func (c *checker) buildOf(edge int, life Incarnation, a *Arrival) int {
 	last := a.Build
 	for _, t := range c.lists[edge] {
-		if t.Worker != a.Worker || t.At < life.From || t.At > a.At+c.slacks.exposure {
+		if t.Worker != a.Worker || t.At < life.StartedAt || t.At > a.At+c.slacks.exposure {
 			continue
 		}
 		if t.Build == a.Build && t.At >= a.At-c.slacks.exposure {
@@ -394,7 +394,7 @@
 
 // oneWay is the rest of rule 5: a key that the new build has answered goes to no earlier one until it goes back.
 func (c *checker) oneWay() {
-	if !c.day.OneWay {
+	if !c.day.OneWayKeys {
 		return
 	}
 	type at struct {
@@ -403,7 +403,7 @@
 	}
 	met := map[at][]*TxnRecord{}
 	for _, t := range c.rec.Txns {
-		if t.Answered > 0 && t.Status == 200 && t.Build > 0 {
+		if t.AnsweredAt > 0 && t.Status == 200 && t.Build > 0 {
 			k := at{t.Edge, t.Life, t.Key}
 			met[k] = append(met[k], t)
 		}
@@ -411,13 +411,13 @@
 	for _, t := range c.rec.Txns {
 		for _, a := range c.byTxn[t.ID] {
 			for _, m := range met[at{t.Edge, t.Life, t.Key}] {
-				if m.Build <= a.Build || m.Answered+c.slacks.exposure >= a.At {
+				if m.Build <= a.Build || m.AnsweredAt+c.slacks.exposure >= a.At {
 					continue
 				}
 				life := c.lives[[2]int{t.Edge, t.Life}]
 				binds := true
 				// Every state that the edge may have held from the answer on must bind the key.
-				for _, k := range c.between(t.Edge, life, m.Answered-c.slacks.exposure, a.At+c.slacks.exposure) {
+				for _, k := range c.between(t.Edge, life, m.AnsweredAt-c.slacks.exposure, a.At+c.slacks.exposure) {
 					r := k.Release
 					if r.Build != m.Build || r.Phase != api.OnTrial && r.Phase != api.Released {
 						binds = false
@@ -425,7 +425,7 @@
 				}
 				if binds {
 					c.break_(5, a.At, t, "key %d, answered by build %d through this edge at %.3fs, sent to build %d", t.Key, m.Build,
-						m.Answered.Seconds(), a.Build)
+						m.AnsweredAt.Seconds(), a.Build)
 					break
 				}
 			}
@@ -434,11 +434,11 @@
 }
 
 // between gives all news that an edge may have held within a span.
-func (c *checker) between(edge int, life Life, from, till time.Duration) []Told {
-	var out []Told
+func (c *checker) between(edge int, life Incarnation, from, till time.Duration) []EdgeUpdate {
+	var out []EdgeUpdate
 	list := c.releases[edge]
 	for i, t := range list {
-		if t.At < life.From || t.At > till {
+		if t.At < life.StartedAt || t.At > till {
 			continue
 		}
 		if i+1 < len(list) && list[i+1].At < from {
--- a/lab/clients.go
+++ b/lab/clients.go
@@ -20,30 +20,30 @@
 type clients struct {
 	day   *Day
 	rec   *Record
-	now   func() at
+	now   func() runTime
 	rng   *rand.Rand
 	zipf  *rand.Zipf
-	edges []*target
+	edges []*edgeEndpoint
 	group sync.WaitGroup
 	next  atomic.Uint64
 	flag  func(edge int, product, worker string, age time.Duration)
 	mu    sync.Mutex // guards chance drawn after the start
 	late  *rand.Rand
 
-	burst    atomic.Uint64 // times the traffic, as float bits
-	giveUp   atomic.Uint64 // share that leaves early
-	badShare atomic.Uint64
-	behind   atomic.Int64 // the latest that an arrival was sent after its time, in nanoseconds
+	rateFactor   atomic.Uint64 // times the traffic, as float bits
+	giveUpShare  atomic.Uint64 // share that leaves early
+	badKeyShare  atomic.Uint64
+	maxSendDelay atomic.Int64 // the latest that an arrival was sent after its time, in nanoseconds
 }
 
-// target is an edge as clients see it, with connections kept for reuse.
-type target struct {
-	n       int
-	address string
-	weight  float64
-	life    atomic.Int64 // number of the process now running
-	mu      sync.Mutex
-	idle    []*clientSide
+// edgeEndpoint is an edge as clients see it, with connections kept for reuse.
+type edgeEndpoint struct {
+	index       int
+	address     string
+	weight      float64
+	incarnation atomic.Int64 // number of the process now running
+	mu          sync.Mutex
+	idle        []*clientSide
 }
 
 type clientSide struct {
@@ -52,14 +52,14 @@
 	used int
 }
 
-func floatOf(a *atomic.Uint64) float64     { return math.Float64frombits(a.Load()) }
-func setFloat(a *atomic.Uint64, v float64) { a.Store(math.Float64bits(v)) }
+func floatOf(a *atomic.Uint64) float64       { return math.Float64frombits(a.Load()) }
+func storeFloat(a *atomic.Uint64, v float64) { a.Store(math.Float64bits(v)) }
 
-func newClients(day *Day, rec *Record, now func() at, flag func(int, string, string, time.Duration)) *clients {
+func newClients(day *Day, rec *Record, now func() runTime, flag func(int, string, string, time.Duration)) *clients {
 	rng := rand.New(rand.NewSource(day.Seed + 99))
 	c := &clients{day: day, rec: rec, now: now, rng: rng, zipf: rand.NewZipf(rng, 1.1, 10, uint64(max(1, day.Keys-1))),
 		flag: flag, late: rand.New(rand.NewSource(day.Seed + 101))}
-	setFloat(&c.burst, 1)
+	storeFloat(&c.rateFactor, 1)
 	return c
 }
 
@@ -69,7 +69,7 @@
 	defer t.Stop()
 	due := c.now()
 	for due < c.day.Length {
-		due += time.Duration(c.rng.ExpFloat64() / (c.day.Rate * floatOf(&c.burst)) * float64(time.Second))
+		due += time.Duration(c.rng.ExpFloat64() / (c.day.Rate * floatOf(&c.rateFactor)) * float64(time.Second))
 		if wait := due - c.now(); wait > 0 {
 			t.Reset(wait)
 			select {
@@ -78,8 +78,8 @@
 				return
 			case <-t.C:
 			}
-		} else if int64(-wait) > c.behind.Load() {
-			c.behind.Store(int64(-wait))
+		} else if int64(-wait) > c.maxSendDelay.Load() {
+			c.maxSendDelay.Store(int64(-wait))
 		}
 		txn := c.draw()
 		c.group.Go(func() { c.play(txn) })
@@ -93,7 +93,7 @@
 	key     uint64
 	work    time.Duration
 	hint    time.Duration
-	edge    *target
+	edge    *edgeEndpoint
 	share   float64 // of the expiry that the client waits
 	early   time.Duration
 	bad     bool
@@ -109,21 +109,21 @@
 		x -= p.Share
 	}
 	p := &c.day.Products[o.product]
-	cv := c.day.NoiseCV
+	cv := c.day.WorkCV
 	sigma := math.Sqrt(math.Log(1 + cv*cv))
-	o.work = time.Duration(float64(p.Work) * math.Exp(sigma*c.rng.NormFloat64()-sigma*sigma/2))
+	o.work = time.Duration(float64(p.MeanWork) * math.Exp(sigma*c.rng.NormFloat64()-sigma*sigma/2))
 	o.hint = time.Duration(float64(o.work) * math.Exp(0.3*c.rng.NormFloat64()))
 	o.edge = c.pick(c.rng.Float64())
-	o.share = c.day.Patience + (1-c.day.Patience)*c.rng.Float64()
-	if c.rng.Float64() < floatOf(&c.giveUp) {
+	o.share = c.day.MinPatience + (1-c.day.MinPatience)*c.rng.Float64()
+	if c.rng.Float64() < floatOf(&c.giveUpShare) {
 		o.early = time.Duration((0.1 + 0.8*c.rng.Float64()) * float64(p.SLA))
 	}
-	o.bad = float64(o.key*0x9e3779b97f4a7c15>>40)/(1<<24) < floatOf(&c.badShare) // all of a key, as real ones are
+	o.bad = float64(o.key*0x9e3779b97f4a7c15>>40)/(1<<24) < floatOf(&c.badKeyShare) // all of a key, as real ones are
 	return o
 }
 
 // pick chooses an edge by a number from 0 to 1, and the edges' weights.
-func (c *clients) pick(x float64) *target {
+func (c *clients) pick(x float64) *edgeEndpoint {
 	sum := 0.0
 	for _, e := range c.edges {
 		sum += e.weight
@@ -145,19 +145,19 @@
 	patience := time.Duration(o.share * float64(p.Expiry))
 	lineage := uint64(0)
 	for try := 0; ; try++ {
-		r := &TxnRecord{ID: c.next.Add(1), Edge: o.edge.n, Life: int(o.edge.life.Load()), Product: o.product, Key: o.key, Sent: c.now(),
+		r := &TxnRecord{ID: c.next.Add(1), Edge: o.edge.index, Life: int(o.edge.incarnation.Load()), Product: o.product, Key: o.key, SentAt: c.now(),
 			Bad: o.bad, Retry: try > 0}
 		if lineage == 0 {
 			lineage = r.ID
 		}
 		r.Lineage = lineage
-		r.Until = r.Sent + patience
+		r.Until = r.SentAt + patience
 		r.Revenue = p.Revenue
 		after := c.send(o, r)
 		c.rec.txn(r)
 		// A once-only txn goes again only where the edge was not reached, or said that it does no harm.
 		again := r.Broken == "refused" || r.Outcome == "declined" || p.Effect == "inquiry-like" && r.Status != 200 && r.Left == 0 && !o.bad ||
-			p.Effect == "referenced" && r.Status != 200 && r.Left == 0 && !o.bad && c.now()-first < p.Memory/2
+			p.Effect == "referenced" && r.Status != 200 && r.Left == 0 && !o.bad && c.now()-first < p.DedupMemory/2
 		if !again || try >= c.day.Retries || c.now()+after+c.day.Backoff > first+2*patience {
 			return
 		}
@@ -171,7 +171,7 @@
 	p := &c.day.Products[o.product]
 	conn := o.edge.take()
 	if conn == nil {
-		d := net.Dialer{Timeout: r.Until - r.Sent}
+		d := net.Dialer{Timeout: r.Until - r.SentAt}
 		raw, err := d.Dial("tcp", o.edge.address)
 		if err != nil {
 			r.Broken = "refused"
@@ -188,8 +188,8 @@
 	}
 	conn.SetDeadline(time.Now().Add(wait))
 	method, length := "GET", ""
-	if p.Effect != "inquiry-like" || p.Body > 0 {
-		method, length = "POST", "Content-Length: "+strconv.Itoa(p.Body)+"\r\n"
+	if p.Effect != "inquiry-like" || p.BodyBytes > 0 {
+		method, length = "POST", "Content-Length: "+strconv.Itoa(p.BodyBytes)+"\r\n"
 	}
 	mark := ""
 	if p.Effect == "referenced" {
@@ -204,9 +204,9 @@
 	}
 	head := fmt.Sprintf("%s /%s/%d HTTP/1.1\r\nHost: lab\r\n%s%sLab-Txn: %d\r\nLab-Edge: %d\r\nLab-Key: %d\r\nLab-Product: %d\r\n"+
 		"Lab-Work-Ns: %d\r\nLab-Cost-Ms: %.3f\r\n%sx-envoy-upstream-rq-timeout-ms: %d\r\n\r\n", method, p.Name, o.key, length, mark,
-		r.ID, o.edge.n, o.key, o.product, int64(o.work), float64(o.hint)/1e6, bad, (r.Until-r.Sent)/time.Millisecond)
-	out := append(make([]byte, 0, len(head)+p.Body), head...)
-	for i := 0; i < p.Body; i++ {
+		r.ID, o.edge.index, o.key, o.product, int64(o.work), float64(o.hint)/1e6, bad, (r.Until-r.SentAt)/time.Millisecond)
+	out := append(make([]byte, 0, len(head)+p.BodyBytes), head...)
+	for i := 0; i < p.BodyBytes; i++ {
 		out = append(out, 'x')
 	}
 	if _, err := conn.Write(out); err != nil {
@@ -224,15 +224,15 @@
 		c.broke(conn, r, err, o)
 		return 0
 	}
-	r.Answered, r.Status, r.Outcome = c.now(), resp.StatusCode, resp.Header.Get("Dunegrade-Outcome")
+	r.AnsweredAt, r.Status, r.Outcome = c.now(), resp.StatusCode, resp.Header.Get("Dunegrade-Outcome")
 	if v := resp.Header.Get("Lab-Txn"); v != "" && v != strconv.FormatUint(r.ID, 10) {
 		r.Strange = true
 	}
 	r.Build, _ = strconv.Atoi(resp.Header.Get("Lab-Build"))
 	r.Wrong = resp.Header.Get("Lab-Wrong") != ""
-	if r.Wrong && c.chance() < c.day.Flags {
-		edge, product, worker, sent := o.edge.n, p.Name, resp.Header.Get("Lab-Worker"), r.Sent
-		time.AfterFunc(c.day.FlagsLate, func() { c.flag(edge, product, worker, c.now()-sent) })
+	if r.Wrong && c.chance() < c.day.WrongReportShare {
+		edge, product, worker, sent := o.edge.index, p.Name, resp.Header.Get("Lab-Worker"), r.SentAt
+		time.AfterFunc(c.day.WrongReportDelay, func() { c.flag(edge, product, worker, c.now()-sent) })
 	}
 	if ms, err := strconv.Atoi(resp.Header.Get("Dunegrade-Retry-After-Ms")); err == nil {
 		after = time.Duration(ms) * time.Millisecond
@@ -262,11 +262,11 @@
 		return
 	}
 	r.Broken = "broken"
-	r.Answered = 0
+	r.AnsweredAt = 0
 }
 
 // take gives an idle connection that is still open and silent, or nil.
-func (t *target) take() *clientSide {
+func (t *edgeEndpoint) take() *clientSide {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for n := len(t.idle); n > 0; n = len(t.idle) {
@@ -295,14 +295,14 @@
 	return ok
 }
 
-func (t *target) give(c *clientSide) {
+func (t *edgeEndpoint) give(c *clientSide) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.idle = append(t.idle, c)
 }
 
-// drop closes all idle connections, as when the edge has gone.
-func (t *target) drop() {
+// closeIdle closes all idle connections, as when the edge has gone.
+func (t *edgeEndpoint) closeIdle() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, c := range t.idle {
--- a/lab/day.go
+++ b/lab/day.go
@@ -16,15 +16,15 @@
 
 // Product is a kind of txn of a day.
 type Product struct {
-	Name        string
-	Share       float64
-	Work        time.Duration // mean, on a core of speed 1
-	SLA, Expiry time.Duration
-	Effect      string
-	Memory      time.Duration
-	Revenue     float64
-	Late        float64
-	Body        int // bytes of a request's body
+	Name             string
+	Share            float64
+	MeanWork         time.Duration // mean, on a core of speed 1
+	SLA, Expiry      time.Duration
+	Effect           string
+	DedupMemory      time.Duration
+	Revenue          float64
+	LateRevenueShare float64
+	BodyBytes        int // bytes of a request's body
 }
 
 // Offer is a new build, offered at some time.
@@ -75,45 +75,45 @@
 	Length time.Duration
 	Sentries,
 	Loops int
-	Weights  []float64 // of the sentries' traffic
-	Machines int
-	Kind     fleet.Kind
-	SpeedLow, SpeedHigh,
-	NoiseCV float64
-	Boot     time.Duration // until a new machine runs
-	Products []Product
-	Rate     float64 // txns a second
-	Keys     int
-	Retries  int
-	Backoff  time.Duration
-	Patience float64 // least share of the expiry that a client waits
-	Stages   []float64
-	Slack    float64 // cap = share times slack
-	Bake     time.Duration
-	Votes    string
-	NeedOn   int
-	NeedHold int           // sentries that stop the clock, under clocked
-	StageFor time.Duration // of a stage, under clocked
-	NeedBack int
-	Style    string
-	Counts   string
-	Window   time.Duration
-	Free     float64
-	OneWay   bool
-	Guarded  int
-	Push     time.Duration
-	NewsLate,
-	ListLate time.Duration
-	VotesPerSecond float64
-	TallyEvery     time.Duration // 0: the platform counts nothing
-	TallySample    float64
-	Flags          float64 // share of wrong answers that are reported
-	FlagsLate      time.Duration
-	Drain          time.Duration // a drained machine goes after that
-	Grace          time.Duration
-	Messages       bool
-	Offers         []Offer
-	Troubles       []Trouble
+	Weights     []float64 // of the sentries' traffic
+	Machines    int
+	MachineKind fleet.Kind
+	MinSpeed, MaxSpeed,
+	WorkCV float64
+	BootTime        time.Duration // until a new machine runs
+	Products        []Product
+	Rate            float64 // txns a second
+	Keys            int
+	Retries         int
+	Backoff         time.Duration
+	MinPatience     float64 // least share of the expiry that a client waits
+	StageShares     []float64
+	Slack           float64 // cap = share times slack
+	BakeTime        time.Duration
+	VoteRule        string
+	OnVotesNeeded   int
+	HoldVotesNeeded int           // sentries that stop the clock, under clocked
+	StageTime       time.Duration // of a stage, under clocked
+	BackVotesNeeded int
+	RolloutStyle    string
+	ExposureScope   string
+	ExposureWindow  time.Duration
+	FreeSubmissions float64
+	OneWayKeys      bool
+	GuardedStages   int
+	PushInterval    time.Duration
+	ReleaseUpdateDelay,
+	WorkerListDelay time.Duration
+	VotesPerSecond   float64
+	TallyInterval    time.Duration // 0: the platform counts nothing
+	TallySampleShare float64
+	WrongReportShare float64 // share of wrong answers that are reported
+	WrongReportDelay time.Duration
+	DrainTime        time.Duration // a drained machine goes after that
+	DrainGrace       time.Duration
+	Messages         bool
+	Offers           []Offer
+	Troubles         []Trouble
 }
 
 // ReadDay reads and checks a day's file. The error is config.Faults where the text is at fault.
@@ -153,18 +153,18 @@
 	s.RejectUnknown()
 	m := f.RequireField("fleet")
 	d.Machines = int(m.Int("machines", 8, 1, 200))
-	d.Kind = fleet.Kind{Cores: int(m.Int("cores", 2, 1, 256)), Slots: int(m.Int("slots", 32, 1, 100000)),
+	d.MachineKind = fleet.Kind{Cores: int(m.Int("cores", 2, 1, 256)), Slots: int(m.Int("slots", 32, 1, 100000)),
 		ColdStartCapacity: m.Float("cold-from", 0.3, 0.01, 1), WarmUp: fleet.Nanos(m.Duration("cold", 3*time.Second, 0, time.Hour)),
 		OverloadMultiple: m.Float("fall-multiple", 3, 0, 1000), OverloadWindow: fleet.Nanos(m.Duration("fall-after", time.Second, 0, time.Hour)),
 		StopsOnCancel: m.Bool("cancel-stops", true), BaseErrorRate: m.Float("base-errors", 0.0005, 0, 1),
 		ReportInterval: fleet.Nanos(m.Duration("report-every", 300*time.Millisecond, 0, time.Hour)),
 		ReportNoise:    m.Float("report-noise", 0.03, 0, 1)}
-	d.SpeedLow, d.SpeedHigh = m.Float("speed-low", 0.9, 0.01, 100), m.Float("speed-high", 1.1, 0.01, 100)
-	if d.SpeedLow > d.SpeedHigh {
-		m.AddError(fmt.Sprintf("(speed-low %g)", d.SpeedLow), fmt.Sprintf("at most (speed-high %g)", d.SpeedHigh))
+	d.MinSpeed, d.MaxSpeed = m.Float("speed-low", 0.9, 0.01, 100), m.Float("speed-high", 1.1, 0.01, 100)
+	if d.MinSpeed > d.MaxSpeed {
+		m.AddError(fmt.Sprintf("(speed-low %g)", d.MinSpeed), fmt.Sprintf("at most (speed-high %g)", d.MaxSpeed))
 	}
-	d.NoiseCV = m.Float("work-cv", 0.6, 0, 5)
-	d.Boot = m.Duration("boot", 800*time.Millisecond, 0, time.Hour)
+	d.WorkCV = m.Float("work-cv", 0.6, 0, 5)
+	d.BootTime = m.Duration("boot", 800*time.Millisecond, 0, time.Hour)
 	m.RejectUnknown()
 	d.readProducts(f)
 	t := f.RequireField("traffic")
@@ -172,7 +172,7 @@
 	d.Keys = int(t.Int("keys", 2000, 1, 1e7))
 	d.Retries = int(t.Int("retries", 1, 0, 10))
 	d.Backoff = t.Duration("backoff", 50*time.Millisecond, 0, time.Minute)
-	d.Patience = t.Float("patience", 0.6, 0.05, 1)
+	d.MinPatience = t.Float("patience", 0.6, 0.05, 1)
 	t.RejectUnknown()
 	d.readPlatform(f)
 	d.readScript(f)
@@ -187,12 +187,12 @@
 	sum := 0.0
 	for _, p := range f.Fields("product") {
 		x := Product{Name: p.TakeName("a product's name"), Share: p.Float("share", 1, 0, 1),
-			Work: p.Duration("work", 20*time.Millisecond, 0, time.Minute), SLA: p.Duration("sla", 300*time.Millisecond, time.Millisecond, time.Hour),
-			Expiry: p.Duration("expiry", time.Second, time.Millisecond, time.Hour),
-			Effect: p.OneOf("effect", "inquiry-like", "inquiry-like", "referenced", "once-only"),
-			Memory: p.Duration("memory", 0, 0, time.Hour), Revenue: p.Float("revenue", 1, 0, 1e6),
-			Late: p.Float("late-revenue", 0, 0, 1), Body: int(p.Bytes("body", 0, 0, 1<<20))}
-		if x.Effect == "referenced" && x.Memory == 0 {
+			MeanWork: p.Duration("work", 20*time.Millisecond, 0, time.Minute), SLA: p.Duration("sla", 300*time.Millisecond, time.Millisecond, time.Hour),
+			Expiry:      p.Duration("expiry", time.Second, time.Millisecond, time.Hour),
+			Effect:      p.OneOf("effect", "inquiry-like", "inquiry-like", "referenced", "once-only"),
+			DedupMemory: p.Duration("memory", 0, 0, time.Hour), Revenue: p.Float("revenue", 1, 0, 1e6),
+			LateRevenueShare: p.Float("late-revenue", 0, 0, 1), BodyBytes: int(p.Bytes("body", 0, 0, 1<<20))}
+		if x.Effect == "referenced" && x.DedupMemory == 0 {
 			p.RequireField("memory")
 		}
 		p.RejectUnknown()
@@ -210,36 +210,36 @@
 
 func (d *Day) readPlatform(f *config.Form) {
 	p := f.RequireField("platform")
-	d.Stages = p.Floats("stages", 0.001, 1)
+	d.StageShares = p.Floats("stages", 0.001, 1)
 	p.RequireField("stages")
-	for i := 1; i < len(d.Stages); i++ {
-		if d.Stages[i] <= d.Stages[i-1] {
-			p.AddError(fmt.Sprintf("stage %g after %g", d.Stages[i], d.Stages[i-1]), "stages that rise")
+	for i := 1; i < len(d.StageShares); i++ {
+		if d.StageShares[i] <= d.StageShares[i-1] {
+			p.AddError(fmt.Sprintf("stage %g after %g", d.StageShares[i], d.StageShares[i-1]), "stages that rise")
 		}
 	}
 	d.Slack = p.Float("slack", 1.3, 1, 10)
-	d.Bake = p.Duration("bake", 2*time.Second, 0, time.Hour)
-	d.Votes = p.OneOf("votes", "single", "single", "majority", "clocked")
-	d.NeedOn = int(p.Int("need-on", 1, 1, 1000))
-	d.NeedBack = int(p.Int("need-back", 1, 1, 1000))
-	d.NeedHold = int(p.Int("need-hold", 1, 1, 1000))
-	d.StageFor = p.Duration("stage-time", 3*time.Second, 0, time.Hour)
-	d.TallyEvery = p.Duration("tally-every", 0, 0, time.Hour)
-	d.TallySample = p.Float("tally-sample", 0.2, 0, 1)
-	d.Style = p.OneOf("style", "in-place", "in-place", "beside")
-	d.Counts = p.OneOf("counts", "all", "all", "product")
-	d.Window = p.Duration("window", 6*time.Second, time.Millisecond, time.Hour)
-	d.Free = p.Float("free", 3, 0, 1e6)
-	d.OneWay = p.Bool("one-way", false)
-	d.Guarded = int(p.Int("guarded-stages", 0, 0, 100))
-	d.Push = p.Duration("push", 2*time.Second, 10*time.Millisecond, time.Hour)
-	d.NewsLate = p.Duration("news-late", 200*time.Millisecond, 0, time.Minute)
-	d.ListLate = p.Duration("list-late", 200*time.Millisecond, 0, time.Minute)
+	d.BakeTime = p.Duration("bake", 2*time.Second, 0, time.Hour)
+	d.VoteRule = p.OneOf("votes", "single", "single", "majority", "clocked")
+	d.OnVotesNeeded = int(p.Int("need-on", 1, 1, 1000))
+	d.BackVotesNeeded = int(p.Int("need-back", 1, 1, 1000))
+	d.HoldVotesNeeded = int(p.Int("need-hold", 1, 1, 1000))
+	d.StageTime = p.Duration("stage-time", 3*time.Second, 0, time.Hour)
+	d.TallyInterval = p.Duration("tally-every", 0, 0, time.Hour)
+	d.TallySampleShare = p.Float("tally-sample", 0.2, 0, 1)
+	d.RolloutStyle = p.OneOf("style", "in-place", "in-place", "beside")
+	d.ExposureScope = p.OneOf("counts", "all", "all", "product")
+	d.ExposureWindow = p.Duration("window", 6*time.Second, time.Millisecond, time.Hour)
+	d.FreeSubmissions = p.Float("free", 3, 0, 1e6)
+	d.OneWayKeys = p.Bool("one-way", false)
+	d.GuardedStages = int(p.Int("guarded-stages", 0, 0, 100))
+	d.PushInterval = p.Duration("push", 2*time.Second, 10*time.Millisecond, time.Hour)
+	d.ReleaseUpdateDelay = p.Duration("news-late", 200*time.Millisecond, 0, time.Minute)
+	d.WorkerListDelay = p.Duration("list-late", 200*time.Millisecond, 0, time.Minute)
 	d.VotesPerSecond = p.Float("votes-per-second", 20, 0.1, 1e6)
-	d.Flags = p.Float("flags", 0.3, 0, 1)
-	d.FlagsLate = p.Duration("flags-late", time.Second, 0, time.Minute)
-	d.Drain = p.Duration("drain", 2*time.Second, 0, time.Hour)
-	d.Grace = p.Duration("grace", 500*time.Millisecond, 0, time.Hour)
+	d.WrongReportShare = p.Float("flags", 0.3, 0, 1)
+	d.WrongReportDelay = p.Duration("flags-late", time.Second, 0, time.Minute)
+	d.DrainTime = p.Duration("drain", 2*time.Second, 0, time.Hour)
+	d.DrainGrace = p.Duration("grace", 500*time.Millisecond, 0, time.Hour)
 	p.RejectUnknown()
 }
 
@@ -249,7 +249,7 @@
 			Speed: o.Float("speed", 1, 0.01, 100),
 			Flaw: fleet.Flaw(o.OneOf("flaw", "good", "good", "errors", "slow", "product", "load", "late", "wrong",
 				"slows-all"))}
-		if x.Flaw == fleet.OneProduct && d.product(x.Product) < 0 {
+		if x.Flaw == fleet.OneProduct && d.productIndex(x.Product) < 0 {
 			o.AddError(strconv.Quote(x.Product), "(product ...) with the name of one")
 		}
 		o.RejectUnknown()
@@ -276,7 +276,7 @@
 	sort.SliceStable(d.Troubles, func(i, j int) bool { return d.Troubles[i].At < d.Troubles[j].At })
 }
 
-func (d *Day) product(name string) int {
+func (d *Day) productIndex(name string) int {
 	for i := range d.Products {
 		if d.Products[i].Name == name {
 			return i
@@ -299,17 +299,17 @@
 	}
 }
 
-// caps gives each stage's cap.
-func (d *Day) caps() []float64 {
-	out := make([]float64, len(d.Stages))
-	for i, s := range d.Stages {
+// stageCaps gives each stage's cap.
+func (d *Day) stageCaps() []float64 {
+	out := make([]float64, len(d.StageShares))
+	for i, s := range d.StageShares {
 		out[i] = min(1, s*d.Slack)
 	}
 	return out
 }
 
-// EdgeText is the settings file of edge number i, as an operator would write it for this day.
-func (d *Day) EdgeText(i int, listen, admin, api, state string, peers []string) string {
+// EdgeSettings is the settings file of edge number i, as an operator would write it for this day.
+func (d *Day) EdgeSettings(i int, listen, admin, api, state string, peers []string) string {
 	var b strings.Builder
 	w := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
 	w("; written by the lab for the day %q", d.Name)
@@ -324,10 +324,10 @@
 	for _, p := range d.Products {
 		memory := ""
 		if p.Effect == "referenced" {
-			memory = fmt.Sprintf(" (group all) (memory %v)", p.Memory)
+			memory = fmt.Sprintf(" (group all) (memory %v)", p.DedupMemory)
 		}
 		w("  (product %q (sla %v) (expiry %v) (effect %s)%s (revenue %g) (late-revenue %g))", p.Name, p.SLA, p.Expiry, p.Effect,
-			memory, p.Revenue, p.Late)
+			memory, p.Revenue, p.LateRevenueShare)
 		w("  (route (prefix %q) (product %q) (key \"Lab-Key\") (cost \"Lab-Cost-Ms\"))", "/"+p.Name, p.Name)
 	}
 	w("  (allow (submissions 5) (copies true) (cancel true) (longest-retry-after 500ms))")
@@ -338,10 +338,10 @@
 		}
 		return strings.Join(s, " ")
 	}
-	w("  (release (votes %s) (style %s) (counts %s) (caps %s) (shares %s)", d.Votes, d.Style, d.Counts, nums(d.caps()), nums(d.Stages))
-	w("    (window %v) (free %g) (bake %v) (votes-back %d) (votes-per-second %g) (guarded-stages %d) (one-way %t))", d.Window, d.Free,
-		d.Bake, d.NeedBack, d.VotesPerSecond, d.Guarded, d.OneWay)
-	w("  (rules (cold %v) (cold-from %g) (fall-multiple %g) (fall-after %v) (drain-grace %v)))", time.Duration(d.Kind.WarmUp),
-		d.Kind.ColdStartCapacity, d.Kind.OverloadMultiple, time.Duration(d.Kind.OverloadWindow), d.Grace)
+	w("  (release (votes %s) (style %s) (counts %s) (caps %s) (shares %s)", d.VoteRule, d.RolloutStyle, d.ExposureScope, nums(d.stageCaps()), nums(d.StageShares))
+	w("    (window %v) (free %g) (bake %v) (votes-back %d) (votes-per-second %g) (guarded-stages %d) (one-way %t))", d.ExposureWindow, d.FreeSubmissions,
+		d.BakeTime, d.BackVotesNeeded, d.VotesPerSecond, d.GuardedStages, d.OneWayKeys)
+	w("  (rules (cold %v) (cold-from %g) (fall-multiple %g) (fall-after %v) (drain-grace %v)))", time.Duration(d.MachineKind.WarmUp),
+		d.MachineKind.ColdStartCapacity, d.MachineKind.OverloadMultiple, time.Duration(d.MachineKind.OverloadWindow), d.DrainGrace)
 	return b.String()
 }
--- a/lab/days_test.go
+++ b/lab/days_test.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := trace.CheckRules(lives, trace.RulesPlan{Cores: float64(day.Kind.Cores), Settings: settings}, nil)
+	r, err := trace.CheckRules(lives, trace.RulesPlan{Cores: float64(day.MachineKind.Cores), Settings: settings}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/lab/figures.go
+++ b/lab/figures.go
@@ -68,7 +68,7 @@
 
 // Sum works out the figures of a record.
 func Sum(day *Day, rec *Record, edge string, broken []Violation) *Figures {
-	f := &Figures{Day: day.Name, Seed: day.Seed, Edge: edge, Votes: map[string]int{}, Falls: len(rec.Falls), Behind: rec.behind.Seconds()}
+	f := &Figures{Day: day.Name, Seed: day.Seed, Edge: edge, Votes: map[string]int{}, Falls: len(rec.Falls), Behind: rec.maxSendDelay.Seconds()}
 	f.Series = make([]Second, int(day.Length/time.Second)+1)
 	f.Products = make([]ProductFigures, len(day.Products))
 	for i, p := range day.Products {
@@ -99,10 +99,10 @@
 		p, spec := &f.Products[first.Product], &day.Products[first.Product]
 		p.Asked++
 		asked[first.Product] += spec.Revenue
-		second := &f.Series[min(len(f.Series)-1, max(0, int(first.Sent/time.Second)))]
+		second := &f.Series[min(len(f.Series)-1, max(0, int(first.SentAt/time.Second)))]
 		second.Asked++
 		got := 0.0
-		switch took := last.Answered - first.Sent; {
+		switch took := last.AnsweredAt - first.SentAt; {
 		case last.Status == 200 && last.Wrong:
 			p.Wrong++
 			harm += spec.Revenue
@@ -115,7 +115,7 @@
 			} else {
 				p.Late++
 				second.Late++
-				got = spec.Revenue * spec.Late
+				got = spec.Revenue * spec.LateRevenueShare
 			}
 		case last.Outcome == "declined":
 			p.Declined++
@@ -128,8 +128,8 @@
 			second.Lost++
 		}
 		earned[first.Product] += got
-		w := window[int(first.Sent/(5*time.Second))]
-		window[int(first.Sent/(5*time.Second))] = [2]float64{w[0] + got, w[1] + spec.Revenue}
+		w := window[int(first.SentAt/(5*time.Second))]
+		window[int(first.SentAt/(5*time.Second))] = [2]float64{w[0] + got, w[1] + spec.Revenue}
 	}
 	allAsked, allEarned := 0.0, 0.0
 	for i := range f.Products {
@@ -148,7 +148,7 @@
 	}
 	f.builds(day, rec, allAsked, &harm)
 	f.Harm = harm / max(allAsked, 1e-9)
-	f.Work = float64(len(rec.Arrivals)) / max(1, float64(len(rec.Txns)))
+	f.Work = float64(len(rec.Submissions)) / max(1, float64(len(rec.Txns)))
 	for _, v := range rec.Votes {
 		f.Votes[v.Verdict]++
 	}
@@ -175,7 +175,7 @@
 	for n, b := range per {
 		bad[n] = b.Flaw != string(fleet.NoFlaw)
 	}
-	for _, a := range rec.Arrivals {
+	for _, a := range rec.Submissions {
 		t := byID[a.Txn]
 		if t == nil {
 			continue
--- a/lab/platform.go
+++ b/lab/platform.go
@@ -22,8 +22,8 @@
 type platform struct {
 	day   *Day
 	rec   *Record
-	park  *park
-	now   func() at
+	park  *workerFleet
+	now   func() runTime
 	rng   *rand.Rand
 	http  *http.Server
 	url   string
@@ -31,82 +31,82 @@
 	plays sync.WaitGroup // what is played in a state
 	quit  chan struct{}
 
-	mu       sync.Mutex
-	places   []*placeState
-	changes  []change // of the list
-	news     []newsItem
-	build    int // the newest
-	before   int // the one that it follows
-	builds   map[int]fleet.Build
-	stage    int
-	phase    string
-	since    at
-	ready    at // when all machines of the stage ran; 0: not yet
-	standing map[int]VoteRecord
-	tokens   float64
-	refilled at
-	stalled  bool
-	late     time.Duration
-	reports  map[string][]api.Report
-	tallies  []tallyItem
-	tallied  at
-	clock    time.Duration // that the stage has run, under clocked
-	stepped  at
-	lists    map[string]api.Worker                 // as the last change left it
-	next     int                                   // offer
-	entered  func(state string)                    // played in each state, which does not end before it does; may be nil
-	holds    int                                   // of them that are played
-	spoil    func(w http.ResponseWriter, line any) // has its way before each line of a watch is written; may be nil
-	backAt   map[int]at                            // when a build was called back
-	released map[int]at
-	offered  map[int]at
-}
-
-// placeState is one place of the fleet: what runs there, and what starts.
-type placeState struct {
-	n     int
-	speed float64
-	old   *worker // of the earlier build, nil when gone
-	new   *worker // of the newest, nil when there is none
-	gone  at      // when the drained one is to be stopped
-	drain *worker
-	boots at // when the starting one is up
-	boot  *worker
+	mu               sync.Mutex
+	replicas         []*replicaState
+	workerChanges    []change // of the list
+	releaseUpdates   []newsItem
+	build            int // the newest
+	before           int // the one that it follows
+	builds           map[int]fleet.Build
+	stage            int
+	phase            string
+	since            runTime
+	ready            runTime // when all machines of the stage ran; 0: not yet
+	standing         map[int]VoteRecord
+	tokens           float64
+	refilled         runTime
+	stalled          bool
+	extraUpdateDelay time.Duration
+	reports          map[string][]api.Report
+	tallies          []tallyItem
+	tallied          runTime
+	clock            time.Duration // that the stage has run, under clocked
+	stepped          runTime
+	lists            map[string]api.Worker                 // as the last change left it
+	next             int                                   // offer
+	stateHook        func(state string)                    // played in each state, which does not end before it does; may be nil
+	holds            int                                   // of them that are played
+	corruptLine      func(w http.ResponseWriter, line any) // has its way before each line of a watch is written; may be nil
+	backAt           map[int]runTime                       // when a build was called back
+	released         map[int]runTime
+	offered          map[int]runTime
+}
+
+// replicaState is one place of the fleet: what runs there, and what starts.
+type replicaState struct {
+	n         int
+	speed     float64
+	oldWorker *worker // of the earlier build, nil when gone
+	newWorker *worker // of the newest, nil when there is none
+	gone      runTime // when the drained one is to be stopped
+	drain     *worker
+	boots     runTime // when the starting one is up
+	boot      *worker
 }
 
 type change struct {
-	at     at
+	at     runTime
 	worker api.Worker
 }
 
 type tallyItem struct {
-	at    at
+	at    runTime
 	tally api.Tally
 }
 
 type newsItem struct {
-	at      at
+	at      runTime
 	release api.Release
 }
 
-func newPlatform(day *Day, rec *Record, park *park, now func() at) *platform {
+func newPlatform(day *Day, rec *Record, park *workerFleet, now func() runTime) *platform {
 	p := &platform{day: day, rec: rec, park: park, now: now, rng: rand.New(rand.NewSource(day.Seed + 17)), quit: make(chan struct{}),
 		build: 1, before: 1, builds: map[int]fleet.Build{1: {Number: 1, Flaw: fleet.NoFlaw, Speed: 1}}, phase: api.Released,
-		stage: len(day.Stages) - 1, standing: map[int]VoteRecord{}, tokens: 2 * day.VotesPerSecond, reports: map[string][]api.Report{},
-		lists: map[string]api.Worker{}, backAt: map[int]at{}, released: map[int]at{}, offered: map[int]at{}}
+		stage: len(day.StageShares) - 1, standing: map[int]VoteRecord{}, tokens: 2 * day.VotesPerSecond, reports: map[string][]api.Report{},
+		lists: map[string]api.Worker{}, backAt: map[int]runTime{}, released: map[int]runTime{}, offered: map[int]runTime{}}
 	return p
 }
 
 // start brings up the first machines and the API at an address.
 func (p *platform) start(host string) error {
 	for i := 0; i < p.day.Machines; i++ {
-		s := &placeState{n: i, speed: p.day.SpeedLow + (p.day.SpeedHigh-p.day.SpeedLow)*p.rng.Float64()}
-		s.old = p.park.add(i, p.builds[1], s.speed, fleet.MachineFault{})
-		if err := s.old.start(false); err != nil {
+		s := &replicaState{n: i, speed: p.day.MinSpeed + (p.day.MaxSpeed-p.day.MinSpeed)*p.rng.Float64()}
+		s.oldWorker = p.park.add(i, p.builds[1], s.speed, fleet.MachineFault{})
+		if err := s.oldWorker.start(false); err != nil {
 			return err
 		}
-		p.places = append(p.places, s)
-		p.list(0, s.old, api.Up)
+		p.replicas = append(p.replicas, s)
+		p.addWorkerChange(0, s.oldWorker, api.Up)
 	}
 	p.tell(0)
 	ln, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
@@ -135,23 +135,23 @@
 	p.group.Wait()
 }
 
-// settled waits for what is played in the last state: edges may be stopped by it. No other begins after.
-func (p *platform) settled() {
+// awaitStateHooks waits for what is played in the last state: edges may be stopped by it. No other begins after.
+func (p *platform) awaitStateHooks() {
 	p.mu.Lock()
-	p.entered = nil
+	p.stateHook = nil
 	p.mu.Unlock()
 	p.plays.Wait()
 }
 
-// list notes a change of the list, seen after the list's delay. The lock is held, or nobody else is there yet.
-func (p *platform) list(delay time.Duration, w *worker, state string) {
+// addWorkerChange notes a change of the addWorkerChange, seen after the addWorkerChange's delay. The lock is held, or nobody else is there yet.
+func (p *platform) addWorkerChange(delay time.Duration, w *worker, state string) {
 	x := api.Worker{ID: w.id, Address: w.address, Zone: "lab", Kind: "std", State: state, Weight: 1, Build: w.build.Number,
 		StartedAt: int64(w.started)}
 	when := p.now() + delay
-	if n := len(p.changes); n > 0 {
-		when = max(when, p.changes[n-1].at) // changes keep their order
+	if n := len(p.workerChanges); n > 0 {
+		when = max(when, p.workerChanges[n-1].at) // changes keep their order
 	}
-	p.changes = append(p.changes, change{when, x})
+	p.workerChanges = append(p.workerChanges, change{when, x})
 }
 
 // state names where the platform stands, as reviews and tests do.
@@ -161,7 +161,7 @@
 		return "next build after one withdrawn"
 	case p.phase == api.OnTrial && p.stage == 0:
 		return "first stage"
-	case p.phase == api.OnTrial && p.stage == len(p.day.Stages)-1:
+	case p.phase == api.OnTrial && p.stage == len(p.day.StageShares)-1:
 		return "last stage"
 	case p.phase == api.OnTrial:
 		return "stage change"
@@ -175,12 +175,12 @@
 	return "after release"
 }
 
-// enter has what is to be played in a state played beside the platform, which holds the state till then. The lock is held.
-func (p *platform) enter() {
-	if p.entered == nil {
+// runStateHook has what is to be played in a state played beside the platform, which holds the state till then. The lock is held.
+func (p *platform) runStateHook() {
+	if p.stateHook == nil {
 		return
 	}
-	state, entered := p.state(), p.entered
+	state, entered := p.state(), p.stateHook
 	p.holds++
 	p.plays.Go(func() {
 		entered(state)
@@ -192,23 +192,23 @@
 
 // tell notes news of the release, told after the news' delay.
 func (p *platform) tell(delay time.Duration) {
-	p.enter()
+	p.runStateHook()
 	cap := 0.0
 	switch p.phase {
 	case api.OnTrial:
-		cap = p.day.caps()[p.stage]
+		cap = p.day.stageCaps()[p.stage]
 	case api.Released:
 		cap = 1
 	}
 	when := p.now() + delay
-	if n := len(p.news); n > 0 {
-		when = max(when, p.news[n-1].at)
+	if n := len(p.releaseUpdates); n > 0 {
+		when = max(when, p.releaseUpdates[n-1].at)
 	}
-	p.news = append(p.news, newsItem{when, api.Release{Name: strconv.Itoa(p.build), Build: p.build, Stage: p.stage, Phase: p.phase,
+	p.releaseUpdates = append(p.releaseUpdates, newsItem{when, api.Release{Name: strconv.Itoa(p.build), Build: p.build, Stage: p.stage, Phase: p.phase,
 		Cap: cap, Since: int64(p.since)}})
 }
 
-func (p *platform) mark(format string, args ...any) {
+func (p *platform) logEvent(format string, args ...any) {
 	text := fmt.Sprintf("%6.2fs  ", p.now().Seconds()) + fmt.Sprintf(format, args...)
 	p.rec.mu.Lock()
 	p.rec.Marks = append(p.rec.Marks, text)
@@ -252,21 +252,21 @@
 	p.count(now)
 	passed := now - p.stepped
 	p.stepped = now
-	for _, s := range p.places {
+	for _, s := range p.replicas {
 		p.stepPlace(now, s)
 	}
 	switch p.phase {
 	case api.OnTrial:
 		p.stepTrial(now, passed)
 	case api.GoingBack:
-		for _, s := range p.places {
-			if s.new != nil || s.old == nil || s.boot != nil || p.holds > 0 {
+		for _, s := range p.replicas {
+			if s.newWorker != nil || s.oldWorker == nil || s.boot != nil || p.holds > 0 {
 				return
 			}
 		}
 		p.phase, p.since = api.Withdrawn, now
-		p.mark("build %d withdrawn", p.build)
-		p.tell(p.day.NewsLate)
+		p.logEvent("build %d withdrawn", p.build)
+		p.tell(p.day.ReleaseUpdateDelay)
 	}
 }
 
@@ -277,84 +277,84 @@
 	}
 	p.build++
 	p.offered[p.build] = p.now()
-	p.builds[p.build] = fleet.Build{Number: p.build, Flaw: o.Flaw, Strength: o.Strength, Product: max(0, p.day.product(o.Product)),
+	p.builds[p.build] = fleet.Build{Number: p.build, Flaw: o.Flaw, Strength: o.Strength, Product: max(0, p.day.productIndex(o.Product)),
 		Speed: o.Speed}
 	p.stage, p.phase, p.since, p.ready = 0, api.OnTrial, p.now(), 0
 	clear(p.standing)
-	p.mark("build %d offered (%s %g)", p.build, o.Flaw, o.Strength)
-	for _, s := range p.places {
-		if s.new != nil { // all run one build now
-			s.old, s.new = s.new, nil
+	p.logEvent("build %d offered (%s %g)", p.build, o.Flaw, o.Strength)
+	for _, s := range p.replicas {
+		if s.newWorker != nil { // all run one build now
+			s.oldWorker, s.newWorker = s.newWorker, nil
 		}
 	}
-	p.tell(p.day.NewsLate)
+	p.tell(p.day.ReleaseUpdateDelay)
 }
 
 // starting has a machine start at a place.
-func (p *platform) starting(s *placeState, b fleet.Build) {
+func (p *platform) starting(s *replicaState, b fleet.Build) {
 	s.boot = p.park.add(s.n, b, s.speed, fleet.MachineFault{})
-	s.boots = p.now() + p.day.Boot
+	s.boots = p.now() + p.day.BootTime
 }
 
-func (p *platform) draining(s *placeState, w *worker) {
-	s.drain, s.gone = w, p.now()+p.day.ListLate+p.day.Drain
-	p.list(p.day.ListLate, w, api.Draining)
+func (p *platform) draining(s *replicaState, w *worker) {
+	s.drain, s.gone = w, p.now()+p.day.WorkerListDelay+p.day.DrainTime
+	p.addWorkerChange(p.day.WorkerListDelay, w, api.Draining)
 }
 
 // stepPlace lets what starts run and what has drained go.
-func (p *platform) stepPlace(now at, s *placeState) {
+func (p *platform) stepPlace(now runTime, s *replicaState) {
 	if s.drain != nil && now >= s.gone {
 		s.drain.stop()
-		p.list(p.day.ListLate, s.drain, api.Gone)
+		p.addWorkerChange(p.day.WorkerListDelay, s.drain, api.Gone)
 		s.drain = nil
 	}
 	if s.boot != nil && now >= s.boots {
 		w := s.boot
 		s.boot = nil
 		if err := w.start(true); err != nil {
-			p.mark("%v", err)
+			p.logEvent("%v", err)
 			return
 		}
-		p.list(p.day.ListLate, w, api.Up)
+		p.addWorkerChange(p.day.WorkerListDelay, w, api.Up)
 		if w.build.Number == p.build && (p.phase == api.OnTrial || p.phase == api.Released) {
-			s.new = w
-			if p.day.Style == "in-place" && s.old != nil {
-				p.draining(s, s.old)
-				s.old = nil
+			s.newWorker = w
+			if p.day.RolloutStyle == "in-place" && s.oldWorker != nil {
+				p.draining(s, s.oldWorker)
+				s.oldWorker = nil
 			}
 		} else {
-			s.old = w
+			s.oldWorker = w
 		}
 	}
 	if p.phase == api.GoingBack && s.drain == nil {
-		if s.new != nil && (s.old != nil || s.boot != nil || p.day.Style == "in-place") {
-			p.draining(s, s.new)
-			s.new = nil
+		if s.newWorker != nil && (s.oldWorker != nil || s.boot != nil || p.day.RolloutStyle == "in-place") {
+			p.draining(s, s.newWorker)
+			s.newWorker = nil
 		}
 	}
-	if p.phase == api.GoingBack && s.old == nil && s.boot == nil {
+	if p.phase == api.GoingBack && s.oldWorker == nil && s.boot == nil {
 		p.starting(s, p.builds[p.before])
 	}
-	if p.phase == api.Released && p.day.Style == "beside" && s.new != nil && s.old != nil && s.drain == nil {
-		p.draining(s, s.old)
-		s.old = nil
+	if p.phase == api.Released && p.day.RolloutStyle == "beside" && s.newWorker != nil && s.oldWorker != nil && s.drain == nil {
+		p.draining(s, s.oldWorker)
+		s.oldWorker = nil
 	}
 }
 
 // stepTrial brings in the stage's machines and counts the votes.
-func (p *platform) stepTrial(now at, passed time.Duration) {
-	want := min(len(p.places), int(math.Ceil(p.day.Stages[p.stage]*float64(len(p.places))-1e-9)))
+func (p *platform) stepTrial(now runTime, passed time.Duration) {
+	want := min(len(p.replicas), int(math.Ceil(p.day.StageShares[p.stage]*float64(len(p.replicas))-1e-9)))
 	have, run := 0, 0
-	for _, s := range p.places {
-		if s.new != nil || s.boot != nil && s.boot.build.Number == p.build {
+	for _, s := range p.replicas {
+		if s.newWorker != nil || s.boot != nil && s.boot.build.Number == p.build {
 			have++
-			if s.new != nil {
+			if s.newWorker != nil {
 				run++
 			}
 		}
 	}
-	for _, s := range p.places {
-		if have < want && s.new == nil && s.boot == nil && s.drain == nil {
+	for _, s := range p.replicas {
+		if have < want && s.newWorker == nil && s.boot == nil && s.drain == nil {
 			p.starting(s, p.builds[p.build])
 			have++
 		}
@@ -379,18 +379,18 @@
 			hold++
 		}
 	}
-	moves := on >= p.day.NeedOn && now-p.ready >= p.day.Bake
-	if p.day.Votes == "single" {
-		moves = on >= 1 && now-p.ready >= p.day.Bake
+	moves := on >= p.day.OnVotesNeeded && now-p.ready >= p.day.BakeTime
+	if p.day.VoteRule == "single" {
+		moves = on >= 1 && now-p.ready >= p.day.BakeTime
 	}
-	if p.day.Votes == "clocked" {
-		if hold < p.day.NeedHold {
+	if p.day.VoteRule == "clocked" {
+		if hold < p.day.HoldVotesNeeded {
 			p.clock += passed
 		}
-		moves = p.clock >= p.day.StageFor
+		moves = p.clock >= p.day.StageTime
 	}
-	needBack := p.day.NeedBack
-	if p.day.Votes == "single" {
+	needBack := p.day.BackVotesNeeded
+	if p.day.VoteRule == "single" {
 		needBack = 1
 	}
 	switch {
@@ -398,16 +398,16 @@
 	case back >= needBack:
 		p.back("voted back")
 	case moves:
-		if p.stage++; p.stage == len(p.day.Stages) {
+		if p.stage++; p.stage == len(p.day.StageShares) {
 			p.stage--
 			p.phase = api.Released
 			p.released[p.build] = now
-			p.mark("build %d released", p.build)
+			p.logEvent("build %d released", p.build)
 		} else {
-			p.mark("build %d voted on to stage %d", p.build, p.stage)
+			p.logEvent("build %d voted on to stage %d", p.build, p.stage)
 		}
 		p.since, p.ready = now, 0
-		p.tell(p.day.NewsLate)
+		p.tell(p.day.ReleaseUpdateDelay)
 	}
 }
 
@@ -420,17 +420,17 @@
 	if _, known := p.backAt[p.build]; !known {
 		p.backAt[p.build] = p.now()
 	}
-	for _, s := range p.places {
+	for _, s := range p.replicas {
 		if s.boot != nil && s.boot.build.Number == p.build {
 			s.boot = nil
 		}
 		// Machines of the build that went before count as what is there.
-		if s.new != nil && s.new.build.Number != p.build {
-			s.old, s.new = s.new, nil
+		if s.newWorker != nil && s.newWorker.build.Number != p.build {
+			s.oldWorker, s.newWorker = s.newWorker, nil
 		}
 	}
-	p.mark("build %d goes back: %s", p.build, why)
-	p.tell(p.day.NewsLate)
+	p.logEvent("build %d goes back: %s", p.build, why)
+	p.tell(p.day.ReleaseUpdateDelay)
 }
 
 // takeVote is POST /v1/releases/{name}/votes.
@@ -453,8 +453,8 @@
 	case p.tokens < 1:
 		status = http.StatusTooManyRequests
 	case v.Build != p.build || p.build == p.before || p.phase == api.GoingBack || p.phase == api.Withdrawn ||
-		v.Verdict == api.VoteOn && (v.Stage != p.stage || p.phase != api.OnTrial || p.day.Votes == "clocked"),
-		v.Verdict == api.VoteHold && p.day.Votes != "clocked":
+		v.Verdict == api.VoteOn && (v.Stage != p.stage || p.phase != api.OnTrial || p.day.VoteRule == "clocked"),
+		v.Verdict == api.VoteHold && p.day.VoteRule != "clocked":
 		status = http.StatusConflict
 	default:
 		p.tokens--
@@ -466,7 +466,7 @@
 			p.back("voted back after its release")
 		}
 	}
-	e := p.present()
+	e := p.currentRelease()
 	p.mu.Unlock()
 	p.rec.mu.Lock()
 	p.rec.Votes = append(p.rec.Votes, rec)
@@ -483,16 +483,16 @@
 		w.WriteHeader(status)
 		return
 	}
-	p.toldRelease(rec.Edge, e)
+	p.recordReleaseUpdate(rec.Edge, e)
 	json.NewEncoder(w).Encode(e)
 }
 
-// present is the newest news that may be told by now. The lock is held.
-func (p *platform) present() api.ReleaseEvent {
+// currentRelease is the newest news that may be told by now. The lock is held.
+func (p *platform) currentRelease() api.ReleaseEvent {
 	now := p.now()
 	e := api.ReleaseEvent{Type: api.Whole, Now: int64(now)}
-	for i, n := range p.news {
-		if n.at+p.late <= now || i == 0 {
+	for i, n := range p.releaseUpdates {
+		if n.at+p.extraUpdateDelay <= now || i == 0 {
 			e.Release, e.Revision = n.release, uint64(i+1)
 		}
 	}
@@ -507,8 +507,8 @@
 	return n
 }
 
-func (p *platform) toldRelease(edge int, e api.ReleaseEvent) {
-	p.rec.told(Told{Edge: edge, At: p.now(), Release: &ToldRelease{e.Release.Build, e.Release.Stage, e.Release.Phase, e.Release.Cap}})
+func (p *platform) recordReleaseUpdate(edge int, e api.ReleaseEvent) {
+	p.rec.addUpdate(EdgeUpdate{Edge: edge, At: p.now(), Release: &ToldRelease{e.Release.Build, e.Release.Stage, e.Release.Phase, e.Release.Cap}})
 }
 
 // stream writes lines of a watch until the client leaves: each round asks for the lines that are due.
@@ -530,7 +530,7 @@
 		if !p.stalled {
 			lines = due()
 		}
-		quiet, spoil := p.stalled, p.spoil
+		quiet, spoil := p.stalled, p.corruptLine
 		p.mu.Unlock()
 		if len(lines) == 0 && !quiet && p.now()-last > 500*time.Millisecond {
 			lines = append(lines, map[string]string{"type": api.Bookmark})
@@ -565,10 +565,10 @@
 	revision, _ := strconv.ParseUint(r.URL.Query().Get("revision"), 10, 64)
 	p.stream(w, r, func() (lines []any) {
 		now := p.now()
-		if revision == 0 || revision > uint64(len(p.changes)) {
+		if revision == 0 || revision > uint64(len(p.workerChanges)) {
 			e := api.WorkersEvent{Type: api.Whole, Now: int64(now)}
 			seen := map[string]int{}
-			for i, c := range p.changes {
+			for i, c := range p.workerChanges {
 				if c.at > now {
 					break
 				}
@@ -590,9 +590,9 @@
 			revision = e.Revision
 			return []any{e}
 		}
-		for revision < uint64(len(p.changes)) && p.changes[revision].at <= now {
+		for revision < uint64(len(p.workerChanges)) && p.workerChanges[revision].at <= now {
 			lines = append(lines, api.WorkersEvent{Type: api.Change, Revision: revision + 1, Now: int64(now),
-				Workers: []api.Worker{p.changes[revision].worker}})
+				Workers: []api.Worker{p.workerChanges[revision].worker}})
 			revision++
 		}
 		return lines
@@ -603,10 +603,10 @@
 		}
 		now := p.now()
 		if e.Type == api.Whole {
-			p.rec.told(Told{Edge: edge, At: now, Whole: true})
+			p.rec.addUpdate(EdgeUpdate{Edge: edge, At: now, FullList: true})
 		}
 		for _, x := range e.Workers {
-			p.rec.told(Told{Edge: edge, At: now, Worker: x.ID, State: x.State, Started: at(x.StartedAt), Build: x.Build})
+			p.rec.addUpdate(EdgeUpdate{Edge: edge, At: now, Worker: x.ID, State: x.State, Started: runTime(x.StartedAt), Build: x.Build})
 		}
 	})
 }
@@ -614,17 +614,17 @@
 func (p *platform) watchReleases(w http.ResponseWriter, r *http.Request) {
 	edge := edgeNumber(r.URL.Query().Get("edge"))
 	var revision uint64
-	var pushed at
+	var pushed runTime
 	p.stream(w, r, func() []any {
-		e := p.present()
-		if e.Revision == revision && p.now()-pushed < p.day.Push {
+		e := p.currentRelease()
+		if e.Revision == revision && p.now()-pushed < p.day.PushInterval {
 			return nil
 		}
 		revision, pushed = e.Revision, p.now()
 		return []any{e}
 	}, func(line any) {
 		if e, ok := line.(api.ReleaseEvent); ok {
-			p.toldRelease(edge, e)
+			p.recordReleaseUpdate(edge, e)
 		}
 	})
 }
@@ -640,8 +640,8 @@
 	}, func(any) {})
 }
 
-// flag reports an answer that a client found wrong, to the edge that passed it on.
-func (p *platform) flag(edge int, product, worker string, age time.Duration) {
+// reportWrongAnswer reports an answer that a client found wrong, to the edge that passed it on.
+func (p *platform) reportWrongAnswer(edge int, product, worker string, age time.Duration) {
 	p.mu.Lock()
 	name := fmt.Sprintf("edge-%d", edge)
 	p.reports[name] = append(p.reports[name], api.Report{Type: api.Change, Sentry: edge * p.day.Loops, Product: product, Worker: worker,
@@ -669,8 +669,8 @@
 }
 
 // count tells what was counted since the last time, by build and product. The lock is held.
-func (p *platform) count(now at) {
-	if p.day.TallyEvery == 0 || now-p.tallied < p.day.TallyEvery {
+func (p *platform) count(now runTime) {
+	if p.day.TallyInterval == 0 || now-p.tallied < p.day.TallyInterval {
 		return
 	}
 	p.tallied = now
@@ -687,7 +687,7 @@
 				t.Mean = int64(c.sum) / int64(c.many-c.bad)
 			}
 			*c = count{}
-			p.tallies = append(p.tallies, tallyItem{now + p.day.NewsLate, t})
+			p.tallies = append(p.tallies, tallyItem{now + p.day.ReleaseUpdateDelay, t})
 		}
 	}
 }
--- a/lab/run.go
+++ b/lab/run.go
@@ -54,7 +54,7 @@
 	cmd      *exec.Cmd
 	log      *os.File
 	life     int
-	target   *target
+	target   *edgeEndpoint
 	down     bool
 }
 
@@ -63,7 +63,7 @@
 	began    time.Time
 	offset   atomic.Int64 // of the day's moment 0 from began
 	rec      *Record
-	park     *park
+	park     *workerFleet
 	platform *platform
 	clients  *clients
 	procs    []*proc
@@ -75,7 +75,7 @@
 
 var runs atomic.Int64 // of this process, for addresses that differ
 
-func (r *run) now() at { return time.Since(r.began) - time.Duration(r.offset.Load()) }
+func (r *run) now() runTime { return time.Since(r.began) - time.Duration(r.offset.Load()) }
 
 // Run plays the day and gives its record. An error means that the run could not be made, not that a rule broke.
 func (q *Runner) Run(ctx context.Context) (*Record, error) {
@@ -86,9 +86,9 @@
 	// An address of the loopback range of this run's own: no other run's connections take its ports.
 	id := os.Getpid() + int(runs.Add(1))<<12
 	host := fmt.Sprintf("127.%d.%d.%d", 32+id>>14&63, id>>7&127, 1+id&127)
-	r.park = newPark(q.Day, r.rec, r.now, host)
+	r.park = newWorkerFleet(q.Day, r.rec, r.now, host)
 	r.platform = newPlatform(q.Day, r.rec, r.park, r.now)
-	r.clients = newClients(q.Day, r.rec, r.now, r.platform.flag)
+	r.clients = newClients(q.Day, r.rec, r.now, r.platform.reportWrongAnswer)
 	defer r.park.close()
 	if err := r.platform.start(host); err != nil {
 		return nil, err
@@ -105,8 +105,8 @@
 	r.rebase()
 	if q.entered != nil {
 		r.platform.mu.Lock()
-		r.platform.entered = func(state string) { q.entered(r, state) }
-		r.platform.enter()
+		r.platform.stateHook = func(state string) { q.entered(r, state) }
+		r.platform.runStateHook()
 		r.platform.mu.Unlock()
 	}
 	r.group.Go(r.troubles)
@@ -124,9 +124,9 @@
 	close(r.quit)
 	<-done
 	r.group.Wait()
-	r.platform.settled()
+	r.platform.awaitStateHooks()
 	r.rec.builds = r.platform.summary()
-	r.rec.behind = time.Duration(r.clients.behind.Load())
+	r.rec.maxSendDelay = time.Duration(r.clients.maxSendDelay.Load())
 	return r.rec, err
 }
 
@@ -137,17 +137,17 @@
 	r.rec.mu.Lock()
 	defer r.rec.mu.Unlock()
 	r.offset.Store(int64(r.now()))
-	for i := range r.platform.changes {
-		r.platform.changes[i].at = 0
+	for i := range r.platform.workerChanges {
+		r.platform.workerChanges[i].at = 0
 	}
-	for i := range r.platform.news {
-		r.platform.news[i].at = 0
+	for i := range r.platform.releaseUpdates {
+		r.platform.releaseUpdates[i].at = 0
 	}
-	for i := range r.rec.Told {
-		r.rec.Told[i].At = 0
+	for i := range r.rec.Updates {
+		r.rec.Updates[i].At = 0
 	}
-	for i := range r.rec.Lives {
-		r.rec.Lives[i].From = 0
+	for i := range r.rec.Incarnations {
+		r.rec.Incarnations[i].StartedAt = 0
 	}
 }
 
@@ -184,7 +184,7 @@
 			return err
 		}
 		p := &proc{n: i, admin: admin, settings: filepath.Join(r.Out, fmt.Sprintf("edge-%d.sexp", i))}
-		text := d.EdgeText(i, listen, admin, r.platform.url, filepath.Join(r.Out, "state"), peers)
+		text := d.EdgeSettings(i, listen, admin, r.platform.url, filepath.Join(r.Out, "state"), peers)
 		if err := os.WriteFile(p.settings, []byte(text), 0o644); err != nil {
 			return err
 		}
@@ -195,7 +195,7 @@
 		if len(d.Weights) > 0 {
 			weight = d.Weights[i]
 		}
-		p.target = &target{n: i, address: listen, weight: weight}
+		p.target = &edgeEndpoint{index: i, address: listen, weight: weight}
 		r.clients.edges = append(r.clients.edges, p.target)
 		r.procs = append(r.procs, p)
 	}
@@ -221,10 +221,10 @@
 		return fmt.Errorf("edge %d: %w", p.n, err)
 	}
 	r.rec.mu.Lock()
-	p.life = len(r.rec.Lives)
-	r.rec.Lives = append(r.rec.Lives, Life{Edge: p.n, N: p.life, From: r.now()})
+	p.life = len(r.rec.Incarnations)
+	r.rec.Incarnations = append(r.rec.Incarnations, Incarnation{Edge: p.n, Number: p.life, StartedAt: r.now()})
 	r.rec.mu.Unlock()
-	p.target.life.Store(int64(p.life))
+	p.target.incarnation.Store(int64(p.life))
 	p.down = false
 	return nil
 }
@@ -260,17 +260,17 @@
 	p.down = true
 	asked := r.now()
 	r.rec.mu.Lock()
-	r.rec.Lives[p.life].Asked = asked
-	r.rec.Lives[p.life].Killed = sig == syscall.SIGKILL
+	r.rec.Incarnations[p.life].StopRequestedAt = asked
+	r.rec.Incarnations[p.life].Killed = sig == syscall.SIGKILL
 	r.rec.mu.Unlock()
 	if err := p.cmd.Process.Signal(sig); err != nil {
 		return err
 	}
 	err := p.cmd.Wait()
 	r.rec.mu.Lock()
-	r.rec.Lives[p.life].Till = r.now()
+	r.rec.Incarnations[p.life].EndedAt = r.now()
 	r.rec.mu.Unlock()
-	p.target.drop()
+	p.target.closeIdle()
 	var exit *exec.ExitError
 	if sig == syscall.SIGKILL && errors.As(err, &exit) {
 		return nil
@@ -282,7 +282,7 @@
 	for _, p := range r.procs {
 		if p.cmd != nil && p.cmd.Process != nil {
 			if err := r.endEdge(p, syscall.SIGTERM); err != nil {
-				r.platform.mark("edge %d did not stop cleanly: %v", p.n, err)
+				r.platform.logEvent("edge %d did not stop cleanly: %v", p.n, err)
 			}
 		}
 		if p.log != nil {
@@ -292,7 +292,7 @@
 }
 
 // sleep waits till a moment of the day; false: the day is over.
-func (r *run) sleep(until at) bool {
+func (r *run) sleep(until runTime) bool {
 	t := time.NewTimer(max(0, until-r.now()))
 	defer t.Stop()
 	select {
@@ -317,9 +317,9 @@
 		}
 		r.group.Go(func() {
 			if r.sleep(t.At) {
-				r.platform.mark("%s begins: %v for %v, size %g", t.Kind, on, t.For, t.Size)
+				r.platform.logEvent("%s begins: %v for %v, size %g", t.Kind, on, t.For, t.Size)
 				r.trouble(t, on)
-				r.platform.mark("%s ends", t.Kind)
+				r.platform.logEvent("%s ends", t.Kind)
 			}
 		})
 	}
@@ -331,14 +331,14 @@
 	defer r.platform.mu.Unlock()
 	var out []*worker
 	for _, n := range places {
-		if n < 0 || n >= len(r.platform.places) {
+		if n < 0 || n >= len(r.platform.replicas) {
 			continue
 		}
-		s := r.platform.places[n]
-		if s.new != nil {
-			out = append(out, s.new)
-		} else if s.old != nil {
-			out = append(out, s.old)
+		s := r.platform.replicas[n]
+		if s.newWorker != nil {
+			out = append(out, s.newWorker)
+		} else if s.oldWorker != nil {
+			out = append(out, s.oldWorker)
 		}
 	}
 	return out
@@ -350,11 +350,11 @@
 	ill := func(set, unset func(*fleet.MachineFault)) {
 		ws := r.workers(on)
 		for _, w := range ws {
-			w.ailing(set)
+			w.changeFault(set)
 		}
 		r.sleep(end)
 		for _, w := range ws {
-			w.ailing(unset)
+			w.changeFault(unset)
 		}
 	}
 	switch t.Kind {
@@ -363,16 +363,16 @@
 	case "vanish":
 		ws := r.workers(on)
 		for _, w := range ws {
-			w.vanish(true)
+			w.setSilent(true)
 		}
 		r.sleep(end)
 		for _, w := range ws {
-			w.vanish(false)
+			w.setSilent(false)
 		}
 	case "hang":
 		ill(func(a *fleet.MachineFault) { a.Hangs = true }, func(a *fleet.MachineFault) { a.Hangs = false })
 		for _, w := range r.workers(on) { // what hung is restarted by whoever looks after it
-			w.vanish(false)
+			w.setSilent(false)
 		}
 	case "slow":
 		ill(func(a *fleet.MachineFault) { a.Slow = t.Size }, func(a *fleet.MachineFault) { a.Slow = 0 })
@@ -389,7 +389,7 @@
 			r.park.mu.Lock()
 			defer r.park.mu.Unlock()
 			for _, w := range ws {
-				w.connect, w.garbage = cost, share
+				w.connectDelay, w.garbageRate = cost, share
 			}
 		}
 		ws := r.workers(on)
@@ -401,17 +401,17 @@
 		r.sleep(end)
 		set(ws, 0, 0)
 	case "burst":
-		setFloat(&r.clients.burst, max(0.01, t.Size))
+		storeFloat(&r.clients.rateFactor, max(0.01, t.Size))
 		r.sleep(end)
-		setFloat(&r.clients.burst, 1)
+		storeFloat(&r.clients.rateFactor, 1)
 	case "give-up":
-		setFloat(&r.clients.giveUp, t.Size)
+		storeFloat(&r.clients.giveUpShare, t.Size)
 		r.sleep(end)
-		setFloat(&r.clients.giveUp, 0)
+		storeFloat(&r.clients.giveUpShare, 0)
 	case "bad-requests":
-		setFloat(&r.clients.badShare, t.Size)
+		storeFloat(&r.clients.badKeyShare, t.Size)
 		r.sleep(end)
-		setFloat(&r.clients.badShare, 0)
+		storeFloat(&r.clients.badKeyShare, 0)
 	case "sentry-kill", "sentry-roll":
 		sig := syscall.SIGKILL
 		if t.Kind == "sentry-roll" {
@@ -423,13 +423,13 @@
 			}
 			p := r.procs[n]
 			if err := r.endEdge(p, sig); err != nil {
-				r.platform.mark("edge %d did not stop cleanly: %v", n, err)
+				r.platform.logEvent("edge %d did not stop cleanly: %v", n, err)
 			}
 			if sig == syscall.SIGKILL {
 				r.sleep(end)
 			}
 			if err := r.startEdge(p); err != nil {
-				r.platform.mark("%v", err)
+				r.platform.logEvent("%v", err)
 				continue
 			}
 			if sig == syscall.SIGTERM {
@@ -441,7 +441,7 @@
 		if t.Kind == "stalled" {
 			r.platform.stalled = true
 		} else {
-			r.platform.late = time.Duration(t.Size * float64(time.Second))
+			r.platform.extraUpdateDelay = time.Duration(t.Size * float64(time.Second))
 		}
 		r.platform.mu.Unlock()
 		r.sleep(end)
@@ -449,36 +449,36 @@
 		if t.Kind == "stalled" {
 			r.platform.stalled = false
 		} else {
-			r.platform.late = 0
+			r.platform.extraUpdateDelay = 0
 		}
 		r.platform.mu.Unlock()
 	}
 }
 
 // crash ends machines at once; the list hears of it a while later, and of their cold start.
-func (r *run) crash(ws []*worker, end at) {
+func (r *run) crash(ws []*worker, end runTime) {
 	p := r.platform
 	for _, w := range ws {
 		w.stop()
 	}
 	p.mu.Lock()
 	for _, w := range ws {
-		p.list(p.day.ListLate+500*time.Millisecond, w, "gone")
+		p.addWorkerChange(p.day.WorkerListDelay+500*time.Millisecond, w, "gone")
 	}
 	p.mu.Unlock()
 	r.sleep(end)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, w := range ws {
-		s := p.places[w.place]
-		if s.new != w && s.old != w {
+		s := p.replicas[w.replica]
+		if s.newWorker != w && s.oldWorker != w {
 			continue // replaced meanwhile
 		}
 		if err := w.start(true); err != nil {
-			p.mark("%v", err)
+			p.logEvent("%v", err)
 			continue
 		}
-		p.list(p.day.ListLate, w, "up")
+		p.addWorkerChange(p.day.WorkerListDelay, w, "up")
 	}
 }
 
@@ -500,7 +500,7 @@
 		for _, x := range r.rec.Txns[txns:] {
 			s.Asked++
 			switch {
-			case x.Status == 200 && x.Answered-x.Sent <= r.Day.Products[x.Product].SLA:
+			case x.Status == 200 && x.AnsweredAt-x.SentAt <= r.Day.Products[x.Product].SLA:
 				s.InTime++
 			case x.Status == 200:
 				s.Late++
@@ -513,12 +513,12 @@
 			}
 		}
 		txns = len(r.rec.Txns)
-		for _, a := range r.rec.Arrivals[arrivals:] {
+		for _, a := range r.rec.Submissions[arrivals:] {
 			if a.Build == s.Build {
 				s.Trial++
 			}
 		}
-		arrivals = len(r.rec.Arrivals)
+		arrivals = len(r.rec.Submissions)
 		s.Marks = append(s.Marks, r.rec.Marks[marks:]...)
 		marks = len(r.rec.Marks)
 		r.rec.mu.Unlock()
--- a/lab/sockets_test.go
+++ b/lab/sockets_test.go
@@ -118,13 +118,13 @@
 			err = os.Mkdir(path, 0o755)
 		}
 		if err != nil {
-			r.platform.mark("%v", err)
+			r.platform.logEvent("%v", err)
 			return false
 		}
 		r.platform.mu.Lock()
-		for _, s := range r.platform.places { // a line that is told again is kept again, in a state without others too
-			if w := cmp.Or(s.old, s.new); w != nil {
-				r.platform.list(0, w, api.Up)
+		for _, s := range r.platform.replicas { // a line that is told again is kept again, in a state without others too
+			if w := cmp.Or(s.oldWorker, s.newWorker); w != nil {
+				r.platform.addWorkerChange(0, w, api.Up)
 				break
 			}
 		}
@@ -164,7 +164,7 @@
 		os.RemoveAll(path) // a recorder makes it anew
 		os.RemoveAll(path + ".away")
 		if err != nil {
-			r.platform.mark("%v", err)
+			r.platform.logEvent("%v", err)
 		}
 		return err == nil
 	}, "", false, false},
@@ -187,7 +187,7 @@
 		set := func(share float64) {
 			r.park.mu.Lock()
 			for _, w := range ws {
-				w.garbage = share
+				w.garbageRate = share
 			}
 			r.park.mu.Unlock()
 		}
@@ -217,7 +217,7 @@
 	now := p.now()
 	last := map[string]api.Worker{}
 	var ids []string
-	for _, c := range p.changes {
+	for _, c := range p.workerChanges {
 		if c.at > now {
 			break
 		}
@@ -226,10 +226,10 @@
 		}
 		last[c.worker.ID] = c.worker
 	}
-	e := p.present()
+	e := p.currentRelease()
 	var text strings.Builder
 	for i := range p.day.Sentries {
-		p.rec.told(Told{Edge: i, At: now, Whole: true})
+		p.rec.addUpdate(EdgeUpdate{Edge: i, At: now, FullList: true})
 	}
 	for _, id := range ids {
 		w := last[id]
@@ -238,16 +238,16 @@
 		}
 		started := ""
 		if w.StartedAt > 0 {
-			started = fmt.Sprintf(" (started %s)", r.began.Add(at(r.offset.Load())+at(w.StartedAt)).UTC().Format(time.RFC3339Nano))
+			started = fmt.Sprintf(" (started %s)", r.began.Add(runTime(r.offset.Load())+runTime(w.StartedAt)).UTC().Format(time.RFC3339Nano))
 		}
 		fmt.Fprintf(&text, "(worker %s (address %q) (zone lab) (kind std) (state %s) (build %d)%s)\n", id, w.Address, w.State, w.Build, started)
 		for i := range p.day.Sentries {
-			p.rec.told(Told{Edge: i, At: now, Worker: id, State: w.State, Started: at(w.StartedAt), Build: w.Build})
+			p.rec.addUpdate(EdgeUpdate{Edge: i, At: now, Worker: id, State: w.State, Started: runTime(w.StartedAt), Build: w.Build})
 		}
 	}
 	fmt.Fprintf(&text, "(release (build %d) (stage %d) (phase %s) (cap %g))\n", e.Release.Build, e.Release.Stage, e.Release.Phase, e.Release.Cap)
 	for i := range p.day.Sentries {
-		p.toldRelease(i, e)
+		p.recordReleaseUpdate(i, e)
 	}
 	path := filepath.Join(r.Out, "list.sexp")
 	if os.WriteFile(path+".new", []byte(text.String()), 0o644) == nil {
@@ -267,7 +267,7 @@
 	var done atomic.Bool // watches are written beside us
 	set := func(how func(http.ResponseWriter, any)) {
 		r.platform.mu.Lock()
-		r.platform.spoil = how
+		r.platform.corruptLine = how
 		r.platform.mu.Unlock()
 	}
 	set(func(w http.ResponseWriter, line any) { how(w, line, func() { done.Store(true) }) })
--- a/lab/stages_test.go
+++ b/lab/stages_test.go
@@ -26,7 +26,7 @@
 var columns = []struct {
 	name   string
 	script func(d *vday)
-	at     at
+	at     runTime
 	phase  logic.Phase
 	stage  int
 }{
@@ -107,7 +107,7 @@
 	{"list late", func(d *vday) {
 		d.bounce()
 		d.listLate = 2 * time.Second
-		d.in(lasts, func() { d.listLate = d.day.ListLate })
+		d.in(lasts, func() { d.listLate = d.day.WorkerListDelay })
 	}, "list late", ""},
 	{"list cut, whole after the gap", func(d *vday) {
 		d.bounce()
@@ -148,7 +148,7 @@
 		})
 	}, "half", ""},
 	{"call for the list fails", func(d *vday) {
-		for k := at(0); k < lasts; k += 200 * ms {
+		for k := runTime(0); k < lasts; k += 200 * ms {
 			d.in(k, func() {
 				for _, s := range d.sentries {
 					d.hits["no list"]++
@@ -169,7 +169,7 @@
 	}, "news lost", ""},
 	{"news late", func(d *vday) {
 		d.newsLate = 1500 * ms
-		d.in(lasts, func() { d.newsLate = d.day.NewsLate })
+		d.in(lasts, func() { d.newsLate = d.day.ReleaseUpdateDelay })
 	}, "news late", ""},
 	{"vote answers overtaken by news", func(d *vday) {
 		// The state that has been left, at its cap: it must not come back in force. It is not noted as told.
@@ -270,7 +270,7 @@
 	}, "sentry", ""},
 	{"sentries rolled", func(d *vday) {
 		for i, s := range d.sentries[1:] {
-			d.in(at(i)*lasts/2, func() { d.hits["sentry"]++; d.drainSentry(s) })
+			d.in(runTime(i)*lasts/2, func() { d.hits["sentry"]++; d.drainSentry(s) })
 		}
 	}, "sentry", ""},
 	{"burst", func(d *vday) {
@@ -284,13 +284,13 @@
 	}, "left", ""},
 }
 
-func play(t *testing.T, script, begins func(d *vday), when at) *vday {
+func play(t *testing.T, script, begins func(d *vday), when runTime) *vday {
 	day, err := ParseDay("stages.sexp", stagesDay)
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := newVirtual(day)
-	d.listLate, d.newsLate = day.ListLate, day.NewsLate
+	d.listLate, d.newsLate = day.WorkerListDelay, day.ReleaseUpdateDelay
 	script(d)
 	d.at(when, func() { begins(d) })
 	d.run()
@@ -301,7 +301,7 @@
 func (d *vday) settledLately() float64 {
 	asked, settled := 0.0, 0.0
 	for _, t := range d.rec.Txns {
-		if t.Sent > d.day.Length-3*time.Second {
+		if t.SentAt > d.day.Length-3*time.Second {
 			asked++
 			if t.Status == 200 {
 				settled++
@@ -398,7 +398,7 @@
 		does func(d *vday)
 	}{
 		{"an answer swallowed", 1, func(d *vday) {
-			for k := at(0); k < 300*ms; k += ms {
+			for k := runTime(0); k < 300*ms; k += ms {
 				d.in(k, func() {
 					for _, t := range d.sentries[0].inHand(false) {
 						t.over = true // whatever comes is not passed on
@@ -412,7 +412,7 @@
 		{"sent to a worker that drains", 3, func(d *vday) {
 			w := d.places[4]
 			w.set(api.Draining)
-			for k := at(0); k < 300*ms; k += ms {
+			for k := runTime(0); k < 300*ms; k += ms {
 				d.in(time.Second+k, func() { sends(d, 0, false, w, 1) })
 			}
 		}},
@@ -422,7 +422,7 @@
 			w.serve(w.build)
 			d.in(500*ms, func() {
 				for i := 0; i < 300; i++ {
-					d.in(at(i)*ms, func() {
+					d.in(runTime(i)*ms, func() {
 						s := d.sentries[0]
 						id := logic.TxnID(1 << 40)
 						s.txns[id] = &vtxn{id: id, rec: &TxnRecord{ID: 1 << 40}, over: true}
@@ -432,7 +432,7 @@
 			})
 		}},
 		{"over the cap", 5, func(d *vday) {
-			for k := at(0); k < 300*ms; k += ms {
+			for k := runTime(0); k < 300*ms; k += ms {
 				d.in(time.Second+k, func() { sends(d, 0, false, d.places[0], 1) })
 			}
 		}},
@@ -456,7 +456,7 @@
 		d := play(t, columns[4].script, rows[9].begins, columns[4].at)
 		var b strings.Builder
 		for _, x := range d.rec.Txns {
-			fmt.Fprintln(&b, x.ID, x.Answered, x.Status, x.Build)
+			fmt.Fprintln(&b, x.ID, x.AnsweredAt, x.Status, x.Build)
 		}
 		return b.String()
 	}
--- a/lab/virtual_test.go
+++ b/lab/virtual_test.go
@@ -27,7 +27,7 @@
 var onVirtualTime = slacks{answer: 5 * ms, after: 5 * ms, drain: 5 * ms, exposure: 5 * ms}
 
 type vevent struct {
-	at  at
+	at  runTime
 	seq int
 	do  func()
 }
@@ -50,7 +50,7 @@
 type vday struct {
 	day      *Day
 	rec      *Record
-	now      at
+	now      runTime
 	queue    vheap
 	seq      int
 	rng      *rand.Rand
@@ -62,19 +62,19 @@
 	order    []string // of the list
 	ids      int
 	release  logic.ReleaseUpdate
-	since    at
+	since    runTime
 	before   logic.ReleaseUpdate // what stood before the present state
-	beforeAt at
+	beforeAt runTime
 	rate     float64
 	offered  int // the newest build
 	// What troubles change.
-	listLate, newsLate at
+	listLate, newsLate runTime
 	listCut            bool // changes of the list are lost
 	stalled            bool
 	votesLost          bool
 	leave              float64 // share of clients that leave early
 	hits               map[string]int
-	backs              []at // votes for 'back'
+	backs              []runTime // votes for 'back'
 }
 
 // vworker is one id of the list, and the process that runs under it.
@@ -82,13 +82,13 @@
 	d       *vday
 	id      string
 	build   int
-	started at
+	started runTime
 	state   string
 	up      bool
 	m       *fleet.Machine
 	garbage float64
 	jobs    map[uint64]*vsub // by job
-	next    at
+	next    runTime
 	place   int
 }
 
@@ -97,14 +97,14 @@
 	rec    *TxnRecord
 	subs   []*vsub
 	over   bool
-	expiry at
+	expiry runTime
 }
 
 type vsub struct {
 	t       *vtxn
 	s       *vsentry
 	n       int
-	sent    at
+	sent    runTime
 	arrival *Arrival
 	w       *vworker
 	ended   bool
@@ -129,13 +129,13 @@
 func newVirtual(day *Day) *vday {
 	d := &vday{day: day, rec: &Record{}, rng: rand.New(rand.NewSource(day.Seed)), shared: fleet.NewSharedState(), workers: map[string]*vworker{},
 		hits: map[string]int{}, rate: day.Rate, offered: 2}
-	plan, err := config.ParseEdge("virtual.sexp", day.EdgeText(0, "127.0.0.1:1", "127.0.0.1:2", "http://127.0.0.1:3", "state", nil))
+	plan, err := config.ParseEdge("virtual.sexp", day.EdgeSettings(0, "127.0.0.1:1", "127.0.0.1:2", "http://127.0.0.1:3", "state", nil))
 	if err != nil {
 		panic(err)
 	}
 	d.settings = plan.Module
 	d.settings["index"] = 0.0
-	d.release = logic.ReleaseUpdate{Rel: 1, Phase: logic.Released, Cap: 1, Stage: len(day.Stages) - 1}
+	d.release = logic.ReleaseUpdate{Rel: 1, Phase: logic.Released, Cap: 1, Stage: len(day.StageShares) - 1}
 	d.before = d.release
 	for i := 0; i < day.Machines; i++ {
 		d.places = append(d.places, d.boot(i, 1, 0))
@@ -148,19 +148,19 @@
 	return d
 }
 
-func (d *vday) in(after at, do func()) {
+func (d *vday) in(after runTime, do func()) {
 	d.seq++
 	heap.Push(&d.queue, vevent{d.now + after, d.seq, do})
 }
 
 // at has something done at a moment of the day.
-func (d *vday) at(when at, do func()) { d.in(when-d.now, do) }
+func (d *vday) at(when runTime, do func()) { d.in(when-d.now, do) }
 
 func (d *vday) clock() logic.Nanos { return logic.Nanos(clockBase + d.now) }
 
 // run plays the day to its end, and some time more for what is still in hand.
 func (d *vday) run() {
-	gap := func() at { return at(d.rng.ExpFloat64() / d.rate * float64(time.Second)) }
+	gap := func() runTime { return runTime(d.rng.ExpFloat64() / d.rate * float64(time.Second)) }
 	var arrive func()
 	arrive = func() {
 		if d.now < d.day.Length {
@@ -174,7 +174,7 @@
 		if d.now > 0 {
 			d.push()
 		}
-		d.in(d.day.Push, push)
+		d.in(d.day.PushInterval, push)
 	}
 	push()
 	for len(d.queue) > 0 && d.now < d.day.Length+3*time.Second {
@@ -203,7 +203,7 @@
 	}
 	p := &d.day.Products[product]
 	d.rec.Txns = append(d.rec.Txns, &TxnRecord{ID: uint64(len(d.rec.Txns) + 1), Edge: s.n, Life: s.life, Product: product, Key: key,
-		Sent: d.now, Until: d.now + p.Expiry, Revenue: p.Revenue})
+		SentAt: d.now, Until: d.now + p.Expiry, Revenue: p.Revenue})
 	r := d.rec.Txns[len(d.rec.Txns)-1]
 	r.Lineage = r.ID
 	t := &vtxn{id: logic.TxnID(r.ID), rec: r, expiry: r.Until - 20*ms}
@@ -216,12 +216,12 @@
 		}
 	})
 	d.at(r.Until, func() { // the client's patience
-		if r.Answered == 0 && r.Left == 0 && r.Broken == "" {
+		if r.AnsweredAt == 0 && r.Left == 0 && r.Broken == "" {
 			r.Left = d.now
 		}
 	})
 	if leaves {
-		d.in(at(d.rng.Float64()*float64(100*ms)), func() {
+		d.in(runTime(d.rng.Float64()*float64(100*ms)), func() {
 			if s.life == life && !s.dead && !t.over {
 				d.hits["left"]++
 				t.over, r.Left = true, d.now
@@ -231,7 +231,7 @@
 		})
 	}
 	s.hand(func() {
-		s.m.Take(d.clock(), logic.Txn{ID: t.id, Product: logic.ProductID(product), Key: logic.KeyID(key), Cost: logic.Nanos(p.Work),
+		s.m.Take(d.clock(), logic.Txn{ID: t.id, Product: logic.ProductID(product), Key: logic.KeyID(key), Cost: logic.Nanos(p.MeanWork),
 			Expiry: logic.Nanos(clockBase + t.expiry)})
 	})
 }
@@ -244,8 +244,8 @@
 	if again && !s.dead {
 		return
 	}
-	s.life = len(d.rec.Lives)
-	d.rec.Lives = append(d.rec.Lives, Life{Edge: s.n, N: s.life, From: d.now})
+	s.life = len(d.rec.Incarnations)
+	d.rec.Incarnations = append(d.rec.Incarnations, Incarnation{Edge: s.n, Number: s.life, StartedAt: d.now})
 	s.txns, s.held, s.taking, s.dead, s.acts = map[logic.TxnID]*vtxn{}, 0, true, false, nil
 	set := map[string]any{}
 	for k, v := range d.settings {
@@ -301,10 +301,10 @@
 
 func (s *vsentry) end(killed bool) {
 	s.dead = true
-	l := &s.d.rec.Lives[s.life]
-	l.Till, l.Killed = s.d.now, killed
+	l := &s.d.rec.Incarnations[s.life]
+	l.EndedAt, l.Killed = s.d.now, killed
 	if !killed {
-		l.Asked = l.Till
+		l.StopRequestedAt = l.EndedAt
 	}
 }
 
@@ -346,7 +346,7 @@
 	if e == logic.OK && !t.over {
 		t.over = true
 		s.held--
-		t.rec.Answered, t.rec.Status, t.rec.Build = d.now, 200, b.arrival.Build
+		t.rec.AnsweredAt, t.rec.Status, t.rec.Build = d.now, 200, b.arrival.Build
 	}
 	o := logic.Outcome{Txn: t.id, Number: b.n, Ending: e, Elapsed: logic.Nanos(d.now - b.sent), Final: t.over, Load: load}
 	s.hand(func() { s.m.Outcome(d.clock(), o) })
@@ -397,13 +397,13 @@
 	}
 	t.over = true
 	s.held--
-	t.rec.Answered, t.rec.Status, t.rec.Outcome = s.d.now, status, outcome
+	t.rec.AnsweredAt, t.rec.Status, t.rec.Outcome = s.d.now, status, outcome
 }
 func (s *vsentry) Decline(id logic.TxnID, after logic.Nanos) { s.final(id, 503, "declined") }
 func (s *vsentry) Void(id logic.TxnID)                       { s.final(id, 502, "voided") }
 func (s *vsentry) SetTimer(after logic.Nanos, token uint64) {
 	life := s.life
-	s.d.in(at(after), func() {
+	s.d.in(runTime(after), func() {
 		if s.life == life {
 			s.hand(func() { s.m.TimerFired(s.d.clock(), token) })
 		}
@@ -441,7 +441,7 @@
 	}
 	if noted {
 		s.keptNews = n
-		s.d.rec.Told = append(s.d.rec.Told, Told{Edge: s.n, At: s.d.now, Release: &ToldRelease{int(n.Rel), n.Stage, phaseNames[n.Phase], n.Cap}})
+		s.d.rec.Updates = append(s.d.rec.Updates, EdgeUpdate{Edge: s.n, At: s.d.now, Release: &ToldRelease{int(n.Rel), n.Stage, phaseNames[n.Phase], n.Cap}})
 	}
 	s.hand(func() { s.m.ReleaseUpdate(s.d.clock(), n) })
 }
@@ -460,14 +460,14 @@
 }
 
 func (s *vsentry) note(w api.Worker) {
-	s.d.rec.Told = append(s.d.rec.Told, Told{Edge: s.n, At: s.d.now, Worker: w.ID, State: w.State, Started: at(w.StartedAt), Build: w.Build})
+	s.d.rec.Updates = append(s.d.rec.Updates, EdgeUpdate{Edge: s.n, At: s.d.now, Worker: w.ID, State: w.State, Started: runTime(w.StartedAt), Build: w.Build})
 }
 
 func (s *vsentry) tellWhole(list []api.Worker) {
 	if s.dead {
 		return
 	}
-	s.d.rec.Told = append(s.d.rec.Told, Told{Edge: s.n, At: s.d.now, Whole: true})
+	s.d.rec.Updates = append(s.d.rec.Updates, EdgeUpdate{Edge: s.n, At: s.d.now, FullList: true})
 	var lines []logic.Worker
 	for _, w := range list {
 		s.note(w)
@@ -493,7 +493,7 @@
 // ---- Workers ----
 
 // boot starts a process under a new id, listed at once where the day has not begun.
-func (d *vday) boot(place, build int, started at) *vworker {
+func (d *vday) boot(place, build int, started runTime) *vworker {
 	d.ids++
 	w := &vworker{d: d, id: fmt.Sprintf("w%03d", d.ids), place: place, jobs: map[uint64]*vsub{}}
 	d.workers[w.id] = w
@@ -503,11 +503,11 @@
 }
 
 // begin starts a process under the worker's id.
-func (w *vworker) begin(build int, started at) {
+func (w *vworker) begin(build int, started runTime) {
 	d := w.d
 	w.build, w.started, w.state, w.up = build, started, api.Up, true
-	w.m = fleet.NewMachine(d.day.Kind, fleet.Build{Number: build, Flaw: fleet.NoFlaw}, fleet.Nanos(started), d.shared, d.rng.Int63())
-	w.m.Kind.Speed = d.day.SpeedLow + (d.day.SpeedHigh-d.day.SpeedLow)*d.rng.Float64()
+	w.m = fleet.NewMachine(d.day.MachineKind, fleet.Build{Number: build, Flaw: fleet.NoFlaw}, fleet.Nanos(started), d.shared, d.rng.Int63())
+	w.m.Kind.Speed = d.day.MinSpeed + (d.day.MaxSpeed-d.day.MinSpeed)*d.rng.Float64()
 	if d.now > 0 {
 		d.list(w)
 	}
@@ -553,15 +553,15 @@
 		d.hits["list cut"]++
 		return
 	}
-	if d.listLate > d.day.ListLate {
+	if d.listLate > d.day.WorkerListDelay {
 		d.hits["list late"]++
 	}
 	e := w.entry()
-	d.toAll(func(s *vsentry) at { return d.listLate + at(s.n)*ms }, func(s *vsentry) { s.tellChange(e) })
+	d.toAll(func(s *vsentry) runTime { return d.listLate + runTime(s.n)*ms }, func(s *vsentry) { s.tellChange(e) })
 }
 
 // toAll tells all sentries something after a while, those that still live the same life by then.
-func (d *vday) toAll(after func(*vsentry) at, tell func(*vsentry)) {
+func (d *vday) toAll(after func(*vsentry) runTime, tell func(*vsentry)) {
 	for _, s := range d.sentries {
 		life := s.life
 		d.in(after(s), func() {
@@ -593,12 +593,12 @@
 	p := &d.day.Products[t.Product]
 	b.arrival = &Arrival{Txn: t.ID, Worker: id, Place: w.place, Build: w.build, Started: w.started, At: d.now, End: "lost"}
 	b.w = w
-	d.rec.Arrivals = append(d.rec.Arrivals, b.arrival)
+	d.rec.Submissions = append(d.rec.Submissions, b.arrival)
 	d.ids++
 	b.job = uint64(d.ids)
-	j := fleet.Job{ID: b.job, Product: t.Product, Work: fleet.Nanos(float64(p.Work) * (0.5 + d.rng.Float64())), From: b.s.n}
+	j := fleet.Job{ID: b.job, Product: t.Product, Work: fleet.Nanos(float64(p.MeanWork) * (0.5 + d.rng.Float64())), From: b.s.n}
 	if p.Effect == "referenced" {
-		j.DedupKey, j.Memory = t.Lineage, fleet.Nanos(p.Memory)
+		j.DedupKey, j.Memory = t.Lineage, fleet.Nanos(p.DedupMemory)
 	}
 	switch w.m.Submit(fleet.Nanos(d.now), j) {
 	case fleet.Refused:
@@ -621,7 +621,7 @@
 // look has the machine looked at when its next job ends.
 func (w *vworker) look() {
 	d, m := w.d, w.m
-	next := at(m.NextCompletion())
+	next := runTime(m.NextCompletion())
 	if next > d.day.Length+time.Hour {
 		return
 	}
@@ -667,11 +667,11 @@
 		d.hits["news lost"]++
 		return
 	}
-	if d.newsLate > d.day.NewsLate {
+	if d.newsLate > d.day.ReleaseUpdateDelay {
 		d.hits["news late"]++
 	}
 	n := d.present()
-	d.toAll(func(*vsentry) at { return d.newsLate }, func(s *vsentry) { s.tellNews(n, true) })
+	d.toAll(func(*vsentry) runTime { return d.newsLate }, func(s *vsentry) { s.tellNews(n, true) })
 }
 
 // moves changes where the release stands.
@@ -683,8 +683,8 @@
 
 // stage brings the newest build to a stage: as many places as it has get a machine with it, and the earlier ones drain.
 func (d *vday) stage(stage int) {
-	d.moves(logic.ReleaseUpdate{Rel: logic.RelID(d.offered), Stage: stage, Phase: logic.OnTrial, Cap: d.day.caps()[stage]})
-	want := int(d.day.Stages[stage]*float64(len(d.places)) + 0.999)
+	d.moves(logic.ReleaseUpdate{Rel: logic.RelID(d.offered), Stage: stage, Phase: logic.OnTrial, Cap: d.day.stageCaps()[stage]})
+	want := int(d.day.StageShares[stage]*float64(len(d.places)) + 0.999)
 	for i := 0; i < want; i++ {
 		d.replace(i, d.offered)
 	}
@@ -696,14 +696,14 @@
 	if old.build == build && old.state != api.Gone {
 		return
 	}
-	d.in(d.day.Boot, func() {
+	d.in(d.day.BootTime, func() {
 		if d.places[i] != old {
 			return
 		}
 		d.places[i] = d.boot(i, build, d.now)
 		if old.state == api.Up {
 			old.set(api.Draining)
-			d.in(d.day.Drain, func() {
+			d.in(d.day.DrainTime, func() {
 				if old.state == api.Draining {
 					old.die(api.Gone)
 				}
@@ -728,7 +728,7 @@
 }
 
 func (d *vday) releases() {
-	d.moves(logic.ReleaseUpdate{Rel: logic.RelID(d.offered), Stage: len(d.day.Stages) - 1, Phase: logic.Released, Cap: 1})
+	d.moves(logic.ReleaseUpdate{Rel: logic.RelID(d.offered), Stage: len(d.day.StageShares) - 1, Phase: logic.Released, Cap: 1})
 }
 
 // drainSentry stops a sentry as SIGTERM does, and starts it anew on what it kept.
--- a/lab/workers.go
+++ b/lab/workers.go
@@ -15,11 +15,11 @@
 	"dunegrade/fleet"
 )
 
-// park is all workers of a run, on sockets. One lock guards the machines: they are models, and quick.
-type park struct {
+// workerFleet is all workers of a run, on sockets. One lock guards the machines: they are models, and quick.
+type workerFleet struct {
 	day    *Day
 	rec    *Record
-	now    func() at
+	now    func() runTime
 	host   string // the loopback address they listen on
 	mu     sync.Mutex
 	shared *fleet.SharedState
@@ -42,25 +42,25 @@
 
 // worker is one process of the fleet.
 type worker struct {
-	p       *park
-	id      string
-	place   int
-	address string
-	build   fleet.Build
-	speed   float64
-	ail     fleet.MachineFault
-	ln      net.Listener
-	m       *fleet.Machine
-	started at
-	up      bool
-	silent  bool // vanished: nothing goes out, nothing is taken in
-	garbage float64
-	connect time.Duration // what a new connection costs
-	rng     *rand.Rand
-	conns   map[*workConn]bool
-	jobs    map[uint64]*job
-	timer   *time.Timer
-	fell    bool
+	p            *workerFleet
+	id           string
+	replica      int
+	address      string
+	build        fleet.Build
+	speed        float64
+	ail          fleet.MachineFault
+	ln           net.Listener
+	m            *fleet.Machine
+	started      runTime
+	up           bool
+	silent       bool // vanished: nothing goes out, nothing is taken in
+	garbageRate  float64
+	connectDelay time.Duration // what a new connection costs
+	rng          *rand.Rand
+	conns        map[*workConn]bool
+	jobs         map[uint64]*job
+	timer        *time.Timer
+	fell         bool
 }
 
 type job struct {
@@ -76,17 +76,17 @@
 	cur uint64 // arrival whose answer is due, 0: none
 }
 
-func newPark(day *Day, rec *Record, now func() at, host string) *park {
-	return &park{day: day, rec: rec, now: now, host: host, shared: fleet.NewSharedState(), byID: map[string]*worker{},
+func newWorkerFleet(day *Day, rec *Record, now func() runTime, host string) *workerFleet {
+	return &workerFleet{day: day, rec: rec, now: now, host: host, shared: fleet.NewSharedState(), byID: map[string]*worker{},
 		recent: map[int]float64{}, counts: map[countOf]*count{}}
 }
 
 // add makes a worker for a place. It does not run yet.
-func (p *park) add(place int, build fleet.Build, speed float64, ail fleet.MachineFault) *worker {
+func (p *workerFleet) add(place int, build fleet.Build, speed float64, ail fleet.MachineFault) *worker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ids++
-	w := &worker{p: p, id: fmt.Sprintf("w%03d", p.ids), place: place, build: build, speed: speed, ail: ail,
+	w := &worker{p: p, id: fmt.Sprintf("w%03d", p.ids), replica: place, build: build, speed: speed, ail: ail,
 		conns: map[*workConn]bool{}, jobs: map[uint64]*job{}, rng: rand.New(rand.NewSource(p.day.Seed*1000 + int64(p.ids)))}
 	p.byID[w.id] = w
 	return w
@@ -109,7 +109,7 @@
 	if cold {
 		w.started = max(1, w.p.now())
 	}
-	kind := w.p.day.Kind
+	kind := w.p.day.MachineKind
 	kind.Speed = w.speed
 	w.m = fleet.NewMachine(kind, w.build, fleet.Nanos(w.started), w.p.shared, w.rng.Int63())
 	w.m.Fault = w.ail
@@ -148,8 +148,8 @@
 	c.Conn.Close()
 }
 
-// ailing changes what is wrong with a worker.
-func (w *worker) ailing(change func(*fleet.MachineFault)) {
+// changeFault changes what is wrong with a worker.
+func (w *worker) changeFault(change func(*fleet.MachineFault)) {
 	w.p.mu.Lock()
 	defer w.p.mu.Unlock()
 	change(&w.ail)
@@ -158,8 +158,8 @@
 	}
 }
 
-// vanish silences a worker, or lets it speak again; what it held meanwhile is lost.
-func (w *worker) vanish(silent bool) {
+// setSilent silences a worker, or lets it speak again; what it held meanwhile is lost.
+func (w *worker) setSilent(silent bool) {
 	w.p.mu.Lock()
 	defer w.p.mu.Unlock()
 	w.silent = silent
@@ -186,7 +186,7 @@
 			continue
 		}
 		w.conns[wc] = true
-		cost := w.connect
+		cost := w.connectDelay
 		w.p.mu.Unlock()
 		w.p.group.Go(func() {
 			if cost > 0 {
@@ -270,7 +270,7 @@
 func (w *worker) take(c *workConn, r *http.Request) {
 	p := w.p
 	now := p.now()
-	a := &Arrival{Txn: headerInt(r, "Lab-Txn"), Worker: w.id, Place: w.place, Build: w.build.Number, At: now}
+	a := &Arrival{Txn: headerInt(r, "Lab-Txn"), Worker: w.id, Place: w.replica, Build: w.build.Number, At: now}
 	work := time.Duration(headerInt(r, "Lab-Work-Ns"))
 	product := int(headerInt(r, "Lab-Product"))
 	bad := r.Header.Get("Lab-Bad") != ""
@@ -308,7 +308,7 @@
 		a.End, a.Began = "bad", false
 		out = answer(500, "", nil, a, w, false, j.head)
 	default:
-		verdict = w.m.Submit(fleet.Nanos(now), fleet.Job{ID: id, Product: product, DedupKey: mark, Memory: fleet.Nanos(spec.Memory),
+		verdict = w.m.Submit(fleet.Nanos(now), fleet.Job{ID: id, Product: product, DedupKey: mark, Memory: fleet.Nanos(spec.DedupMemory),
 			Work: fleet.Nanos(work), From: int(headerInt(r, "Lab-Edge"))})
 	}
 	switch verdict {
@@ -404,7 +404,7 @@
 	default:
 		a.End = "ok"
 	}
-	if w.p.day.TallyEvery > 0 && w.rng.Float64() < w.p.day.TallySample {
+	if w.p.day.TallyInterval > 0 && w.rng.Float64() < w.p.day.TallySampleShare {
 		k := countOf{w.build.Number, d.Product}
 		if w.p.counts[k] == nil {
 			w.p.counts[k] = &count{}
@@ -421,7 +421,7 @@
 		return
 	}
 	c.cur = 0
-	if w.garbage > 0 && w.rng.Float64() < w.garbage {
+	if w.garbageRate > 0 && w.rng.Float64() < w.garbageRate {
 		a.End = "garbage"
 		send(c, []byte("\x00\x01 this is no answer\r\n\r\n"))
 		return
@@ -451,7 +451,7 @@
 }
 
 // drag sets how much a build that slows all does so, by its share of the traffic of the last second or so.
-func (p *park) drag() {
+func (p *workerFleet) drag() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all, most := 0.0, 1.0
@@ -470,7 +470,7 @@
 }
 
 // close ends all workers and waits for their goroutines.
-func (p *park) close() {
+func (p *workerFleet) close() {
 	p.mu.Lock()
 	p.closed = true
 	for _, w := range p.byID {
