--- a/edge/call.go
+++ b/edge/call.go
@@ -16,7 +16,7 @@
 	subWaiting             // waits for a connection: nothing was sent
 	subSent                // written to a worker, which may run it
 	subHalfClosed          // cancelled by half-closing the connection; an answer already under way is still accepted
-	subStreaming           // its answer is relayed by a carrier
+	subStreaming           // its answer is forwarded by a streamRelay
 )
 
 // submission is one attempt to run a txn on a worker.
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -215,7 +215,7 @@
 }
 
 func TestAnswers(t *testing.T) {
-	big := strings.Repeat("0123456789abcdef", 1<<17) // 2 MiB: too large to buffer, so relayed by a carrier
+	big := strings.Repeat("0123456789abcdef", 1<<17) // 2 MiB: too large to buffer, so forwarded by a streamRelay
 	cases := []struct {
 		name   string
 		worker handler
@@ -445,7 +445,7 @@
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatal("the carrier still serves a client that reads nothing")
+			t.Fatal("the relay still serves a client that reads nothing")
 		}
 	}
 	if n, err := io.Copy(io.Discard, c); err == nil || n >= size {
--- a/edge/loop.go
+++ b/edge/loop.go
@@ -140,7 +140,7 @@
 	alarmAt      atomic.Int64   // when runAlarm wakes the loop next; 0 when it is not set
 	alarmChanged chan struct{}  // tells runAlarm that alarmAt has changed
 	lastWake     logic.Nanos    // when the loop was last woken
-	group        sync.WaitGroup // dials, votes, carriers and runAlarm
+	group        sync.WaitGroup // dials, votes, relays and runAlarm
 	quit         chan struct{}  // closed by halt
 }
 
@@ -715,7 +715,7 @@
 	l.post(func() { l.stopping = true; close(done) })
 	<-done
 	close(l.quit)
-	l.group.Wait() // dials and carriers post their results to the loop, so they must end before it
+	l.group.Wait() // dials and relays post their results to the loop, so they must end before it
 	l.client.Stop()
 	l.closeAllClosing()
 	l.wakeConn.Close()
--- a/edge/stats.go
+++ b/edge/stats.go
@@ -9,7 +9,7 @@
 // stats holds a loop's counters and gauges. Only the loop writes them; publishStats copies them for readers on other
 // goroutines at every housekeeping tick.
 type stats struct {
-	clientsAccepted uint64 // client connections, also those that come back from a carrier
+	clientsAccepted uint64 // client connections, including those returned by a streamRelay
 	admitted        uint64 // txns passed to the module
 	settled         uint64
 	declined        uint64
@@ -32,8 +32,8 @@
 	idleClosed       uint64 // worker connections closed at their idle timeout
 	stale            uint64 // idle worker connections found ended, or with unsolicited bytes, on reuse
 
-	streamed       uint64 // answers passed to a carrier
-	streaming      int64  // answers that carriers are relaying now
+	streamed       uint64 // answers passed to a streamRelay
+	streaming      int64  // answers that streamRelays are forwarding now
 	endings        [16]uint64
 	repliesByClass [6]uint64             // the edge's own HTTP replies by the status's first digit
 	clientEnds     [numEndReasons]uint64 // ended client connections
--- a/edge/worker_http.go
+++ b/edge/worker_http.go
@@ -178,8 +178,8 @@
 // settlesTxn reports whether an answer of this status settles its txn.
 func settlesTxn(status int) bool { return status < 500 }
 
-// maybeRelay passes an answer that is streamed or too large to buffer to a carrier. It reports whether the connection is done
-// with, which it also is if nobody wants the answer.
+// maybeRelay passes an answer that streams or is too large to be buffered to a streamRelay, or drops it if no client waits for
+// it. It reports whether the loop is done with the answer.
 func (k *httpWorker) maybeRelay(size int) bool {
 	wc := k.wc
 	l, c := wc.l, wc.call
