--- a/edge/worker_http.go
+++ b/edge/worker_http.go
@@ -178,7 +178,7 @@
 // settlesTxn reports whether an answer of this status settles its txn.
 func settlesTxn(status int) bool { return status < 500 }
 
-// maybeRelay passes an answer that streams or is too large to be buffered to a streamRelay, or drops it if no client waits for
+// maybeRelay passes an answer that streams or is too large to be buffered to a streamRelay, or drops it if no client is to get
 // it. It reports whether the loop is done with the answer.
 func (k *httpWorker) maybeRelay(size int) bool {
 	wc := k.wc
