--- a/trace/cost_test.go
+++ b/trace/cost_test.go
@@ -13,7 +13,7 @@
 
 // BenchmarkTxn is what recording an ordinary txn costs a loop, and with its writer: both show as CPU time.
 func BenchmarkTxn(b *testing.B)       { benchmarkTxn(b, "") }
-func BenchmarkTailedTxn(b *testing.B) { benchmarkTxn(b, TailFolder) }
+func BenchmarkTailedTxn(b *testing.B) { benchmarkTxn(b, DefaultTailDir) }
 
 func benchmarkTxn(b *testing.B, tails string) {
 	dir := b.TempDir()
@@ -29,14 +29,14 @@
 	b.ResetTimer()
 	for i := 0; i < b.N; i++ {
 		now += 22000
-		x.ID = logic.TxnID(uint64(i>>6)<<placeBits | uint64(i&63))
+		x.ID = logic.TxnID(uint64(i>>6)<<slotBits | uint64(i&63))
 		x.Expiry = now + 3*logic.Second
 		x.Key = logic.KeyID(uint64(i) * mixer)
 		for rec.freeBuffers() <= reservedBuffers {
 			time.Sleep(10 * time.Microsecond)
 		}
 		rec.Take(now, &x, uint64(i+1), 0, 0)
-		rec.Submit(now, x.ID, workers10[i%10], 0)
+		rec.Submit(now, x.ID, benchWorkers[i%10], 0)
 		rec.Event(now, tracepb.Kind_REMIND, 0, 0, uint64(i&63)<<32|uint64(i>>6), 2046971000)
 		o := logic.Outcome{Txn: x.ID, Elapsed: logic.Nanos(1e6 + i%64*1000), Final: true}
 		rec.Outcome(now, &o, 200)
@@ -53,9 +53,9 @@
 	b.ReportMetric(float64(size)/float64(b.N), "B/txn")
 }
 
-const placeBits = 20
+const slotBits = 20
 
-var workers10 = []logic.WorkerID{"w00", "w01", "w02", "w03", "w04", "w05", "w06", "w07", "w08", "w09"}
+var benchWorkers = []logic.WorkerID{"w00", "w01", "w02", "w03", "w04", "w05", "w06", "w07", "w08", "w09"}
 
 // BenchmarkFollowInAGiB finds txns in one file of a GiB, by name and by key: go test ./trace -run none -bench GiB
 func BenchmarkFollowInAGiB(b *testing.B) {
@@ -80,12 +80,12 @@
 			}
 		}
 		now += 22000 + logic.Nanos(n*mixer>>50)
-		x := logic.Txn{ID: logic.TxnID(uint64(n>>6)<<placeBits | n&63), Expiry: now + 3*logic.Second, Cost: 2e7, Key: key(n + 1)}
+		x := logic.Txn{ID: logic.TxnID(uint64(n>>6)<<slotBits | n&63), Expiry: now + 3*logic.Second, Cost: 2e7, Key: key(n + 1)}
 		for rec.freeBuffers() <= reservedBuffers {
 			time.Sleep(10 * time.Microsecond)
 		}
 		rec.Take(now, &x, n+1, 0, 0)
-		rec.Submit(now, x.ID, workers10[n%10], 0)
+		rec.Submit(now, x.ID, benchWorkers[n%10], 0)
 		rec.Event(now, tracepb.Kind_REMIND, 0, 0, n&63<<32|n>>6, 2046971000)
 		o := logic.Outcome{Txn: x.ID, Elapsed: logic.Nanos(1e6 + n*mixer>>44), Final: true}
 		rec.Outcome(now, &o, 200)
--- a/trace/file.go
+++ b/trace/file.go
@@ -23,18 +23,18 @@
 // A file is a run of frames: marker, kind, length and checksum, then the payload. The marker lets a reader find its
 // way again behind damage.
 const (
-	frameHead  = 16
-	frameIndex = 'I'
-	frameBlock = 'B'
-	frameStart = 'H'
+	frameHeaderBytes = 16
+	frameIndex       = 'I'
+	frameBlock       = 'B'
+	frameHeader      = 'H'
 	// Bounds that a reader holds whatever a file claims: of a frame's payload, and of a block's records.
-	longestFrame = 64 << 20
-	longestBlock = 64 << 20
+	maxFrameBytes = 64 << 20
+	maxBlockBytes = 64 << 20
 )
 
 var (
-	marker     = [4]byte{0xd6, 'D', 'G', 'T'}
-	castagnoli = crc32.MakeTable(crc32.Castagnoli)
+	frameMarker = [4]byte{0xd6, 'D', 'G', 'T'}
+	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
 )
 
 // What a reader can find wrong.
@@ -51,44 +51,44 @@
 	for _, p := range parts {
 		size += len(p)
 	}
-	b = append(b, marker[:]...)
+	b = append(b, frameMarker[:]...)
 	b = append(b, kind, 0, 0, 0)
 	b = binary.LittleEndian.AppendUint32(b, uint32(size))
 	b = append(b, 0, 0, 0, 0)
 	for _, p := range parts {
 		b = append(b, p...)
 	}
-	binary.LittleEndian.PutUint32(b[at+12:], frameSum(b[at:]))
+	binary.LittleEndian.PutUint32(b[at+12:], frameChecksum(b[at:]))
 	return b
 }
 
-func frameSum(frame []byte) uint32 {
+func frameChecksum(frame []byte) uint32 {
 	sum := crc32.Update(0, castagnoli, frame[4:12])
-	return crc32.Update(sum, castagnoli, frame[frameHead:])
+	return crc32.Update(sum, castagnoli, frame[frameHeaderBytes:])
 }
 
-// filterOf makes a block's filter of keys and trace ids: three in a thousand blocks are looked into for nothing.
-func filterOf(n int) *bloom.BloomFilter { return bloom.NewWithEstimates(uint(max(n, 16)), 0.003) }
+// newKeyFilter makes a block's filter of keys and trace ids: three in a thousand blocks are looked into for nothing.
+func newKeyFilter(n int) *bloom.BloomFilter { return bloom.NewWithEstimates(uint(max(n, 16)), 0.003) }
 
 func uint64Bytes(v uint64) []byte { return binary.LittleEndian.AppendUint64(nil, v) }
 
-// quick is how fast a block fills, in nanoseconds, from which on time is dearer than space.
-const quick = 500_000_000
+// fastFillNanos is how fast a block fills, in nanoseconds, from which on time is dearer than space.
+const fastFillNanos = 500_000_000
 
 // encoder turns blocks of records into frames. It is for one goroutine.
 type encoder struct {
-	zip  *zstd.Encoder
-	fast *zstd.Encoder // for blocks that fill quickly: a tenth larger at two thirds of the time
-	out  []byte
-	body []byte
-	keys []uint64
-	head int // bytes of the last frame before its records
+	dense      *zstd.Encoder
+	fast       *zstd.Encoder // for blocks that fill quickly: a tenth larger at two thirds of the time
+	out        []byte
+	compressed []byte
+	keys       []uint64
+	headBytes  int // bytes of the last frame before its records
 }
 
 // indexEntry is the index's indexEntry of the frame that was made last.
 func (e *encoder) indexEntry(offset uint64, info *tracepb.Block) *tracepb.Index_Entry {
 	info.Keys = nil // they stand in the block's head, and would make the index huge
-	return &tracepb.Index_Entry{Offset: offset, Block: info, Head: uint32(e.head), HeadSum: crc32.Checksum(e.out[:e.head], castagnoli)}
+	return &tracepb.Index_Entry{Offset: offset, Block: info, Head: uint32(e.headBytes), HeadSum: crc32.Checksum(e.out[:e.headBytes], castagnoli)}
 }
 
 func newEncoder() (*encoder, error) {
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &encoder{zip: z, fast: fast}, nil
+	return &encoder{dense: z, fast: fast}, nil
 }
 
 // encodeBlock makes the frame of one encodeBlock, and the index entry's part of it.
@@ -116,7 +116,7 @@
 		if rest, err = r.Decode(rest, at); err != nil {
 			return nil, nil, err
 		}
-		at = r.next()
+		at = r.nextBase()
 		earliest = min(earliest, at)
 		info.Records++
 		if r.Kind < 64 {
@@ -142,7 +142,7 @@
 			}
 		case tracepb.Kind_WORKER:
 			info.Workers++
-			if info.Names = append(info.Names, r.Text); info.Workers > namesTold {
+			if info.Names = append(info.Names, r.Text); info.Workers > maxBlockNames {
 				info.Names = nil
 			}
 			if b := int64(r.Token); b != 0 && !slices.Contains(info.Builds, b) {
@@ -154,13 +154,13 @@
 	if earliest < first {
 		info.Earliest = earliest
 	}
-	return e.pack(info, e.keys, records)
+	return e.encodeBlockWithInfo(info, e.keys, records)
 }
 
-// pack makes the frame of a block whose figures are known.
-func (e *encoder) pack(info *tracepb.Block, met []uint64, records []byte) ([]byte, *tracepb.Block, error) {
+// encodeBlockWithInfo makes the frame of a block whose figures are known.
+func (e *encoder) encodeBlockWithInfo(info *tracepb.Block, met []uint64, records []byte) ([]byte, *tracepb.Block, error) {
 	if len(met) > 0 {
-		f := filterOf(len(met))
+		f := newKeyFilter(len(met))
 		for _, k := range met {
 			f.Add(uint64Bytes(k))
 		}
@@ -174,13 +174,13 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	zip := e.zip
-	if info.Last-info.First < quick {
+	zip := e.dense
+	if info.Last-info.First < fastFillNanos {
 		zip = e.fast
 	}
-	e.body = zip.EncodeAll(records, e.body[:0])
+	e.compressed = zip.EncodeAll(records, e.compressed[:0])
 	length := binary.AppendUvarint(nil, uint64(len(head)))
-	e.out, e.head = appendFrame(e.out[:0], frameBlock, length, head, e.body), frameHead+len(length)+len(head)
+	e.out, e.headBytes = appendFrame(e.out[:0], frameBlock, length, head, e.compressed), frameHeaderBytes+len(length)+len(head)
 	return e.out, info, nil
 }
 
@@ -190,7 +190,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return appendFrame(nil, frameStart, data), nil
+	return appendFrame(nil, frameHeader, data), nil
 }
 
 // indexFrame makes the frame that closes a file; its last four bytes say where it begins, counted from the end.
@@ -199,7 +199,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return appendFrame(nil, frameIndex, data, binary.LittleEndian.AppendUint32(nil, uint32(len(data)+4+frameHead))), nil
+	return appendFrame(nil, frameIndex, data, binary.LittleEndian.AppendUint32(nil, uint32(len(data)+4+frameHeaderBytes))), nil
 }
 
 // Damage is a stretch of a file that could not be read.
@@ -212,18 +212,18 @@
 
 // File is an open trace file.
 type File struct {
-	Header  *tracepb.Header
-	Blocks  []*tracepb.Index_Entry
-	Damages []Damage
-	Closed  bool // it ends with its index, as a file that was closed does
-	Rebuilt bool // the index was made anew from the blocks
-	in      io.ReaderAt
-	size    int64
-	zip     *zstd.Decoder
-	frame   []byte
-	records []byte
-	asked   uint64   // the key that places are of
-	places  []uint64 // before they are brought within a filter's size
+	Header          *tracepb.Header
+	Blocks          []*tracepb.Index_Entry
+	Damages         []Damage
+	Closed          bool // it ends with its index, as a file that was closed does
+	Rebuilt         bool // the index was made anew from the blocks
+	in              io.ReaderAt
+	size            int64
+	decoder         *zstd.Decoder
+	frame           []byte
+	records         []byte
+	filterKey       uint64   // the key that places are of
+	filterPositions []uint64 // before they are brought within a filter's size
 }
 
 // Open reads a file's header and its index, or finds the blocks where there is no index. Damage is not an error: it
@@ -243,13 +243,13 @@
 
 // openHeader reads a file's header alone.
 func openHeader(in io.ReaderAt, size int64) (*File, int64, error) {
-	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(longestBlock))
+	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxBlockBytes))
 	if err != nil {
 		return nil, 0, err
 	}
-	f := &File{in: in, size: size, zip: z}
-	kind, payload, next, err := f.read(0)
-	if err != nil || kind != frameStart {
+	f := &File{in: in, size: size, decoder: z}
+	kind, payload, next, err := f.readFrame(0)
+	if err != nil || kind != frameHeader {
 		return nil, 0, ErrNoTrace
 	}
 	f.Header = &tracepb.Header{}
@@ -263,33 +263,33 @@
 }
 
 // Close frees what the reader holds; the file below is the caller's.
-func (f *File) Close() { f.zip.Close() }
+func (f *File) Close() { f.decoder.Close() }
 
-// read gives the frame at an offset. The payload is valid until the next call.
-func (f *File) read(at int64) (kind byte, payload []byte, next int64, err error) {
-	var head [frameHead]byte
+// readFrame gives the frame at an offset. The payload is valid until the next call.
+func (f *File) readFrame(at int64) (kind byte, payload []byte, next int64, err error) {
+	var head [frameHeaderBytes]byte
 	if _, err := f.in.ReadAt(head[:], at); err != nil {
 		return 0, nil, 0, fmt.Errorf("%w: %w", ErrDamaged, io.ErrUnexpectedEOF)
 	}
-	if [4]byte(head[:4]) != marker {
+	if [4]byte(head[:4]) != frameMarker {
 		return 0, nil, 0, fmt.Errorf("%w: no marker", ErrDamaged)
 	}
 	size := int64(binary.LittleEndian.Uint32(head[8:]))
-	if size > longestFrame || at+frameHead+size > f.size {
+	if size > maxFrameBytes || at+frameHeaderBytes+size > f.size {
 		return 0, nil, 0, fmt.Errorf("%w: a frame of %d bytes", ErrDamaged, size)
 	}
 	f.frame = append(f.frame[:0], head[:]...)
-	if cap(f.frame) < int(frameHead+size) {
-		f.frame = append(make([]byte, 0, frameHead+size), head[:]...)
+	if cap(f.frame) < int(frameHeaderBytes+size) {
+		f.frame = append(make([]byte, 0, frameHeaderBytes+size), head[:]...)
 	}
-	f.frame = f.frame[:frameHead+size]
-	if _, err := f.in.ReadAt(f.frame[frameHead:], at+frameHead); err != nil {
+	f.frame = f.frame[:frameHeaderBytes+size]
+	if _, err := f.in.ReadAt(f.frame[frameHeaderBytes:], at+frameHeaderBytes); err != nil {
 		return 0, nil, 0, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	if frameSum(f.frame) != binary.LittleEndian.Uint32(head[12:]) {
+	if frameChecksum(f.frame) != binary.LittleEndian.Uint32(head[12:]) {
 		return 0, nil, 0, fmt.Errorf("%w: a wrong checksum", ErrDamaged)
 	}
-	return head[4], f.frame[frameHead:], at + frameHead + size, nil
+	return head[4], f.frame[frameHeaderBytes:], at + frameHeaderBytes + size, nil
 }
 
 // loadIndex reads the index at the file's end, if there is a sound one.
@@ -302,7 +302,7 @@
 	if at < 0 {
 		return false
 	}
-	kind, payload, next, err := f.read(at)
+	kind, payload, next, err := f.readFrame(at)
 	if err != nil || kind != frameIndex || next != f.size || len(payload) < 4 {
 		return false
 	}
@@ -323,7 +323,7 @@
 func (f *File) rebuild(at int64) {
 	f.Rebuilt = true
 	for at < f.size {
-		kind, payload, next, err := f.read(at)
+		kind, payload, next, err := f.readFrame(at)
 		if err == nil {
 			if kind == frameBlock {
 				if info, _, err := splitBlock(payload); err == nil {
@@ -335,19 +335,19 @@
 			at = next
 			continue
 		}
-		resume := f.find(at + 1)
+		resume := f.findMarker(at + 1)
 		f.Damages = append(f.Damages, Damage{at, resume, err.Error()})
 		at = resume
 	}
 }
 
-// find gives the next offset from which on a marker stands, or the file's end.
-func (f *File) find(at int64) int64 {
+// findMarker gives the next offset from which on a marker stands, or the file's end.
+func (f *File) findMarker(at int64) int64 {
 	buf := make([]byte, 64<<10)
 	for at < f.size {
 		n, _ := f.in.ReadAt(buf, at)
 		for i := 0; i+4 <= n; i++ {
-			if [4]byte(buf[i:i+4]) == marker {
+			if [4]byte(buf[i:i+4]) == frameMarker {
 				return at + int64(i)
 			}
 		}
@@ -369,16 +369,16 @@
 	if err := proto.Unmarshal(payload[used:used+int(n)], info); err != nil {
 		return nil, nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	if info.Size > longestBlock {
+	if info.Size > maxBlockBytes {
 		return nil, nil, fmt.Errorf("%w: a block of %d bytes", ErrDamaged, info.Size)
 	}
 	return info, payload[used+int(n):], nil
 }
 
-// unpack makes a block's records ready in f.records.
-func (f *File) unpack(i int) (*tracepb.Block, error) {
+// decompress makes a block's records ready in f.records.
+func (f *File) decompress(i int) (*tracepb.Block, error) {
 	e := f.Blocks[i]
-	kind, payload, _, err := f.read(int64(e.Offset))
+	kind, payload, _, err := f.readFrame(int64(e.Offset))
 	if err == nil && kind != frameBlock {
 		err = ErrDamaged
 	}
@@ -389,7 +389,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("block %d at %d: %w", i, e.Offset, err)
 	}
-	f.records, err = f.zip.DecodeAll(packed, f.records[:0])
+	f.records, err = f.decoder.DecodeAll(packed, f.records[:0])
 	if err != nil || len(f.records) != int(info.Size) {
 		return nil, fmt.Errorf("block %d at %d: %w: it does not unpack", i, e.Offset, ErrDamaged)
 	}
@@ -400,7 +400,7 @@
 // are named by the block's WORKER records, whose ids are in names by their number.
 func (f *File) Read(i int, do func(r *Record, names []string) bool) error {
 	e := f.Blocks[i]
-	info, err := f.unpack(i)
+	info, err := f.decompress(i)
 	if err != nil {
 		return err
 	}
@@ -411,7 +411,7 @@
 		if rest, err = r.Decode(rest, at); err != nil {
 			return fmt.Errorf("block %d at %d: %w", i, e.Offset, err)
 		}
-		at = r.next()
+		at = r.nextBase()
 		if r.Kind == tracepb.Kind_WORKER {
 			if int(r.Worker) != len(names) {
 				return fmt.Errorf("block %d at %d: %w: worker %d after %d", i, e.Offset, ErrDamaged, r.Worker, len(names)-1)
@@ -452,8 +452,8 @@
 	return nil
 }
 
-// next is the time that the record behind this one counts from.
-func (r *Record) next() int64 {
+// nextBase is the time that the record behind this one counts from.
+func (r *Record) nextBase() int64 {
 	if r.Kind == tracepb.Kind_BACK {
 		return r.At - int64(r.Span)
 	}
@@ -480,33 +480,33 @@
 			return false
 		}
 		var ok bool
-		if keys, ok = f.head(e); !ok {
+		if keys, ok = f.blockFilter(e); !ok {
 			return true // look rather than miss it
 		}
 	}
 	if len(keys) == 0 {
 		return false
 	}
-	return f.inFilter(keys, key)
+	return f.filterContains(keys, key)
 }
 
-// head reads the filter in a block's head. The bytes are valid until the next call.
-func (f *File) head(e *tracepb.Index_Entry) ([]byte, bool) {
-	if int64(e.Head) > longestFrame || int64(e.Offset)+int64(e.Head) > f.size {
+// blockFilter reads the filter in a block's blockFilter. The bytes are valid until the next call.
+func (f *File) blockFilter(e *tracepb.Index_Entry) ([]byte, bool) {
+	if int64(e.Head) > maxFrameBytes || int64(e.Offset)+int64(e.Head) > f.size {
 		return nil, false
 	}
 	if cap(f.frame) < int(e.Head) {
 		f.frame = make([]byte, e.Head)
 	}
 	f.frame = f.frame[:e.Head]
-	if _, err := f.in.ReadAt(f.frame, int64(e.Offset)); err != nil || crc32.Checksum(f.frame, castagnoli) != e.HeadSum || e.Head < frameHead {
+	if _, err := f.in.ReadAt(f.frame, int64(e.Offset)); err != nil || crc32.Checksum(f.frame, castagnoli) != e.HeadSum || e.Head < frameHeaderBytes {
 		return nil, false
 	}
-	n, used := binary.Uvarint(f.frame[frameHead:])
-	if used <= 0 || n > uint64(len(f.frame)-frameHead-used) {
+	n, used := binary.Uvarint(f.frame[frameHeaderBytes:])
+	if used <= 0 || n > uint64(len(f.frame)-frameHeaderBytes-used) {
 		return nil, false
 	}
-	for in := f.frame[frameHead+used:]; len(in) > 0; {
+	for in := f.frame[frameHeaderBytes+used:]; len(in) > 0; {
 		field, kind, n := protowire.ConsumeTag(in)
 		if n < 0 {
 			return nil, false
@@ -524,9 +524,9 @@
 	return nil, true
 }
 
-// inFilter looks a key up in a filter as it stands in the file: number of bits, number of hashes and the bits, in words of
+// filterContains looks a key up in a filter as it stands in the file: number of bits, number of hashes and the bits, in words of
 // eight bytes, the highest first. The library's own reader would copy it.
-func (f *File) inFilter(keys []byte, key uint64) bool {
+func (f *File) filterContains(keys []byte, key uint64) bool {
 	if len(keys) < 32 {
 		return true
 	}
@@ -536,10 +536,10 @@
 	if m == 0 || m > uint64(len(bits))*8 || k == 0 || k > 64 {
 		return true
 	}
-	if f.asked != key || len(f.places) != int(k) {
-		f.asked, f.places = key, bloom.Locations(uint64Bytes(key), uint(k))
+	if f.filterKey != key || len(f.filterPositions) != int(k) {
+		f.filterKey, f.filterPositions = key, bloom.Locations(uint64Bytes(key), uint(k))
 	}
-	for _, at := range f.places {
+	for _, at := range f.filterPositions {
 		at %= m
 		if binary.BigEndian.Uint64(bits[at/64*8:])>>(at%64)&1 == 0 {
 			return false
@@ -551,7 +551,7 @@
 // ContainsBytes tells whether block i holds a key's bytes anywhere, without taking its records apart: most blocks that their
 // filter names in vain are told so by it.
 func (f *File) ContainsBytes(i int, keys ...uint64) bool {
-	if _, err := f.unpack(i); err != nil {
+	if _, err := f.decompress(i); err != nil {
 		return true // Read says what is wrong
 	}
 	for _, k := range keys {
--- a/trace/record.go
+++ b/trace/record.go
@@ -1,5 +1,6 @@
-// Package trace records what enters and leaves a sentry's decision module, so that one txn can be followed through
-// every decision and the decisions can be played again. docs/trace-format.md describes the files.
+// Package trace records the events that enter a sentry's decision module and the actions that leave it, so that a
+// single txn can be followed through every decision and the decisions can be replayed. docs/trace-format.md describes
+// the file format.
 package trace
 
 import (
@@ -12,56 +13,96 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Kind is a record's kind, as in the schema.
+// Kind is the kind of a record, as defined by the protobuf schema.
 type Kind = tracepb.Kind
 
-// Record is one record, flat. At is the sentry's clock in nanoseconds; the file holds differences.
+// Record is the decoded form of every kind of record: each kind uses some of the fields, as the schema describes.
 type Record struct {
 	Kind     Kind
-	At       int64
-	Txn      uint64
-	Serial   uint64
-	Number   uint32
-	Worker   uint32 // by the block's own numbers, from 1
-	Product  uint32
-	Customer uint32
-	Ending   uint32
-	Key      uint64
-	TraceID  [2]uint64
-	Cost     uint64
-	Patience uint64
-	Elapsed  uint64
-	Token    uint64
-	Span     uint64
-	Util     float64
-	Queue    float64
-	Busy     float64
-	Repeat   bool
-	Over     bool
-	Loaded   bool
-	Body     []byte
-	Text     string
-	Origin   uint32 // in a merged file: whose record it is, by the header's list, from 1
+	At       int64     // sentry clock in nanoseconds; files store the difference to the preceding record
+	Txn      uint64    // the sentry's id of a txn in progress
+	Serial   uint64    // of the txn in this run, from 1
+	Number   uint32    // submission of the txn, from 0; other kinds use it for a mode, a verdict or a peer
+	Worker   uint32    // number given by a WORKER record of the same block, from 1
+	Product  uint32    // index in the header's products
+	Customer uint32    // number of the customer
+	Ending   uint32    // how a submission ended, a logic.Ending
+	Key      uint64    // hash of the txn's key
+	TraceID  [2]uint64 // upper and lower half of the W3C trace id that the client sent; zeros without one
+	Cost     uint64    // expected work in nanoseconds, 0 if unknown
+	Patience uint64    // time until the expiry, nanoseconds
+	Elapsed  uint64    // duration of a submission, nanoseconds
+	Token    uint64    // timer token, seed, build, status or count, by kind
+	Span     uint64    // duration in nanoseconds, by kind
+	Util     float64   // load report: share of the worker's cores in use
+	Queue    float64   // load report: txns waiting
+	Busy     float64   // load report: txns in progress
+	Repeat   bool      // the client marked the txn as a repeat
+	Over     bool      // this outcome is the final one of the txn
+	Loaded   bool      // the outcome carries a load report
+	Body     []byte    // encoded message of kinds that have one
+	Text     string    // worker id or log line
+	Origin   uint32    // in a merged file: position in the header's list of origins, from 1
 }
 
-// ErrRecord says that bytes are no record.
+// ErrRecord reports bytes that cannot be decoded as a record.
 var ErrRecord = errors.New("trace: malformed record")
 
-// The wire form is written by hand: the loop must not allocate, and a record costs it some tens of nanoseconds. Tests
-// hold it against the generated code.
+// Field numbers of the Record message in trace.proto.
+//
+// The encoding is written by hand because the event loop must not allocate: a record costs it some tens of
+// nanoseconds. Tests compare it with the generated code.
+const (
+	fieldKind             protowire.Number = 1
+	fieldAfter            protowire.Number = 2
+	fieldTxn              protowire.Number = 3
+	fieldNumber           protowire.Number = 4
+	fieldWorker           protowire.Number = 5
+	fieldProduct          protowire.Number = 6
+	fieldCustomer         protowire.Number = 7
+	fieldKey              protowire.Number = 8
+	fieldCost             protowire.Number = 9
+	fieldRepeat           protowire.Number = 10
+	fieldPatience         protowire.Number = 11
+	fieldEnding           protowire.Number = 12
+	fieldElapsed          protowire.Number = 13
+	fieldOver             protowire.Number = 14
+	fieldUtil             protowire.Number = 15
+	fieldQueue            protowire.Number = 16
+	fieldBusy             protowire.Number = 17
+	fieldLoaded           protowire.Number = 18
+	fieldToken            protowire.Number = 19
+	fieldSpan             protowire.Number = 20
+	fieldBody             protowire.Number = 21
+	fieldText             protowire.Number = 22
+	fieldSerial           protowire.Number = 23
+	fieldTraceHigh        protowire.Number = 24
+	fieldTraceLow         protowire.Number = 25
+	fieldUtilThousandths  protowire.Number = 26
+	fieldQueueThousandths protowire.Number = 27
+	fieldBusyThousandths  protowire.Number = 28
+	fieldOrigin           protowire.Number = 29
 
-// tag is a field's number and wire type.
-type tag uint64
+	// nanosFieldOffset is added to the number of a duration field in microseconds to get the number of the field that
+	// holds its remaining nanoseconds.
+	nanosFieldOffset = 30
+)
+
+// fieldTag is an encoded protobuf field key: field number and wire type.
+type fieldTag uint64
 
-func varint(field protowire.Number) tag { return tag(protowire.EncodeTag(field, protowire.VarintType)) }
+func varintTag(field protowire.Number) fieldTag {
+	return fieldTag(protowire.EncodeTag(field, protowire.VarintType))
+}
 
-func putUint(b []byte, t tag, v uint64) []byte {
+// putUint appends a varint field unless it is zero.
+func putUint(b []byte, t fieldTag, v uint64) []byte {
 	if v == 0 {
 		return b
 	}
 	if t < 0x80 {
 		b = append(b, byte(t))
-	} else { // no field has a number over 2047
+	} else { // two bytes suffice: no field number exceeds 2047
 		b = append(b, byte(t)|0x80, byte(t>>7))
 	}
 	for v >= 0x80 {
@@ -71,123 +112,140 @@
 	return append(b, byte(v))
 }
 
-// putSpan writes a span in microseconds, and what that leaves out: most of them are whole.
-func putSpan(b []byte, t tag, v uint64) []byte {
+// putDuration appends a duration as whole microseconds and, in a field of its own, the remaining nanoseconds, which are
+// zero for most durations.
+func putDuration(b []byte, t fieldTag, v uint64) []byte {
 	micros := v / 1000
 	b = putUint(b, t, micros)
-	if left := v - micros*1000; left != 0 {
-		b = putUint(b, t+30<<3, left)
+	if rest := v - micros*1000; rest != 0 {
+		b = putUint(b, t+nanosFieldOffset<<3, rest)
 	}
 	return b
 }
 
-func putFixed(b []byte, field protowire.Number, v uint64) []byte {
+// putFixed64 appends a fixed64 field unless it is zero.
+func putFixed64(b []byte, field protowire.Number, v uint64) []byte {
 	if v == 0 {
 		return b
 	}
 	return protowire.AppendFixed64(protowire.AppendTag(b, field, protowire.Fixed64Type), v)
 }
 
-// Fields of records.
+// Encoded field keys of the record's varint fields.
 var (
-	tagKind, tagAfter, tagTxn, tagNumber, tagWorker = varint(1), varint(2), varint(3), varint(4), varint(5)
-	tagProduct, tagCustomer, tagCost, tagRepeat     = varint(6), varint(7), varint(9), varint(10)
-	tagPatience, tagEnding, tagElapsed, tagOver     = varint(11), varint(12), varint(13), varint(14)
-	tagLoaded, tagToken, tagSpan, tagSerial         = varint(18), varint(19), varint(20), varint(23)
-	tagOrigin                                       = varint(29)
+	tagKind     = varintTag(fieldKind)
+	tagAfter    = varintTag(fieldAfter)
+	tagTxn      = varintTag(fieldTxn)
+	tagNumber   = varintTag(fieldNumber)
+	tagWorker   = varintTag(fieldWorker)
+	tagProduct  = varintTag(fieldProduct)
+	tagCustomer = varintTag(fieldCustomer)
+	tagCost     = varintTag(fieldCost)
+	tagRepeat   = varintTag(fieldRepeat)
+	tagPatience = varintTag(fieldPatience)
+	tagEnding   = varintTag(fieldEnding)
+	tagElapsed  = varintTag(fieldElapsed)
+	tagOver     = varintTag(fieldOver)
+	tagLoaded   = varintTag(fieldLoaded)
+	tagToken    = varintTag(fieldToken)
+	tagSpan     = varintTag(fieldSpan)
+	tagSerial   = varintTag(fieldSerial)
+	tagOrigin   = varintTag(fieldOrigin)
 )
 
-// Append writes a record behind its length, with its time as the difference to the one before. It allocates only
-// where b has no room.
-func (r *Record) Append(b []byte, before int64) []byte {
-	at := len(b)
-	b = append(b, 0, 0) // room for the length of nearly every record
+// Append appends the record to b with its length in front. Its time is stored as the difference to prevAt, the time of
+// the preceding record. It allocates only if b has no room left.
+func (r *Record) Append(b []byte, prevAt int64) []byte {
+	start := len(b)
+	b = append(b, 0, 0) // space for a two-byte length, enough for nearly every record
 	b = putUint(b, tagKind, uint64(r.Kind))
-	b = putSpan(b, tagAfter, uint64(r.At-before))
+	b = putDuration(b, tagAfter, uint64(r.At-prevAt))
 	b = putUint(b, tagTxn, r.Txn)
 	b = putUint(b, tagNumber, uint64(r.Number))
 	b = putUint(b, tagWorker, uint64(r.Worker))
 	b = putUint(b, tagProduct, uint64(r.Product))
 	b = putUint(b, tagCustomer, uint64(r.Customer))
-	b = putFixed(b, 8, r.Key)
-	b = putSpan(b, tagCost, r.Cost)
-	b = putUint(b, tagRepeat, flag(r.Repeat))
-	b = putSpan(b, tagPatience, r.Patience)
+	b = putFixed64(b, fieldKey, r.Key)
+	b = putDuration(b, tagCost, r.Cost)
+	b = putUint(b, tagRepeat, boolToUint64(r.Repeat))
+	b = putDuration(b, tagPatience, r.Patience)
 	b = putUint(b, tagEnding, uint64(r.Ending))
-	b = putSpan(b, tagElapsed, r.Elapsed)
-	b = putUint(b, tagOver, flag(r.Over))
+	b = putDuration(b, tagElapsed, r.Elapsed)
+	b = putUint(b, tagOver, boolToUint64(r.Over))
 	if r.Loaded {
 		b = putLoads(b, r.Util, r.Queue, r.Busy)
 	}
 	b = putUint(b, tagToken, r.Token)
-	b = putSpan(b, tagSpan, r.Span)
+	b = putDuration(b, tagSpan, r.Span)
 	if len(r.Body) > 0 {
-		b = protowire.AppendBytes(protowire.AppendTag(b, 21, protowire.BytesType), r.Body)
+		b = protowire.AppendBytes(protowire.AppendTag(b, fieldBody, protowire.BytesType), r.Body)
 	}
 	if r.Text != "" {
-		b = protowire.AppendString(protowire.AppendTag(b, 22, protowire.BytesType), r.Text)
+		b = protowire.AppendString(protowire.AppendTag(b, fieldText, protowire.BytesType), r.Text)
 	}
 	b = putUint(b, tagSerial, r.Serial)
-	b = putFixed(b, 24, r.TraceID[0])
-	b = putFixed(b, 25, r.TraceID[1])
+	b = putFixed64(b, fieldTraceHigh, r.TraceID[0])
+	b = putFixed64(b, fieldTraceLow, r.TraceID[1])
 	b = putUint(b, tagOrigin, uint64(r.Origin))
-	return length(b, at)
+	return putLength(b, start)
 }
 
-// length fills in a record's length, a varint of two bytes, padded; a longer record moves up.
-func length(b []byte, at int) []byte {
-	size := len(b) - at - 2
+// putLength fills in the length of the record that starts at offset start, as a varint padded to two bytes. The content
+// of a record too long for that is moved to make room for a longer varint.
+func putLength(b []byte, start int) []byte {
+	size := len(b) - start - 2
 	if size < 1<<14 {
-		b[at], b[at+1] = byte(size)|0x80, byte(size>>7)
+		b[start], b[start+1] = byte(size)|0x80, byte(size>>7)
 		return b
 	}
-	var length [10]byte
-	n := len(protowire.AppendVarint(length[:0], uint64(size)))
-	b = append(b, length[:n-2]...)
-	copy(b[at+n:], b[at+2:at+2+size])
-	copy(b[at:], protowire.AppendVarint(length[:0], uint64(size)))
+	var prefix [10]byte
+	n := len(protowire.AppendVarint(prefix[:0], uint64(size)))
+	b = append(b, prefix[:n-2]...)
+	copy(b[start+n:], b[start+2:start+2+size])
+	copy(b[start:], protowire.AppendVarint(prefix[:0], uint64(size)))
 	return b
 }
 
+// putLoads appends the fields of a load report.
 func putLoads(b []byte, util, queue, busy float64) []byte {
-	b = putLoad(b, 15, 26, util)
-	b = putLoad(b, 16, 27, queue)
-	b = putLoad(b, 17, 28, busy)
+	b = putLoad(b, fieldUtil, fieldUtilThousandths, util)
+	b = putLoad(b, fieldQueue, fieldQueueThousandths, queue)
+	b = putLoad(b, fieldBusy, fieldBusyThousandths, busy)
 	return putUint(b, tagLoaded, 1)
 }
 
-// putLoad writes a figure of a load report in thousandths where that is exactly what it is, as figures are that come
-// in text with three digits.
-func putLoad(b []byte, whole, thousandths protowire.Number, v float64) []byte {
+// putLoad appends one value of a load report: in thousandths if that represents it exactly, which holds for values
+// parsed from text with three decimals, and as a double otherwise.
+func putLoad(b []byte, double, thousandths protowire.Number, v float64) []byte {
 	if n := math.Round(v * 1000); math.Abs(n) < 1e15 && n/1000 == v && !(n == 0 && math.Signbit(v)) {
-		return putUint(b, varint(thousandths), protowire.EncodeZigZag(int64(n)))
+		return putUint(b, varintTag(thousandths), protowire.EncodeZigZag(int64(n)))
 	}
-	return putFixed(b, whole, math.Float64bits(v))
+	return putFixed64(b, double, math.Float64bits(v))
 }
 
-func flag(v bool) uint64 {
+func boolToUint64(v bool) uint64 {
 	if v {
 		return 1
 	}
 	return 0
 }
 
-// Decode reads the record at the front of b, after one at before, and gives what is left. Body and Text point into
-// b. Fields that it does not know are passed over, as the format promises.
-func (r *Record) Decode(b []byte, before int64) ([]byte, error) {
+// Decode decodes the record at the front of b and returns the remaining bytes. prevAt is the time of the preceding
+// record. Body points into b. Unknown fields are skipped, as the format promises.
+func (r *Record) Decode(b []byte, prevAt int64) ([]byte, error) {
 	size, n := protowire.ConsumeVarint(b)
 	if n < 0 || size > uint64(len(b)-n) {
 		return nil, ErrRecord
 	}
 	in, rest := b[n:n+int(size)], b[n+int(size):]
-	*r = Record{At: before}
+	*r = Record{At: prevAt}
 	for len(in) > 0 {
-		field, kind, n := protowire.ConsumeTag(in)
+		field, wireType, n := protowire.ConsumeTag(in)
 		if n < 0 {
 			return nil, ErrRecord
 		}
 		in = in[n:]
-		switch kind {
+		switch wireType {
 		case protowire.VarintType:
 			v, n := protowire.ConsumeVarint(in)
 			if n < 0 {
@@ -195,57 +253,57 @@
 			}
 			in = in[n:]
 			switch field {
-			case 1:
+			case fieldKind:
 				r.Kind = Kind(v)
-			case 2:
+			case fieldAfter:
 				r.At += int64(v * 1000)
-			case 3:
+			case fieldTxn:
 				r.Txn = v
-			case 4:
+			case fieldNumber:
 				r.Number = uint32(v)
-			case 5:
+			case fieldWorker:
 				r.Worker = uint32(v)
-			case 6:
+			case fieldProduct:
 				r.Product = uint32(v)
-			case 7:
+			case fieldCustomer:
 				r.Customer = uint32(v)
-			case 9:
+			case fieldCost:
 				r.Cost += v * 1000
-			case 10:
+			case fieldRepeat:
 				r.Repeat = v != 0
-			case 11:
+			case fieldPatience:
 				r.Patience += v * 1000
-			case 12:
+			case fieldEnding:
 				r.Ending = uint32(v)
-			case 13:
+			case fieldElapsed:
 				r.Elapsed += v * 1000
-			case 14:
+			case fieldOver:
 				r.Over = v != 0
-			case 18:
+			case fieldLoaded:
 				r.Loaded = v != 0
-			case 19:
+			case fieldToken:
 				r.Token = v
-			case 20:
+			case fieldSpan:
 				r.Span += v * 1000
-			case 32:
+			case fieldAfter + nanosFieldOffset:
 				r.At += int64(v)
-			case 39:
+			case fieldCost + nanosFieldOffset:
 				r.Cost += v
-			case 41:
+			case fieldPatience + nanosFieldOffset:
 				r.Patience += v
-			case 43:
+			case fieldElapsed + nanosFieldOffset:
 				r.Elapsed += v
-			case 50:
+			case fieldSpan + nanosFieldOffset:
 				r.Span += v
-			case 23:
+			case fieldSerial:
 				r.Serial = v
-			case 29:
+			case fieldOrigin:
 				r.Origin = uint32(v)
-			case 26:
+			case fieldUtilThousandths:
 				r.Util = float64(protowire.DecodeZigZag(v)) / 1000
-			case 27:
+			case fieldQueueThousandths:
 				r.Queue = float64(protowire.DecodeZigZag(v)) / 1000
-			case 28:
+			case fieldBusyThousandths:
 				r.Busy = float64(protowire.DecodeZigZag(v)) / 1000
 			}
 		case protowire.Fixed64Type:
@@ -255,17 +313,17 @@
 			}
 			in = in[n:]
 			switch field {
-			case 8:
+			case fieldKey:
 				r.Key = v
-			case 15:
+			case fieldUtil:
 				r.Util = math.Float64frombits(v)
-			case 16:
+			case fieldQueue:
 				r.Queue = math.Float64frombits(v)
-			case 17:
+			case fieldBusy:
 				r.Busy = math.Float64frombits(v)
-			case 24:
+			case fieldTraceHigh:
 				r.TraceID[0] = v
-			case 25:
+			case fieldTraceLow:
 				r.TraceID[1] = v
 			}
 		case protowire.BytesType:
@@ -275,13 +333,13 @@
 			}
 			in = in[n:]
 			switch field {
-			case 21:
+			case fieldBody:
 				r.Body = v
-			case 22:
+			case fieldText:
 				r.Text = string(v)
 			}
 		default:
-			n := protowire.ConsumeFieldValue(field, kind, in)
+			n := protowire.ConsumeFieldValue(field, wireType, in)
 			if n < 0 {
 				return nil, fmt.Errorf("%w: field %d", ErrRecord, field)
 			}
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -60,7 +60,7 @@
 	byID := map[uint64]*Life{}
 	var out []*Life
 	for _, path := range files {
-		h, err := headerOf(path)
+		h, err := readHeader(path)
 		if err != nil {
 			faults = append(faults, err)
 			continue
@@ -80,7 +80,7 @@
 	for _, l := range out {
 		if l.origin == 0 {
 			sort.Sort(bySegment{l})
-			l.addTail()
+			l.appendTail()
 		}
 	}
 	sort.Slice(out, func(i, j int) bool {
@@ -90,10 +90,10 @@
 	return out, errors.Join(faults...)
 }
 
-// addTail has the life end with what its process has not written to segments yet, or, if it was killed, never will.
-func (l *Life) addTail() {
-	path := tailPath(TailsIn, l.ID)
-	f, _, err := openTail(path)
+// appendTail has the life end with what its process has not written to segments yet, or, if it was killed, never will.
+func (l *Life) appendTail() {
+	path := tailPath(TailDir, l.ID)
+	f, _, err := readTail(path)
 	if err != nil {
 		return
 	}
@@ -105,8 +105,8 @@
 	}
 }
 
-// TailsIn is where tails are looked for.
-var TailsIn = TailFolder
+// TailDir is where tails are looked for.
+var TailDir = DefaultTailDir
 
 type bySegment struct{ *Life }
 
@@ -117,10 +117,10 @@
 	s.Headers[i], s.Headers[j] = s.Headers[j], s.Headers[i]
 }
 
-// headerOf reads a file's header.
-func headerOf(path string) (*tracepb.Header, error) {
+// readHeader reads a file's header.
+func readHeader(path string) (*tracepb.Header, error) {
 	if strings.HasSuffix(path, TailSuffix) {
-		f, _, err := openTail(path)
+		f, _, err := readTail(path)
 		if err != nil {
 			return nil, err
 		}
@@ -147,7 +147,7 @@
 // OpenPath opens a file by its path; done closes it.
 func OpenPath(path string) (f *File, done func(), err error) {
 	if strings.HasSuffix(path, TailSuffix) {
-		if f, _, err = openTail(path); err != nil {
+		if f, _, err = readTail(path); err != nil {
 			return nil, nil, err
 		}
 		return f, f.Close, nil
@@ -184,7 +184,7 @@
 			}
 			hurt(path, d)
 		}
-		more, err := l.eachOf(path, &number, do, hurt, pass)
+		more, err := l.eachInFile(path, &number, do, hurt, pass)
 		if err != nil || !more {
 			return err
 		}
@@ -192,7 +192,7 @@
 	return nil
 }
 
-func (l *Life) eachOf(path string, number *uint64, do func(r *Record, names []string) bool, hurt func(path string, d Damage),
+func (l *Life) eachInFile(path string, number *uint64, do func(r *Record, names []string) bool, hurt func(path string, d Damage),
 	pass func(f *File, i int) bool) (more bool, err error) {
 	f, done, err := OpenPath(path)
 	if err != nil {
@@ -274,30 +274,30 @@
 // actionCollector is the module's Sink in a replay.
 type actionCollector struct{ actions []action }
 
-func (p *actionCollector) put(a action) { p.actions = append(p.actions, a) }
+func (p *actionCollector) add(a action) { p.actions = append(p.actions, a) }
 
 // Submit is a part of logic.Sink, as are the methods below.
 func (p *actionCollector) Submit(t logic.TxnID, w logic.WorkerID, timeout logic.Nanos) {
-	p.put(action{kind: tracepb.Kind_SUBMIT, txn: uint64(t), worker: string(w), span: uint64(timeout)})
+	p.add(action{kind: tracepb.Kind_SUBMIT, txn: uint64(t), worker: string(w), span: uint64(timeout)})
 }
 func (p *actionCollector) Cancel(t logic.TxnID, number int) {
-	p.put(action{kind: tracepb.Kind_CANCEL, txn: uint64(t), number: uint32(number)})
+	p.add(action{kind: tracepb.Kind_CANCEL, txn: uint64(t), number: uint32(number)})
 }
 func (p *actionCollector) Decline(t logic.TxnID, after logic.Nanos) {
-	p.put(action{kind: tracepb.Kind_DECLINE, txn: uint64(t), span: uint64(after)})
+	p.add(action{kind: tracepb.Kind_DECLINE, txn: uint64(t), span: uint64(after)})
 }
-func (p *actionCollector) Void(t logic.TxnID) { p.put(action{kind: tracepb.Kind_VOID, txn: uint64(t)}) }
+func (p *actionCollector) Void(t logic.TxnID) { p.add(action{kind: tracepb.Kind_VOID, txn: uint64(t)}) }
 func (p *actionCollector) SetTimer(after logic.Nanos, token uint64) {
-	p.put(action{kind: tracepb.Kind_REMIND, token: token, span: uint64(after)})
+	p.add(action{kind: tracepb.Kind_REMIND, token: token, span: uint64(after)})
 }
 func (p *actionCollector) Vote(v logic.Verdict, rel logic.RelID, stage int) {
-	p.put(action{kind: tracepb.Kind_VOTE, number: uint32(v), token: uint64(rel), span: uint64(stage)})
+	p.add(action{kind: tracepb.Kind_VOTE, number: uint32(v), token: uint64(rel), span: uint64(stage)})
 }
-func (p *actionCollector) WatchWorkers() { p.put(action{kind: tracepb.Kind_WATCH}) }
+func (p *actionCollector) WatchWorkers() { p.add(action{kind: tracepb.Kind_WATCH}) }
 func (p *actionCollector) SendToPeer(to int, data []byte) {
-	p.put(action{kind: tracepb.Kind_TELL, number: uint32(to), text: string(data)})
+	p.add(action{kind: tracepb.Kind_TELL, number: uint32(to), text: string(data)})
 }
-func (p *actionCollector) Log(text string) { p.put(action{kind: tracepb.Kind_LOG, text: text}) }
+func (p *actionCollector) Log(text string) { p.add(action{kind: tracepb.Kind_LOG, text: text}) }
 
 // isAction tells whether a record left the module.
 func isAction(k Kind) bool { return k >= tracepb.Kind_SUBMIT && k <= tracepb.Kind_LOG }
--- a/trace/store.go
+++ b/trace/store.go
@@ -16,8 +16,8 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Folder is where segments lie. The one of the operating system is Disk; tests hand in ones that fail.
-type Folder interface {
+// Directory is where segments lie. The one of the operating system is Disk; tests hand in ones that fail.
+type Directory interface {
 	Create(name string) (io.WriteCloser, error)
 	Remove(name string) error
 	List() ([]Segment, error)
@@ -87,26 +87,26 @@
 	TotalBytes   int64         // all segments of the folder together; the oldest go first
 }
 
-// store writes the segments of one sentry's life. It is for one goroutine.
-type store struct {
-	folder  Folder
-	keep    Keep
-	header  *tracepb.Header
-	enc     *encoder
-	file    io.WriteCloser
-	name    string
-	size    int64
-	opened  time.Time
-	index   tracepb.Index
-	segment uint32
+// segmentWriter writes the segments of one sentry's life. It is for one goroutine.
+type segmentWriter struct {
+	dir       Directory
+	retention Keep
+	header    *tracepb.Header
+	enc       *encoder
+	file      io.WriteCloser
+	name      string
+	size      int64
+	opened    time.Time
+	index     tracepb.Index
+	segment   uint32
 }
 
-func (s *store) prefix() string {
+func (s *segmentWriter) namePrefix() string {
 	return fmt.Sprintf("%s-s%d-%016x-", s.header.Edge, s.header.Sentry, s.header.Life)
 }
 
-// open begins a segment.
-func (s *store) open(now time.Time, clock int64) error {
+// openSegment begins a segment.
+func (s *segmentWriter) openSegment(now time.Time, clock int64) error {
 	h := proto.Clone(s.header).(*tracepb.Header)
 	// The sentry's clock does not step; what the wall clock did since the start is not known of this moment.
 	h.Segment, h.Wall, h.Start = s.segment, h.Wall+clock-h.Start, clock
@@ -114,9 +114,9 @@
 	if err != nil {
 		return err
 	}
-	name := fmt.Sprintf("%s%06d%s", s.prefix(), s.segment, Suffix)
+	name := fmt.Sprintf("%s%06d%s", s.namePrefix(), s.segment, Suffix)
 	s.segment++ // a name that failed is not tried again: something of it may stand there
-	file, err := s.folder.Create(name)
+	file, err := s.dir.Create(name)
 	if err != nil {
 		return err
 	}
@@ -125,23 +125,23 @@
 		return err
 	}
 	s.file, s.name, s.size, s.opened, s.index = file, name, int64(len(frame)), now, tracepb.Index{}
-	s.retain()
+	s.enforceRetention()
 	return nil
 }
 
-// append writes a block, in a new segment where the present one is full or old.
-func (s *store) append(now time.Time, b *block) error {
-	frame, info, err := s.enc.pack(proto.Clone(&b.info).(*tracepb.Block), b.keys, b.records)
+// appendBlock writes a block, in a new segment where the present one is full or old.
+func (s *segmentWriter) appendBlock(now time.Time, b *block) error {
+	frame, info, err := s.enc.encodeBlockWithInfo(proto.Clone(&b.info).(*tracepb.Block), b.keys, b.records)
 	if err != nil {
 		return err
 	}
-	if s.file != nil && (s.size+int64(len(frame)) > s.keep.SegmentBytes || now.Sub(s.opened) > s.keep.SegmentAge) {
+	if s.file != nil && (s.size+int64(len(frame)) > s.retention.SegmentBytes || now.Sub(s.opened) > s.retention.SegmentAge) {
 		if err := s.close(); err != nil {
 			return err
 		}
 	}
 	if s.file == nil {
-		if err := s.open(now, b.info.First); err != nil {
+		if err := s.openSegment(now, b.info.First); err != nil {
 			return err
 		}
 	}
@@ -155,7 +155,7 @@
 }
 
 // abandon leaves a segment as it is; a reader finds its blocks without an index.
-func (s *store) abandon() {
+func (s *segmentWriter) abandon() {
 	if s.file != nil {
 		s.file.Close()
 		s.file = nil
@@ -163,7 +163,7 @@
 }
 
 // close ends a segment with its index.
-func (s *store) close() error {
+func (s *segmentWriter) close() error {
 	if s.file == nil {
 		return nil
 	}
@@ -185,10 +185,10 @@
 	Segments []Segment `json:"segments"`
 }
 
-// retain deletes the oldest segments over the bound, never the present one, and renews the manifest. A failure
+// enforceRetention deletes the oldest segments over the bound, never the present one, and renews the manifest. A failure
 // costs no txn its trace; the next segment tries again.
-func (s *store) retain() {
-	list, err := s.folder.List()
+func (s *segmentWriter) enforceRetention() {
+	list, err := s.dir.List()
 	if err != nil {
 		return
 	}
@@ -198,8 +198,8 @@
 	}
 	kept := list[:0]
 	for _, x := range list {
-		if sum > s.keep.TotalBytes-s.keep.SegmentBytes && x.Name != s.name {
-			if s.folder.Remove(x.Name) == nil || errors.Is(err, os.ErrNotExist) {
+		if sum > s.retention.TotalBytes-s.retention.SegmentBytes && x.Name != s.name {
+			if s.dir.Remove(x.Name) == nil || errors.Is(err, os.ErrNotExist) {
 				sum -= x.Size
 				continue
 			}
@@ -208,6 +208,6 @@
 	}
 	data, err := json.MarshalIndent(manifest{1, kept}, "", "  ")
 	if err == nil {
-		s.folder.Replace(manifestName, data)
+		s.dir.Replace(manifestName, data)
 	}
 }
--- a/trace/tail.go
+++ b/trace/tail.go
@@ -27,19 +27,19 @@
 // TailSuffix is what tails' names end in.
 const TailSuffix = ".tail"
 
-// TailFolder is where tails lie if nobody says otherwise.
-const TailFolder = "/dev/shm"
+// DefaultTailDir is where tails lie if nobody says otherwise.
+const DefaultTailDir = "/dev/shm"
 
 const (
-	tailHead = 4096
-	slotHead = 64
-	slotSize = slotHead + blockBytes + blockBytes/4
+	tailHeaderBytes = 4096
+	slotHeaderBytes = 64
+	slotBytes       = slotHeaderBytes + blockBytes + blockBytes/4
 )
 
 var tailMarker = [8]byte{0xd6, 'D', 'G', 'T', 't', 'a', 'i', 'l'}
 
-// tail is a sentry's own.
-type tail struct {
+// tailFile is a sentry's own.
+type tailFile struct {
 	file *os.File
 	mem  []byte
 	path string
@@ -49,13 +49,13 @@
 	return filepath.Join(folder, fmt.Sprintf("dunegrade-%016x%s", life, TailSuffix))
 }
 
-// newTail makes a tail and locks it: what is locked belongs to a process that lives.
-func newTail(folder string, h *tracepb.Header) (t *tail, err error) {
+// createTail makes a tail and locks it: what is locked belongs to a process that lives.
+func createTail(folder string, h *tracepb.Header) (t *tailFile, err error) {
 	head, err := proto.Marshal(h)
 	if err != nil {
 		return nil, err
 	}
-	if len(head) > tailHead-12 {
+	if len(head) > tailHeaderBytes-12 {
 		return nil, errors.New("the header does not fit a page")
 	}
 	path := tailPath(folder, h.Life)
@@ -69,7 +69,7 @@
 			os.Remove(path)
 		}
 	}()
-	fd, size := int(file.Fd()), tailHead+buffers*slotSize
+	fd, size := int(file.Fd()), tailHeaderBytes+bufferCount*slotBytes
 	if err := unix.Flock(fd, unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return nil, err
 	}
@@ -84,50 +84,50 @@
 	binary.LittleEndian.PutUint32(mem[8:], uint32(len(head)))
 	copy(mem[12:], head)
 	copy(mem, tailMarker[:])
-	return &tail{file, mem, path}, nil
+	return &tailFile{file, mem, path}, nil
 }
 
-func (t *tail) slot(i int) []byte {
-	at := tailHead + i*slotSize
-	return t.mem[at : at+slotSize : at+slotSize]
+func (t *tailFile) slot(i int) []byte {
+	at := tailHeaderBytes + i*slotBytes
+	return t.mem[at : at+slotBytes : at+slotBytes]
 }
 
 // close removes the tail: all of it is in segments.
-func (t *tail) close() {
+func (t *tailFile) close() {
 	unix.Munmap(t.mem)
 	os.Remove(t.path)
 	t.file.Close()
 }
 
-// begin, grow and free keep a block's slot; without one they do nothing.
-func (b *block) begin(number uint64) {
+// beginSlot, grow and free keep a block's slot; without one they do nothing.
+func (b *block) beginSlot(number uint64) {
 	if b.slot == nil {
 		return
 	}
-	b.records = b.slot[slotHead:slotHead:slotSize]
+	b.records = b.slot[slotHeaderBytes:slotHeaderBytes:slotBytes]
 	binary.LittleEndian.PutUint64(b.slot[16:], 0)
 	binary.LittleEndian.PutUint64(b.slot[8:], uint64(b.info.First))
 	binary.LittleEndian.PutUint64(b.slot, number)
 }
 
-func (b *block) grow() {
+func (b *block) updateSlot() {
 	if b.slot != nil {
 		n := uint64(len(b.records))
-		if n > slotSize-slotHead { // it has moved elsewhere, for a list that is huge
+		if n > slotBytes-slotHeaderBytes { // it has moved elsewhere, for a list that is huge
 			n = 0
 		}
 		binary.LittleEndian.PutUint64(b.slot[16:], n)
 	}
 }
 
-func (b *block) free() {
+func (b *block) freeSlot() {
 	if b.slot != nil {
 		binary.LittleEndian.PutUint64(b.slot, 0)
 	}
 }
 
-// openTail reads a tail as a file with an index, and tells whether its process lives.
-func openTail(path string) (*File, bool, error) {
+// readTail reads a tail as a file with an index, and tells whether its process lives.
+func readTail(path string) (*File, bool, error) {
 	in, err := os.Open(path)
 	if err != nil {
 		return nil, false, err
@@ -138,7 +138,7 @@
 	if err != nil {
 		return nil, false, err
 	}
-	if info.Size() != tailHead+buffers*slotSize {
+	if info.Size() != tailHeaderBytes+bufferCount*slotBytes {
 		return nil, alive, fmt.Errorf("%s: %w: a tail of %d bytes", path, ErrDamaged, info.Size())
 	}
 	data := make([]byte, info.Size())
@@ -147,7 +147,7 @@
 	}
 	h := &tracepb.Header{}
 	n := binary.LittleEndian.Uint32(data[8:])
-	if !bytes.Equal(data[:8], tailMarker[:]) || n > tailHead-12 || proto.Unmarshal(data[12:12+n], h) != nil {
+	if !bytes.Equal(data[:8], tailMarker[:]) || n > tailHeaderBytes-12 || proto.Unmarshal(data[12:12+n], h) != nil {
 		return nil, alive, fmt.Errorf("%s: %w", path, ErrNoTrace)
 	}
 	type part struct {
@@ -156,11 +156,11 @@
 		records []byte
 	}
 	var parts []part
-	for i := 0; i < buffers; i++ {
-		s := data[tailHead+i*slotSize:][:slotSize]
+	for i := 0; i < bufferCount; i++ {
+		s := data[tailHeaderBytes+i*slotBytes:][:slotBytes]
 		number, size := binary.LittleEndian.Uint64(s), binary.LittleEndian.Uint64(s[16:])
-		if number != 0 && size > 0 && size <= slotSize-slotHead {
-			parts = append(parts, part{number, int64(binary.LittleEndian.Uint64(s[8:])), s[slotHead : slotHead+size]})
+		if number != 0 && size > 0 && size <= slotBytes-slotHeaderBytes {
+			parts = append(parts, part{number, int64(binary.LittleEndian.Uint64(s[8:])), s[slotHeaderBytes : slotHeaderBytes+size]})
 		}
 	}
 	sort.Slice(parts, func(i, j int) bool { return parts[i].number < parts[j].number })
@@ -176,7 +176,7 @@
 		}
 		info.Number = x.number
 		// The number goes into the frame as well: it is made again with it.
-		if frame, info, err = p.enc.pack(info, p.enc.keys, x.records); err != nil {
+		if frame, info, err = p.enc.encodeBlockWithInfo(info, p.enc.keys, x.records); err != nil {
 			return nil, alive, err
 		}
 		p.index.Blocks = append(p.index.Blocks, p.enc.indexEntry(p.size, info))
@@ -191,13 +191,13 @@
 	return f, alive, err
 }
 
-// lingers is how long the lock of a process that was killed may outlive it: the kernel closes files after the process
+// lockReleaseWait is how long the lock of a process that was killed may outlive it: the kernel closes files after the process
 // has been waited for, on a busy machine tens of milliseconds later.
-const lingers = 250 * time.Millisecond
+const lockReleaseWait = 250 * time.Millisecond
 
-// rescue writes what processes that have died left in their tails into segments of their lives, in the folder that they
+// recoverTails writes what processes that have died left in their tails into segments of their lives, in the folder that they
 // recorded to, and removes the tails. What lives keeps its own.
-func rescue(folder Folder, tails string, now *tracepb.Header) error {
+func recoverTails(folder Directory, tails string, now *tracepb.Header) error {
 	dir, isDisk := folder.(Disk)
 	paths, err := filepath.Glob(filepath.Join(tails, "dunegrade-*"+TailSuffix))
 	if err != nil || !isDisk {
@@ -208,40 +208,40 @@
 		return err
 	}
 	var faults []error
-	until := time.Now().Add(lingers)
+	until := time.Now().Add(lockReleaseWait)
 	for _, path := range paths {
 		if path == tailPath(tails, now.Life) {
 			continue
 		}
-		f, alive, err := openTail(path)
+		f, alive, err := readTail(path)
 		// Danger: an edge that is started again at once would take its own life before for one that still runs, and what
 		// that had in hand would be missing until the next start.
 		for alive && err == nil && f.Header.Folder == own && f.Header.Edge == now.Edge && f.Header.Sentry == now.Sentry &&
 			time.Now().Before(until) {
 			f.Close()
 			time.Sleep(5 * time.Millisecond)
-			f, alive, err = openTail(path)
+			f, alive, err = readTail(path)
 		}
 		if err != nil {
 			continue // not ours to judge
 		}
 		if !alive && f.Header.Folder == own {
-			faults = append(faults, rescueOne(dir, path, f))
+			faults = append(faults, recoverTail(dir, path, f))
 		}
 		f.Close()
 	}
 	return errors.Join(faults...)
 }
 
-func rescueOne(dir Disk, path string, f *File) error {
+func recoverTail(dir Disk, path string, f *File) error {
 	list, err := dir.List()
 	if err != nil {
 		return err
 	}
-	s := &store{folder: dir, header: f.Header}
+	s := &segmentWriter{dir: dir, header: f.Header}
 	next, seen := uint32(0), uint64(0)
 	for _, x := range list {
-		if !strings.HasPrefix(x.Name, s.prefix()) {
+		if !strings.HasPrefix(x.Name, s.namePrefix()) {
 			continue
 		}
 		old, done, err := OpenPath(filepath.Join(string(dir), x.Name))
@@ -266,7 +266,7 @@
 		if f.Blocks[i].Block.Number <= seen {
 			continue
 		}
-		_, frame, _, err := f.read(int64(f.Blocks[i].Offset))
+		_, frame, _, err := f.readFrame(int64(f.Blocks[i].Offset))
 		if err != nil {
 			return err
 		}
@@ -283,7 +283,7 @@
 		if err := p.close(); err != nil {
 			return err
 		}
-		file, err := dir.Create(fmt.Sprintf("%s%06d%s", s.prefix(), next, Suffix))
+		file, err := dir.Create(fmt.Sprintf("%s%06d%s", s.namePrefix(), next, Suffix))
 		if err != nil {
 			return err
 		}
--- a/trace/tail_test.go
+++ b/trace/tail_test.go
@@ -31,15 +31,15 @@
 		if err != nil {
 			os.Exit(3)
 		}
-		go playForever(rec)
+		go recordForever(rec)
 		time.Sleep(time.Minute) // killed before that
 		os.Exit(4)
 	}
 	os.Exit(m.Run())
 }
 
-// playForever records txns and says on the standard output, by itself, how many are in the recorder's hands.
-func playForever(rec *Recorder) {
+// recordForever records txns and says on the standard output, by itself, how many are in the recorder's hands.
+func recordForever(rec *Recorder) {
 	now := logic.Nanos(1e12)
 	rec.Start(now, 1)
 	for i := uint64(1); ; i++ {
@@ -85,8 +85,8 @@
 		if n == 0 {
 			t.Fatal("the process recorded nothing")
 		}
-		was := TailsIn
-		TailsIn = parent
+		was := TailDir
+		TailDir = parent
 		count := func() (serials []uint64) {
 			var paths []string
 			if found, _ := filepath.Glob(filepath.Join(dir, "*"+Suffix)); len(found) == 0 {
@@ -129,7 +129,7 @@
 		if after := count(); !reflect.DeepEqual(before, after) {
 			t.Errorf("%d txns before the next start, %d after it", len(before), len(after))
 		}
-		TailsIn = was
+		TailDir = was
 	}
 }
 
@@ -192,9 +192,9 @@
 func TestTailOfALivingProcess(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	parent := t.TempDir()
-	was := TailsIn
-	TailsIn = parent
-	defer func() { TailsIn = was }()
+	was := TailDir
+	TailDir = parent
+	defer func() { TailDir = was }()
 	dir := filepath.Join(parent, "trace")
 	h := func(life uint64) *tracepb.Header {
 		return &tracepb.Header{Edge: "e", Life: life, Products: []string{"ask", "pay"}}
@@ -226,17 +226,17 @@
 }
 
 // Anything may stand where tails are: it is passed over, and neither read at length nor removed.
-func TestStrangeTails(t *testing.T) {
-	whole := make([]byte, tailHead+buffers*slotSize)
+func TestMalformedTailFiles(t *testing.T) {
+	whole := make([]byte, tailHeaderBytes+bufferCount*slotBytes)
 	copy(whole, tailMarker[:])
 	slot := append([]byte(nil), whole...)
-	binary.LittleEndian.PutUint64(slot[tailHead:], 1)
-	binary.LittleEndian.PutUint64(slot[tailHead+16:], 1<<62)
+	binary.LittleEndian.PutUint64(slot[tailHeaderBytes:], 1)
+	binary.LittleEndian.PutUint64(slot[tailHeaderBytes+16:], 1<<62)
 	broken := append([]byte(nil), whole...)
-	binary.LittleEndian.PutUint64(broken[tailHead:], 1)
-	binary.LittleEndian.PutUint64(broken[tailHead+16:], 100)
+	binary.LittleEndian.PutUint64(broken[tailHeaderBytes:], 1)
+	binary.LittleEndian.PutUint64(broken[tailHeaderBytes+16:], 100)
 	for i := range 100 {
-		broken[tailHead+slotHead+i] = 0xff
+		broken[tailHeaderBytes+slotHeaderBytes+i] = 0xff
 	}
 	huge := append([]byte(nil), whole...)
 	binary.LittleEndian.PutUint32(huge[8:], 1<<31)
@@ -252,7 +252,7 @@
 			if err := os.WriteFile(path, c.data, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			f, alive, err := openTail(path)
+			f, alive, err := readTail(path)
 			if !errors.Is(err, c.want) || alive {
 				t.Errorf("it reads as %v, %v", f, err)
 			}
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -22,56 +22,56 @@
 	"dunegrade/trace/tracepb"
 )
 
-// memory is a folder in memory, whose writes fail or stall as a test wants.
-type memory struct {
-	mu    sync.Mutex
-	files map[string]*bytes.Buffer
-	fail  error
-	room  int // bytes until the disk is full; 0: endless
-	gate  chan struct{}
+// memoryDir is a folder in memoryDir, whose writes fail or stall as a test wants.
+type memoryDir struct {
+	mu       sync.Mutex
+	files    map[string]*bytes.Buffer
+	writeErr error
+	capacity int // bytes until the disk is full; 0: endless
+	gate     chan struct{}
 }
 
-func newMemory() *memory { return &memory{files: map[string]*bytes.Buffer{}} }
+func newMemoryDir() *memoryDir { return &memoryDir{files: map[string]*bytes.Buffer{}} }
 
 type memoryFile struct {
-	m    *memory
+	dir  *memoryDir
 	name string
 }
 
 func (f memoryFile) Write(b []byte) (int, error) {
-	if f.m.gate != nil {
-		<-f.m.gate
+	if f.dir.gate != nil {
+		<-f.dir.gate
 	}
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if f.m.fail != nil {
-		return 0, f.m.fail
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	if f.dir.writeErr != nil {
+		return 0, f.dir.writeErr
 	}
-	if f.m.room > 0 && f.m.files[f.name].Len()+len(b) > f.m.room {
-		n := f.m.room - f.m.files[f.name].Len()
-		f.m.files[f.name].Write(b[:max(0, n)])
+	if f.dir.capacity > 0 && f.dir.files[f.name].Len()+len(b) > f.dir.capacity {
+		n := f.dir.capacity - f.dir.files[f.name].Len()
+		f.dir.files[f.name].Write(b[:max(0, n)])
 		return n, errors.New("no space left")
 	}
-	return f.m.files[f.name].Write(b)
+	return f.dir.files[f.name].Write(b)
 }
 func (f memoryFile) Close() error { return nil }
-func (m *memory) set(fail error) {
+func (m *memoryDir) setWriteErr(fail error) {
 	m.mu.Lock()
-	m.fail = fail
+	m.writeErr = fail
 	m.mu.Unlock()
 }
-func (m *memory) Create(name string) (io.WriteCloser, error) {
+func (m *memoryDir) Create(name string) (io.WriteCloser, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.fail != nil {
-		return nil, m.fail
+	if m.writeErr != nil {
+		return nil, m.writeErr
 	}
 	m.files[name] = &bytes.Buffer{}
 	return memoryFile{m, name}, nil
 }
-func (m *memory) Remove(name string) error               { delete(m.files, name); return nil }
-func (m *memory) List() ([]Segment, error)               { return nil, nil }
-func (m *memory) Replace(name string, data []byte) error { return nil }
+func (m *memoryDir) Remove(name string) error               { delete(m.files, name); return nil }
+func (m *memoryDir) List() ([]Segment, error)               { return nil, nil }
+func (m *memoryDir) Replace(name string, data []byte) error { return nil }
 
 var testRetention = Keep{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}
 
@@ -80,38 +80,38 @@
 	"release.votes": "single", "release.caps.0": 0.1, "release.free": 3.0, "release.window": 4e9, "release.bake": 1e9,
 	"rules.cold": 3e9, "rules.cold-from": 0.3, "rules.fall-multiple": 2.0, "rules.fall-after": 1e9}
 
-// hosted is a sentry that is recorded as the edge does it; its workers answer by chance.
-type hosted struct {
+// recordedSentry is a sentry that is recorded as the edge does it; its workers answer by chance.
+type recordedSentry struct {
 	*actionCollector // keeps nothing here
 	rec              *Recorder
 	now              logic.Nanos
-	subs             []action
+	submissions      []action
 	timers           []logic.Nanos
 	tokens           []uint64
-	only             map[logic.TxnID]bool
+	recorded         map[logic.TxnID]bool
 }
 
-func (h *hosted) Submit(t logic.TxnID, w logic.WorkerID, to logic.Nanos) {
-	if h.only[t] {
+func (h *recordedSentry) Submit(t logic.TxnID, w logic.WorkerID, to logic.Nanos) {
+	if h.recorded[t] {
 		h.rec.Submit(h.now, t, w, to)
 	}
-	h.subs = append(h.subs, action{txn: uint64(t), worker: string(w)})
+	h.submissions = append(h.submissions, action{txn: uint64(t), worker: string(w)})
 }
-func (h *hosted) event(k Kind, t logic.TxnID, n int, token, span uint64) {
-	if t == 0 || h.only[t] {
+func (h *recordedSentry) event(k Kind, t logic.TxnID, n int, token, span uint64) {
+	if t == 0 || h.recorded[t] {
 		h.rec.Event(h.now, k, t, n, token, span)
 	}
 }
-func (h *hosted) Cancel(t logic.TxnID, n int) { h.event(tracepb.Kind_CANCEL, t, n, 0, 0) }
-func (h *hosted) Decline(t logic.TxnID, after logic.Nanos) {
+func (h *recordedSentry) Cancel(t logic.TxnID, n int) { h.event(tracepb.Kind_CANCEL, t, n, 0, 0) }
+func (h *recordedSentry) Decline(t logic.TxnID, after logic.Nanos) {
 	h.event(tracepb.Kind_DECLINE, t, 0, 0, uint64(after))
 }
-func (h *hosted) Void(t logic.TxnID) { h.event(tracepb.Kind_VOID, t, 0, 0, 0) }
-func (h *hosted) Vote(v logic.Verdict, rel logic.RelID, stage int) {
+func (h *recordedSentry) Void(t logic.TxnID) { h.event(tracepb.Kind_VOID, t, 0, 0, 0) }
+func (h *recordedSentry) Vote(v logic.Verdict, rel logic.RelID, stage int) {
 	h.event(tracepb.Kind_VOTE, 0, int(v), uint64(rel), uint64(stage))
 }
-func (h *hosted) Log(text string) { h.rec.Log(h.now, text) }
-func (h *hosted) SetTimer(after logic.Nanos, token uint64) {
+func (h *recordedSentry) Log(text string) { h.rec.Log(h.now, text) }
+func (h *recordedSentry) SetTimer(after logic.Nanos, token uint64) {
 	h.event(tracepb.Kind_REMIND, 0, 0, token, uint64(after))
 	h.timers, h.tokens = append(h.timers, h.now+after), append(h.tokens, token)
 }
@@ -120,7 +120,7 @@
 // pace waits for the writer, as txns come faster here than any edge takes them.
 func recordTxns(t *testing.T, rec *Recorder, n int, pace bool) int {
 	rng := rand.New(rand.NewSource(5))
-	h := &hosted{actionCollector: &actionCollector{}, rec: rec, now: 1e12, only: map[logic.TxnID]bool{}}
+	h := &recordedSentry{actionCollector: &actionCollector{}, rec: rec, now: 1e12, recorded: map[logic.TxnID]bool{}}
 	rec.Start(h.now, 99)
 	s := logic.New(h.now, 99, testSettings, h)
 	var list []logic.Worker
@@ -150,13 +150,13 @@
 		}
 		x := logic.Txn{ID: logic.TxnID(i), Product: logic.ProductID(rng.Intn(2)), Key: logic.KeyID(rng.Intn(50) + 1), Cost: 2e7, Expiry: h.now + logic.Second}
 		if rec.Take(h.now, &x, uint64(i), uint64(i%2)*uint64(i), uint64(i%2)*7) {
-			h.only[x.ID] = true
+			h.recorded[x.ID] = true
 			count++
 		}
 		s.Take(h.now, x)
-		for tries := 0; len(h.subs) > 0; tries++ {
-			a := h.subs[0]
-			h.subs = h.subs[1:]
+		for tries := 0; len(h.submissions) > 0; tries++ {
+			a := h.submissions[0]
+			h.submissions = h.submissions[1:]
 			o := logic.Outcome{Txn: logic.TxnID(a.txn), Number: tries, Elapsed: logic.Nanos(rng.Int63n(int64(40 * logic.Millisecond)))}
 			if a.worker > "w5" && rng.Intn(3) == 0 {
 				o.Ending = logic.ErrorResponse
@@ -165,12 +165,12 @@
 			if rng.Intn(2) == 0 {
 				o.Load = &logic.Load{Util: rng.Float64(), Queue: 2, Busy: -1}
 			}
-			if h.only[o.Txn] {
+			if h.recorded[o.Txn] {
 				rec.Outcome(h.now, &o, 200)
 			}
 			s.Outcome(h.now, o)
 		}
-		delete(h.only, x.ID)
+		delete(h.recorded, x.ID)
 	}
 	rec.Close(h.now)
 	return count
@@ -189,7 +189,7 @@
 	return paths
 }
 
-func TestRecordsAreTheSchema(t *testing.T) {
+func TestRecordEncodingMatchesSchema(t *testing.T) {
 	r := Record{Kind: tracepb.Kind_OUTCOME, At: 1500, Txn: 1 << 40, Serial: 9, Number: 2, Worker: 3, Product: 1, Customer: 4, Ending: 5, Key: 77,
 		TraceID: [2]uint64{1, 2}, Cost: 6, Patience: 7, Elapsed: 8, Token: 1 << 60, Span: 10, Util: 0.5, Queue: 1.0 / 3, Busy: -1, Repeat: true,
 		Over: true, Loaded: true, Body: []byte("body"), Text: "text", Origin: 3}
@@ -211,7 +211,7 @@
 	}
 }
 
-func TestReplayIsEqualAndFindsAPlantedChange(t *testing.T) {
+func TestReplayMatchesAndDetectsChangedSettings(t *testing.T) {
 	recordRun(t, t.TempDir(), testRetention, 10)
 	dir := t.TempDir()
 	recordRun(t, dir, Keep{SegmentBytes: 64 << 10, SegmentAge: time.Hour, TotalBytes: 1 << 30}, 20000)
@@ -246,8 +246,8 @@
 	}
 }
 
-// count gives how many records are read, and the damages.
-func count(data []byte) (n int, last int64, damages int, err error) {
+// countRecords gives how many records are read, and the damages.
+func countRecords(data []byte) (n int, last int64, damages int, err error) {
 	f, err := Open(bytes.NewReader(data), int64(len(data)))
 	if err != nil {
 		return 0, 0, 0, err
@@ -262,8 +262,8 @@
 	return n, last, damages, nil
 }
 
-// small makes a file of a few small blocks, and gives the ends of its frames.
-func small(t *testing.T) (data []byte, ends []int, records []int) {
+// encodeSmallFile makes a file of a few encodeSmallFile blocks, and gives the ends of its frames.
+func encodeSmallFile(t *testing.T) (data []byte, ends []int, records []int) {
 	enc, err := newEncoder()
 	if err != nil {
 		t.Fatal(err)
@@ -295,10 +295,10 @@
 	return append(data, frame...), ends, records
 }
 
-func TestCutAtEveryByte(t *testing.T) {
-	data, ends, records := small(t)
+func TestTruncationAtEveryByte(t *testing.T) {
+	data, ends, records := encodeSmallFile(t)
 	for cut := 0; cut <= len(data); cut++ {
-		n, _, _, err := count(data[:cut])
+		n, _, _, err := countRecords(data[:cut])
 		want := 0
 		for i, end := range ends {
 			if cut >= end {
@@ -317,8 +317,8 @@
 	}
 }
 
-func TestEveryFlippedByteIsFoundAndTheRestRead(t *testing.T) {
-	data, ends, _ := small(t)
+func TestFlippedByteIsDetectedAndOtherBlocksRead(t *testing.T) {
+	data, ends, _ := encodeSmallFile(t)
 	for at := ends[0]; at < len(data); at++ {
 		for _, whole := range []bool{true, false} { // with the index, and without
 			spoilt := append([]byte(nil), data...)
@@ -329,7 +329,7 @@
 				}
 			}
 			spoilt[at] ^= 0x40
-			n, _, damages, err := count(spoilt)
+			n, _, damages, err := countRecords(spoilt)
 			if at >= ends[len(ends)-1] { // in the index: made anew from the blocks
 				if err != nil || n != 80 {
 					t.Fatalf("index flipped at %d: %d records, %v", at, n, err)
@@ -356,7 +356,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, _, damages, err := count(data)
+	n, _, damages, err := countRecords(data)
 	if err != nil || n == 0 || damages > 0 {
 		t.Errorf("%d records, %d damages, %v", n, damages, err)
 	}
@@ -472,8 +472,8 @@
 // A disk that fails costs traces, never more; the file tells what is missing, and a replay is refused there.
 func TestFailingDisk(t *testing.T) {
 	before := goleak.IgnoreCurrent()
-	m := newMemory()
-	m.room = 20000
+	m := newMemoryDir()
+	m.capacity = 20000
 	rec, err := NewRecorder(m, testRetention, &tracepb.Header{Edge: "e", Life: 5}, testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -483,7 +483,7 @@
 		t.Error("nothing was written")
 	}
 	for name, f := range m.files {
-		if _, _, _, err := count(f.Bytes()); err != nil {
+		if _, _, _, err := countRecords(f.Bytes()); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -492,14 +492,14 @@
 
 // A disk that stalls makes the recorder leave out whole txns, and say how many.
 func TestStallingDiskLeavesOutWholeTxns(t *testing.T) {
-	m := newMemory()
+	m := newMemoryDir()
 	m.gate = make(chan struct{})
 	rec, err := NewRecorder(m, testRetention, &tracepb.Header{Edge: "e", Life: 5}, testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() { // the disk comes back when txns have been left out
-		for rec.Skipped.Load() < 1000 {
+		for rec.TotalSkipped.Load() < 1000 {
 			time.Sleep(time.Millisecond)
 		}
 		close(m.gate)
@@ -540,7 +540,7 @@
 }
 
 func TestRecordingAllocatesNothing(t *testing.T) {
-	rec, err := NewRecorder(newMemory(), testRetention, &tracepb.Header{}, testSettings, zap.NewNop())
+	rec, err := NewRecorder(newMemoryDir(), testRetention, &tracepb.Header{}, testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -566,7 +566,7 @@
 	if data, err := os.ReadFile("testdata/version-1.dgt"); err == nil {
 		f.Add(data)
 	}
-	f.Fuzz(func(t *testing.T, data []byte) { count(data) })
+	f.Fuzz(func(t *testing.T, data []byte) { countRecords(data) })
 }
 
 func BenchmarkRead(b *testing.B) {
--- a/trace/whatif.go
+++ b/trace/whatif.go
@@ -8,8 +8,8 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Different is what other settings would have decided on the same events.
-type Different struct {
+// WhatIfResult is what other settings would have decided on the same events.
+type WhatIfResult struct {
 	Txns     int
 	Differ   int               // txns that were sent, declined or voided otherwise
 	Sums     map[string][2]int // actions by kind: recorded, and under the other settings
@@ -17,23 +17,23 @@
 	First    int64             // the sentry's clock at the first action that differs; 0: none does
 }
 
-// fate is what was decided on a txn, without by whom: workers are picked by chance, which goes its own way once
+// txnDecision is what was decided on a txn, without by whom: workers are picked by chance, which goes its own way once
 // anything differs.
-type fate struct {
-	sent               int
-	declined, answered bool
+type txnDecision struct {
+	submissions      int
+	declined, voided bool
 }
 
 // WhatIf runs the decisions on a life's events under other settings. The events stay as they were: what a submission
 // that was never made would have come to, nobody knows. So it is an answer for what hangs on limits and rules, and the less
 // the further the two ways have parted.
-func WhatIf(l *Life, settings map[string]any) (*Different, error) {
+func WhatIf(l *Life, settings map[string]any) (*WhatIfResult, error) {
 	if l.Headers[0].Level != 0 {
 		return nil, ErrSampled
 	}
-	out := &Different{Sums: map[string][2]int{}}
-	run := func(settings map[string]any) (map[uint64]fate, map[string]int, error) {
-		fates, sums, serials := map[uint64]fate{}, map[string]int{}, map[uint64]uint64{}
+	out := &WhatIfResult{Sums: map[string][2]int{}}
+	run := func(settings map[string]any) (map[uint64]txnDecision, map[string]int, error) {
+		fates, sums, serials := map[uint64]txnDecision{}, map[string]int{}, map[uint64]uint64{}
 		p, r := &actionCollector{}, &Replayed{}
 		var s *logic.Sentry
 		var fault error
@@ -62,11 +62,11 @@
 				f := fates[serials[a.txn]]
 				switch a.kind {
 				case tracepb.Kind_SUBMIT:
-					f.sent++
+					f.submissions++
 				case tracepb.Kind_DECLINE:
 					f.declined = true
 				case tracepb.Kind_VOID:
-					f.answered = true
+					f.voided = true
 				}
 				fates[serials[a.txn]] = f
 			}
@@ -120,12 +120,12 @@
 	return out, nil
 }
 
-func (f fate) String() string {
-	s := fmt.Sprintf("%d sent", f.sent)
+func (f txnDecision) String() string {
+	s := fmt.Sprintf("%d sent", f.submissions)
 	if f.declined {
 		s += ", declined"
 	}
-	if f.answered {
+	if f.voided {
 		s += ", voided"
 	}
 	return s
