--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -18,49 +18,68 @@
 )
 
 const (
-	blockBytes         = 128 << 10 // records of a block, before they are packed
-	bufferCount        = 16        // of a sentry: what is written may lag by so many blocks
-	reservedBuffers    = 4         // of them are for what has begun: new txns are not recorded when no more are free
-	flushAgeNanos      = int64(time.Second)
+	// blockBytes is the size of the encoded records, before compression, at which a block is handed to the writer.
+	blockBytes = 128 << 10
+
+	// bufferCount is the number of block buffers of a recorder, and so the number of blocks by which the writer may lag.
+	bufferCount = 16
+
+	// reservedBuffers is the number of buffers kept for the records of txns that were taken already: new txns are not
+	// recorded while fewer are free.
+	reservedBuffers = 4
+
+	// flushAgeNanos is the age at which an incomplete block is handed to the writer, and the least interval between two
+	// LEFT_OUT records.
+	flushAgeNanos = int64(time.Second)
+
+	// tailFlushFactor multiplies flushAgeNanos where a tail file preserves the block in case of a crash.
+	tailFlushFactor = 10
+
+	// writeRetryInterval is the time between two attempts to write while the disk fails.
 	writeRetryInterval = time.Second
+
+	// initialKeys is the initial capacity of a block's list of keys and trace ids.
+	initialKeys = 4096
 )
 
-// Recorder records one sentry. Its methods but Close are for the sentry's event loop, and never wait for a disk: what
-// the writer has not taken yet lies in a bounded number of buffers, and when these run out, whole txns are left out and
-// counted.
+// Recorder records one sentry. Its methods, except Close, are called from the sentry's event loop and never wait for a
+// disk: blocks that the writer has not written yet wait in a fixed number of buffers. When these run out, whole txns are
+// skipped and counted.
 type Recorder struct {
-	cur         *block // nil: no room
-	lastAt      int64
-	lastSerial  uint64 // of the TAKE before in this block
+	cur         *block // nil: none begun, or no buffer is free
+	lastAt      int64  // time of the last record in cur
+	lastSerial  uint64 // of the last TAKE in cur, 0 if there is none
 	workers     map[logic.WorkerID]*workerRef
-	blockID     uint32 // of the block
+	generation  uint32 // of cur: worker numbers are valid within one block
 	rec         Record
 	pending     pendingTake
-	lastRelease []byte    // as last told
-	sampler     *sampler  // nil where all is written at once
-	spare       []*block  // the loop's own; the last one used is still in the cache
+	lastRelease []byte    // last release update that ended well, as an encoded tracepb.News
+	sampler     *sampler  // nil: every record is written at once
+	spare       []*block  // free buffers of the event loop; the one used last, still in the CPU cache, is at the end
 	tail        *tailFile // nil: none
-	blockCount  uint64    // begun so far
+	blockCount  uint64    // blocks begun so far
 	returned    chan *block
 	queue       chan *block
 	done        chan struct{}
 	log         *zap.Logger
 	segments    *segmentWriter
 
-	skippedTxns    uint64 // txns not recorded since the last gap was noted
-	skippedRecords uint32 // other records that found no room
-	skippedSince   int64
-	TotalSkipped   atomic.Uint64 // in all; any goroutine
-	lostTxns       atomic.Uint64 // txns taken in blocks that could not be written
-	lostSince      atomic.Int64
+	skippedTxns    uint64        // txns not recorded since the last GAP record
+	skippedRecords uint32        // other records not recorded since then
+	skippedSince   int64         // sentry clock at the first of them, 0 if there is none
+	TotalSkipped   atomic.Uint64 // txns not recorded in all; any goroutine may read it
+	lostTxns       atomic.Uint64 // txns in blocks that could not be written, since the last GAP record
+	lostSince      atomic.Int64  // sentry clock at the first of them, 0 if there is none
 }
 
+// workerRef is the number of a worker in the block of the given generation, and the worker's build.
 type workerRef struct {
-	number, blockID uint32
-	build           uint64
+	number, generation uint32
+	build              uint64
 }
 
-// pendingTake is a TAKE that is not written yet: what the module nearly always does at once goes into the same record.
+// pendingTake is a TAKE that is not written yet. The SUBMIT and REMIND that nearly always follow at once are put into the
+// same record.
 type pendingTake struct {
 	open, submitted bool
 	txn             logic.Txn
@@ -69,29 +88,30 @@
 	worker          uint32
 }
 
-// block is a buffer of records with what is known of them.
+// block is a buffer of encoded records and their description.
 type block struct {
-	slot      []byte // of the tail; nil: none
+	slot      []byte // memory in the tail file; nil: none
 	records   []byte
-	keys      []uint64
+	keys      []uint64 // keys and trace ids, for the filter
 	info      tracepb.Block
-	lostTxns  uint64 // txns that are missing if it is lost: taken in it, or told missing in it
-	lostSince int64  // from when on they are
+	lostTxns  uint64 // txns missing from the trace if this block is lost: those taken in it and those counted in its GAP records
+	lostSince int64  // sentry clock since when they would be missing
 }
 
-// NewRecorder starts a recorder with its writer, one goroutine, ended by Close. settings are what the module is given;
-// the header's Wall and Start are the present moment by the wall clock and the sentry's.
-func NewRecorder(folder Directory, keep Keep, header *tracepb.Header, settings map[string]any, log *zap.Logger) (*Recorder, error) {
-	return NewTailed(folder, "", keep, header, settings, log)
+// NewRecorder starts a recorder and its writer goroutine; Close ends both. settings are those that the decision module
+// is given. The header's Wall and Start are the present moment by the wall clock and by the sentry's clock.
+func NewRecorder(dir Directory, retention Keep, header *tracepb.Header, settings map[string]any, logger *zap.Logger) (*Recorder, error) {
+	return NewTailed(dir, "", retention, header, settings, logger)
 }
 
-// NewTailed does the same with a tail in the folder tails, which should be of a file system in memory; "" for none. What
-// dead processes left there of traces in the same folder is put into segments first.
-func NewTailed(folder Directory, tails string, keep Keep, header *tracepb.Header, settings map[string]any, log *zap.Logger) (*Recorder, error) {
+// NewTailed is like NewRecorder, with a tail file in the directory tails, which should be on a file system in memory;
+// "" for none. Blocks that terminated processes recording to the same directory left in their tail files are written to
+// segments first.
+func NewTailed(dir Directory, tails string, retention Keep, header *tracepb.Header, settings map[string]any, logger *zap.Logger) (*Recorder, error) {
 	h := proto.Clone(header).(*tracepb.Header)
 	data, err := json.Marshal(settings)
 	if err != nil {
-		return nil, fmt.Errorf("trace: settings: %w", err)
+		return nil, fmt.Errorf("trace: encoding the settings: %w", err)
 	}
 	sum := sha256.Sum256(data)
 	h.Version, h.Settings, h.SettingsDigest, h.Module = Version, data, hex.EncodeToString(sum[:8]), logic.Version()
@@ -100,23 +120,23 @@
 		return nil, err
 	}
 	k := &Recorder{workers: map[logic.WorkerID]*workerRef{}, returned: make(chan *block, bufferCount), queue: make(chan *block, bufferCount),
-		done: make(chan struct{}), log: log, segments: &segmentWriter{dir: folder, retention: keep, header: h, enc: enc}, blockID: 1}
+		done: make(chan struct{}), log: logger, segments: &segmentWriter{dir: dir, retention: retention, header: h, enc: enc}, generation: 1}
 	if h.Level != LevelWhole {
 		k.sampler = newSampler(h.Level, h.OneIn)
 	}
 	if tails != "" {
-		x := proto.Clone(h).(*tracepb.Header)
-		if dir, ok := folder.(Disk); ok {
-			if x.Folder, err = filepath.Abs(string(dir)); err != nil {
+		tailHeader := proto.Clone(h).(*tracepb.Header)
+		if disk, ok := dir.(Disk); ok {
+			if tailHeader.Folder, err = filepath.Abs(string(disk)); err != nil {
 				return nil, err
 			}
 		}
-		if k.tail, err = createTail(tails, x); err != nil {
-			log.Warn("no tail for traces: a kill loses up to a second of them", zap.Error(err))
+		if k.tail, err = createTail(tails, tailHeader); err != nil {
+			logger.Warn("no tail for traces: a kill loses up to a second of them", zap.Error(err))
 		}
 	}
 	for i := 0; i < bufferCount; i++ {
-		b := &block{keys: make([]uint64, 0, 4096)}
+		b := &block{keys: make([]uint64, 0, initialKeys)}
 		if k.tail != nil {
 			b.slot = k.tail.slot(i)
 		} else {
@@ -128,8 +148,9 @@
 	return k, nil
 }
 
-// runWriter packs blocks and writes them. When that fails it says so once, drops what comes, and tries again each
-// second with a new segment, which begins by telling what is missing.
+// runWriter compresses blocks and writes them to segments. When a write fails it logs that once, drops the blocks that
+// follow, and tries again every writeRetryInterval with a new segment. The event loop then records the number of missing
+// txns in a GAP record.
 func (k *Recorder) runWriter(tails string) {
 	defer close(k.done)
 	if tails != "" {
@@ -138,17 +159,17 @@
 		}
 	}
 	failing := false
-	var next time.Time
-	for s := range k.queue {
+	var retryAt time.Time
+	for b := range k.queue {
 		now := time.Now()
-		if failing && now.Before(next) {
-			k.dropBlock(s)
+		if failing && now.Before(retryAt) {
+			k.dropBlock(b)
 			continue
 		}
-		err := k.segments.appendBlock(now, s)
+		err := k.segments.appendBlock(now, b)
 		if err != nil {
-			k.dropBlock(s)
-			next = now.Add(writeRetryInterval)
+			k.dropBlock(b)
+			retryAt = now.Add(writeRetryInterval)
 			if !failing {
 				k.log.Warn("traces cannot be written, txns go on without", zap.Error(err))
 			}
@@ -159,26 +180,27 @@
 			k.log.Info("traces are written again", zap.Uint64("txns-not-recorded", k.lostTxns.Load()))
 			failing = false
 		}
-		s.freeSlot()
-		k.returned <- s
+		b.freeSlot()
+		k.returned <- b
 	}
 	if k.tail != nil {
 		defer k.tail.close()
 	}
 	if err := k.segments.close(); err != nil && !failing {
-		k.log.Warn("the last trace segment has no index", zap.Error(err))
+		k.log.Warn("cannot write the index of the last trace segment", zap.Error(err))
 	}
 }
 
-func (k *Recorder) dropBlock(s *block) {
+// dropBlock counts the txns of a block that cannot be written as lost and frees its buffer.
+func (k *Recorder) dropBlock(b *block) {
 	k.segments.abandon()
-	k.lostSince.CompareAndSwap(0, s.lostSince)
-	k.lostTxns.Add(s.lostTxns)
-	s.freeSlot()
-	k.returned <- s
+	k.lostSince.CompareAndSwap(0, b.lostSince)
+	k.lostTxns.Add(b.lostTxns)
+	b.freeSlot()
+	k.returned <- b
 }
 
-// Close ends the recording: call it from the loop, or when the loop has ended. It waits for the writer.
+// Close ends the recording and waits for the writer. It is called from the event loop, or after the loop has ended.
 func (k *Recorder) Close(now logic.Nanos) {
 	if k.sampler != nil {
 		k.sampler.flush(k, now)
@@ -195,10 +217,11 @@
 	<-k.done
 }
 
-// freeBuffers gives how many buffers are free.
+// freeBuffers returns the number of free buffers.
 func (k *Recorder) freeBuffers() int { return len(k.spare) + len(k.returned) }
 
-// prepare makes room for a record and tells whether there is any. What was left out before is told first.
+// prepare makes room for a record and reports whether there is any. A GAP record for skipped or lost txns is written
+// first.
 func (k *Recorder) prepare(now logic.Nanos) bool {
 	if k.pending.open {
 		k.writePending()
@@ -215,7 +238,7 @@
 	return true
 }
 
-// nextBlock takes a buffer for the nextBlock block, the one that was used last.
+// nextBlock begins a block in the free buffer that was used last, and reports whether there was one.
 func (k *Recorder) nextBlock(now logic.Nanos) bool {
 	for more := true; more; {
 		select {
@@ -235,7 +258,7 @@
 	b := k.spare[len(k.spare)-1]
 	k.spare = k.spare[:len(k.spare)-1]
 	k.cur, k.lastAt, k.lastSerial = b, int64(now), 0
-	k.blockID++
+	k.generation++
 	b.records, b.keys, b.lostTxns, b.lostSince = b.records[:0], b.keys[:0], 0, int64(now)
 	names, builds := b.info.Names[:0], b.info.Builds[:0]
 	b.info.Reset()
@@ -250,7 +273,7 @@
 	return true
 }
 
-// putGap tells what is missing, once there is room for txns again.
+// putGap writes a GAP record with the number of missing txns, once there is room for new txns again.
 func (k *Recorder) putGap(now logic.Nanos) {
 	lost := k.lostTxns.Swap(0)
 	if lost > 0 || (k.skippedTxns > 0 || k.skippedRecords > 0) && k.freeBuffers() >= reservedBuffers {
@@ -260,7 +283,7 @@
 		}
 		k.rec = Record{Kind: tracepb.Kind_GAP, At: int64(now), Number: k.skippedRecords, Token: lost + k.skippedTxns, Span: uint64(max(0, int64(now)-since))}
 		k.putRecord()
-		// Danger: this block can be lost as well, and what it tells with it.
+		// If this block is lost too, its GAP record is lost with it, so the txns counted there count as lost again.
 		k.cur.lostTxns += lost + k.skippedTxns
 		if since != 0 {
 			k.cur.lostSince = min(k.cur.lostSince, since)
@@ -269,6 +292,7 @@
 	}
 }
 
+// putRecord appends k.rec to the current block.
 func (k *Recorder) putRecord() {
 	if k.cur == nil {
 		return
@@ -280,24 +304,27 @@
 	k.lastAt = k.rec.At
 }
 
-// beginRecord begins a record of a frequent kind at the buffer's end, and close ends it.
-func (k *Recorder) beginRecord(kind Kind, now int64) (b []byte, at int) {
-	at = len(k.cur.records)
+// beginRecord begins a record of a frequent kind at the end of the current block, without going through a Record, and
+// returns the buffer and the record's offset. endRecord completes it.
+func (k *Recorder) beginRecord(kind Kind, now int64) (b []byte, start int) {
+	start = len(k.cur.records)
 	b = append(k.cur.records, 0, 0, byte(tagKind), byte(kind))
-	return putDuration(b, tagAfter, uint64(now-k.lastAt)), at
+	return putDuration(b, tagAfter, uint64(now-k.lastAt)), start
 }
 
+// kindBit returns the bit of a kind in a block's set of kinds, 0 for kinds above 63.
 func kindBit(k Kind) uint64 { return 1 << (uint64(k) & 63) * (1 - uint64(k)>>6) }
 
-func (k *Recorder) endRecord(b []byte, at int, now int64) {
-	k.cur.records = putLength(b, at)
+// endRecord completes the record that beginRecord began at offset start.
+func (k *Recorder) endRecord(b []byte, start int, now int64) {
+	k.cur.records = putLength(b, start)
 	k.cur.updateSlot()
 	k.cur.info.Records++
-	k.cur.info.Kinds |= kindBit(Kind(k.cur.records[at+3]))
+	k.cur.info.Kinds |= kindBit(Kind(k.cur.records[start+3]))
 	k.lastAt = now
 }
 
-// enqueueBlock hands the present block to the writer. There is room: there are no more buffers than that.
+// enqueueBlock hands the current block to the writer. It never blocks: the queue has room for all buffers.
 func (k *Recorder) enqueueBlock() {
 	if k.pending.open {
 		k.writePending()
@@ -310,39 +337,41 @@
 	k.cur = nil
 }
 
-// Flush ships a block that has waited for a second, so that a crash costs no more, or, where a tail keeps it over a
-// crash, for ten: larger blocks pack better. Call it on each beat.
+// Flush hands the current block to the writer once it is flushAgeNanos old, so that a crash loses no more than that, or
+// tailFlushFactor times as old where a tail file preserves it: larger blocks compress better. It is called on each tick
+// of the housekeeping timer.
 func (k *Recorder) Flush(now logic.Nanos) {
 	if k.sampler != nil {
 		k.sampler.putOmitted(k, now)
 	}
 	age := flushAgeNanos
 	if k.tail != nil {
-		age *= 10
+		age *= tailFlushFactor
 	}
 	if k.cur != nil && len(k.cur.records) > 0 && int64(now)-k.cur.info.First > age {
 		k.enqueueBlock()
 	}
 }
 
-// workerNumber gives a workerNumber's number in this block, naming it where it is new to it. ready was asked before.
+// workerNumber returns the number of a worker in the current block, after writing a WORKER record if the block has none
+// of it yet. prepare must have succeeded before.
 func (k *Recorder) workerNumber(now logic.Nanos, id logic.WorkerID) uint32 {
-	n := k.workers[id]
-	if n == nil {
-		n = &workerRef{}
-		k.workers[id] = n
+	ref := k.workers[id]
+	if ref == nil {
+		ref = &workerRef{}
+		k.workers[id] = ref
 	}
-	if n.blockID != k.blockID {
+	if ref.generation != k.generation {
 		k.cur.info.Workers++
-		n.number, n.blockID = k.cur.info.Workers, k.blockID
-		k.cur.addWorker(string(id), int64(n.build))
-		k.rec = Record{Kind: tracepb.Kind_WORKER, At: int64(now), Worker: n.number, Text: string(id), Token: n.build}
+		ref.number, ref.generation = k.cur.info.Workers, k.generation
+		k.cur.addWorker(string(id), int64(ref.build))
+		k.rec = Record{Kind: tracepb.Kind_WORKER, At: int64(now), Worker: ref.number, Text: string(id), Token: ref.build}
 		k.putRecord()
 	}
-	return n.number
+	return ref.number
 }
 
-// Start records that the module begins.
+// Start records the start of the decision module.
 func (k *Recorder) Start(now logic.Nanos, seed int64) {
 	if k.prepare(now) {
 		k.rec = Record{Kind: tracepb.Kind_START, At: int64(now), Token: uint64(seed)}
@@ -350,42 +379,43 @@
 	}
 }
 
-// List records a list event.
+// List records an update of the worker list.
 func (k *Recorder) List(now logic.Nanos, mode logic.ListMode, list []logic.Worker) {
-	l := &tracepb.List{}
+	msg := &tracepb.List{}
 	for _, w := range list {
-		n := k.workers[w.ID]
-		if n == nil {
-			n = &workerRef{}
-			k.workers[w.ID] = n
+		ref := k.workers[w.ID]
+		if ref == nil {
+			ref = &workerRef{}
+			k.workers[w.ID] = ref
 		}
-		if n.build != uint64(w.Rel) {
-			n.build, n.blockID = uint64(w.Rel), 0 // it is named anew
+		if ref.build != uint64(w.Rel) {
+			ref.build, ref.generation = uint64(w.Rel), 0 // forces a new WORKER record with this build
 		}
-		l.Workers = append(l.Workers, &tracepb.List_Worker{Id: string(w.ID), Zone: int64(w.Zone), Kind: int64(w.Kind), Cell: int64(w.Cell),
+		msg.Workers = append(msg.Workers, &tracepb.List_Worker{Id: string(w.ID), Zone: int64(w.Zone), Kind: int64(w.Kind), Cell: int64(w.Cell),
 			State: int64(w.State), Weight: w.Weight, Build: int64(w.Rel), Start: int64(w.Start)})
 	}
-	k.putMessage(now, Record{Kind: tracepb.Kind_LIST, Number: uint32(mode)}, l)
+	k.putMessage(now, Record{Kind: tracepb.Kind_LIST, Number: uint32(mode)}, msg)
 }
 
-// News records news of the newest build.
-func (k *Recorder) News(now logic.Nanos, n logic.ReleaseUpdate) {
-	m := &tracepb.News{Stage: int64(n.Stage), Answer: n.VoteReply, Build: int64(n.Rel), Cap: n.Cap, Phase: int64(n.Phase), Age: int64(n.Age),
-		Ending: int64(n.Ending)}
-	k.putMessage(now, Record{Kind: tracepb.Kind_NEWS}, m)
-	if n.Ending == logic.OK {
-		if data, err := proto.Marshal(m); err == nil {
+// News records an update of the state of the newest release.
+func (k *Recorder) News(now logic.Nanos, u logic.ReleaseUpdate) {
+	msg := &tracepb.News{Stage: int64(u.Stage), Answer: u.VoteReply, Build: int64(u.Rel), Cap: u.Cap, Phase: int64(u.Phase), Age: int64(u.Age),
+		Ending: int64(u.Ending)}
+	k.putMessage(now, Record{Kind: tracepb.Kind_NEWS}, msg)
+	if u.Ending == logic.OK {
+		if data, err := proto.Marshal(msg); err == nil {
 			k.lastRelease = data
 		}
 	}
 }
 
-// Tally records the platform's count.
+// Tally records the platform's count of txns of a build.
 func (k *Recorder) Tally(now logic.Nanos, t logic.Tally) {
 	k.putMessage(now, Record{Kind: tracepb.Kind_TALLY}, &tracepb.Tally{Build: int64(t.Rel), Product: int64(t.Product), Many: int64(t.Many),
 		Bad: int64(t.Bad), Mean: int64(t.Mean)})
 }
 
+// putMessage writes a record whose body is an encoded message.
 func (k *Recorder) putMessage(now logic.Nanos, r Record, m proto.Message) {
 	body, err := proto.Marshal(m)
 	if err != nil || !k.prepare(now) {
@@ -396,7 +426,7 @@
 	k.putRecord()
 }
 
-// Contested records that an answer was found wrong.
+// Contested records that an answer was reported as wrong.
 func (k *Recorder) Contested(now logic.Nanos, p logic.ProductID, id logic.WorkerID, age logic.Nanos) {
 	if k.prepare(now) {
 		n := k.workerNumber(now, id)
@@ -405,14 +435,17 @@
 	}
 }
 
-// Told records a message of another sentry, Tell one to it.
+// Told records a message from another sentry.
 func (k *Recorder) Told(now logic.Nanos, from int, data []byte) {
 	k.putBytes(now, tracepb.Kind_TOLD, from, data)
 }
+
+// Tell records a message to another sentry.
 func (k *Recorder) Tell(now logic.Nanos, to int, data []byte) {
 	k.putBytes(now, tracepb.Kind_TELL, to, data)
 }
 
+// putBytes writes a record of a message from or to another sentry.
 func (k *Recorder) putBytes(now logic.Nanos, kind Kind, number int, data []byte) {
 	if k.prepare(now) {
 		k.rec = Record{Kind: kind, At: int64(now), Number: uint32(number), Body: data}
@@ -420,8 +453,8 @@
 	}
 }
 
-// Take records a txn by its serial, and tells whether it did: the records that follow of one that was left out must be
-// left out too. high and low are the trace id that the client sent; zeros where it sent none.
+// Take records the arrival of a txn and reports whether it did. If it did not, the caller must not record anything else
+// of that txn. high and low are the halves of the trace id that the client sent, zeros if it sent none.
 func (k *Recorder) Take(now logic.Nanos, t *logic.Txn, serial, high, low uint64) bool {
 	if len(k.spare) < reservedBuffers && k.freeBuffers() < reservedBuffers || !k.prepare(now) {
 		if k.skippedTxns == 0 && k.skippedSince == 0 {
@@ -441,28 +474,28 @@
 	return true
 }
 
-// Settle writes what waits to be put into one record with what may follow. Call it when the module has nothing more to
-// do, so that a kill finds all of it written.
+// Settle writes the pending TAKE record. It is called when the module has handled its events, so that a tail file
+// holds all of their records if the process crashes afterwards.
 func (k *Recorder) Settle() {
 	if k.pending.open {
 		k.writePending()
 	}
 }
 
-// writePending writes the TAKE that was begun.
+// writePending writes the pending TAKE without a REMIND.
 func (k *Recorder) writePending() { k.writeTake(0, 0) }
 
-// writeTake writes the TAKE that was begun, with the REMIND that came of it, if any.
+// writeTake writes the pending TAKE together with the REMIND that followed it, if token is not 0.
 func (k *Recorder) writeTake(token, span uint64) {
 	t := &k.pending
 	t.open = false
 	now := k.rec.At
-	b, at := k.beginRecord(tracepb.Kind_TAKE, now)
+	b, start := k.beginRecord(tracepb.Kind_TAKE, now)
 	b = putUint(b, tagTxn, uint64(t.txn.ID))
 	b = putUint(b, tagWorker, uint64(t.worker))
 	b = putUint(b, tagProduct, uint64(t.txn.Product))
 	b = putUint(b, tagCustomer, uint64(t.txn.Customer))
-	b = putFixed64(b, 8, uint64(t.txn.Key))
+	b = putFixed64(b, fieldKey, uint64(t.txn.Key))
 	b = putDuration(b, tagCost, uint64(t.txn.Cost))
 	b = putUint(b, tagRepeat, boolToUint64(t.txn.Repeat))
 	b = putDuration(b, tagPatience, uint64(t.txn.Expiry))
@@ -472,15 +505,15 @@
 		b = putUint(b, tagSerial, t.serial)
 	}
 	if t.traceID != [2]uint64{} {
-		b = putFixed64(b, 24, t.traceID[0])
-		b = putFixed64(b, 25, t.traceID[1])
+		b = putFixed64(b, fieldTraceHigh, t.traceID[0])
+		b = putFixed64(b, fieldTraceLow, t.traceID[1])
 	}
-	k.endRecord(b, at, now)
+	k.endRecord(b, start, now)
 	k.lastSerial = t.serial
 	k.cur.addTake(t.serial, uint64(t.txn.Key), t.traceID, uint64(t.txn.Product))
 }
 
-// addTake adds a txn to what the block is known to hold.
+// addTake adds a txn to the block's description.
 func (b *block) addTake(serial, key uint64, id [2]uint64, product uint64) {
 	b.lostTxns++
 	b.info.Products |= 1 << min(product, 63)
@@ -496,11 +529,11 @@
 	}
 }
 
-// maxBlockNames is how many workers' names a block's description holds; where there are more, none: it would outgrow the
-// block.
+// maxBlockNames is the largest number of worker names in a block's description. Blocks with more workers list none, as
+// the description would outgrow the block.
 const maxBlockNames = 64
 
-// addWorker adds a worker and its build.
+// addWorker adds a worker and its build to the block's description.
 func (b *block) addWorker(id string, build int64) {
 	if b.info.Workers <= maxBlockNames {
 		b.info.Names = append(b.info.Names, id)
@@ -512,7 +545,8 @@
 	}
 }
 
-// Outcome records the end of a submission, with the status that the client was sent, 0 if this did not answer it.
+// Outcome records the end of a submission. status is that of the answer sent to the client, 0 if the client was not
+// answered by this submission.
 func (k *Recorder) Outcome(now logic.Nanos, o *logic.Outcome, status int) {
 	if k.sampler != nil {
 		k.sampler.outcome(now, o, status)
@@ -521,7 +555,7 @@
 	if !k.prepare(now) {
 		return
 	}
-	b, at := k.beginRecord(tracepb.Kind_OUTCOME, int64(now))
+	b, start := k.beginRecord(tracepb.Kind_OUTCOME, int64(now))
 	b = putUint(b, tagTxn, uint64(o.Txn))
 	b = putUint(b, tagNumber, uint64(o.Number))
 	b = putUint(b, tagEnding, uint64(o.Ending))
@@ -532,10 +566,10 @@
 	if o.Load != nil {
 		b = putLoads(b, o.Load.Util, o.Load.Queue, o.Load.Busy)
 	}
-	k.endRecord(putUint(b, tagToken, uint64(status)), at, int64(now))
+	k.endRecord(putUint(b, tagToken, uint64(status)), start, int64(now))
 }
 
-// Event records one of the kinds that are no more than numbers.
+// Event records an event or action that consists of numbers only.
 func (k *Recorder) Event(now logic.Nanos, kind Kind, txn logic.TxnID, number int, token, span uint64) {
 	if k.pending.open && kind == tracepb.Kind_REMIND && token != 0 && k.pending.submitted && int64(now) == k.rec.At {
 		k.pending.submitted = false
@@ -545,14 +579,14 @@
 	if k.sampler != nil && !k.sampler.event(now, kind, txn, number, token, span) || !k.prepare(now) {
 		return
 	}
-	b, at := k.beginRecord(kind, int64(now))
+	b, start := k.beginRecord(kind, int64(now))
 	b = putUint(b, tagTxn, uint64(txn))
 	b = putUint(b, tagNumber, uint64(number))
 	b = putUint(b, tagToken, token)
-	k.endRecord(putDuration(b, tagSpan, span), at, int64(now))
+	k.endRecord(putDuration(b, tagSpan, span), start, int64(now))
 }
 
-// Submit records a submission.
+// Submit records a submission to a worker.
 func (k *Recorder) Submit(now logic.Nanos, t logic.TxnID, w logic.WorkerID, timeout logic.Nanos) {
 	if k.sampler != nil {
 		k.sampler.submit(now, t, w, timeout)
@@ -560,24 +594,25 @@
 	}
 	if k.pending.open && !k.pending.submitted && t == k.pending.txn.ID && timeout == 0 && int64(now) == k.rec.At && k.cur != nil {
 		k.pending.submitted = true
-		n := k.workers[w]
-		if n == nil || n.blockID != k.blockID {
-			k.pending.open = false // naming writes a record, and must not write this one
+		ref := k.workers[w]
+		if ref == nil || ref.generation != k.generation {
+			k.pending.open = false // workerNumber writes a record, which must not write the pending TAKE
 			k.workerNumber(now, w)
 			k.pending.open = true
-			n = k.workers[w]
+			ref = k.workers[w]
 		}
-		k.pending.worker = n.number
+		k.pending.worker = ref.number
 		return
 	}
 	k.putWorkerAction(now, tracepb.Kind_SUBMIT, t, w, timeout)
 }
 
-// Worker records an action on a worker alone.
+// Worker records an action that concerns a worker but no txn.
 func (k *Recorder) Worker(now logic.Nanos, kind Kind, w logic.WorkerID) {
 	k.putWorkerAction(now, kind, 0, w, 0)
 }
 
+// putWorkerAction writes a record that names a worker.
 func (k *Recorder) putWorkerAction(now logic.Nanos, kind Kind, t logic.TxnID, w logic.WorkerID, span logic.Nanos) {
 	if k.prepare(now) {
 		n := k.workerNumber(now, w)
@@ -586,14 +621,14 @@
 	}
 }
 
-// Done tells that nothing more comes of a txn. Where txns are sampled it is decided now whether it is kept.
+// Done reports that a txn has no further records. Where txns are sampled, this decides whether its records are written.
 func (k *Recorder) Done(now logic.Nanos, t logic.TxnID) {
 	if k.sampler != nil {
 		k.sampler.done(k, now, t)
 	}
 }
 
-// Log records a line of the module's log.
+// Log records a line that the module logged.
 func (k *Recorder) Log(now logic.Nanos, text string) {
 	if k.prepare(now) {
 		k.rec = Record{Kind: tracepb.Kind_LOG, At: int64(now), Text: text}
