--- a/trace/file.go
+++ b/trace/file.go
@@ -17,37 +17,58 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Version of the format that is written.
+// Version is the version of the format that is written.
 const Version = 1
 
-// A file is a run of frames: marker, kind, length and checksum, then the payload. The marker lets a reader find its
-// way again behind damage.
+// A file is a sequence of frames: marker, kind, length and checksum, then the payload. The marker lets a reader
+// resynchronize after damage.
 const (
+	// frameHeaderBytes is the size of everything in a frame before its payload.
 	frameHeaderBytes = 16
-	frameIndex       = 'I'
-	frameBlock       = 'B'
-	frameHeader      = 'H'
-	// Bounds that a reader holds whatever a file claims: of a frame's payload, and of a block's records.
+
+	frameKindIndex  = 'I'
+	frameKindBlock  = 'B'
+	frameKindHeader = 'H'
+
+	// maxFrameBytes limits the payload that a reader allocates memory for, whatever length a frame claims.
 	maxFrameBytes = 64 << 20
-	maxBlockBytes = 64 << 20
+
+	// maxDecodedBlockBytes limits the decompressed records of a block that a reader allocates memory for.
+	maxDecodedBlockBytes = 64 << 20
+
+	// minFilterKeys is the least number of keys that a block's filter is sized for.
+	minFilterKeys = 16
+
+	// filterFalsePositives is the share of blocks without a key whose filter reports that they may hold it.
+	filterFalsePositives = 0.003
+
+	// filterHeaderBytes is the size of an encoded filter before its words of bits: number of bits, number of hashes and
+	// number of bits again.
+	filterHeaderBytes = 24
+
+	// maxFilterHashes limits the number of hashes that a reader accepts from a filter.
+	maxFilterHashes = 64
+
+	// blockFieldKeys is the number of the field keys of the Block message.
+	blockFieldKeys protowire.Number = 7
 )
 
 var (
-	frameMarker = [4]byte{0xd6, 'D', 'G', 'T'}
-	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
+	frameMarker     = [4]byte{0xd6, 'D', 'G', 'T'}
+	castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// What a reader can find wrong.
+// Errors of reading a file.
 var (
-	ErrNoTrace = errors.New("trace: this is no trace file")
-	ErrVersion = errors.New("trace: a newer version of the format")
+	ErrNoTrace = errors.New("trace: not a trace file")
+	ErrVersion = errors.New("trace: unsupported newer format version")
 	ErrDamaged = errors.New("trace: damaged")
 )
 
-// appendFrame appends a frame: marker, kind, three bytes of zero, length and checksum (CRC-32C over kind, length and
-// payload), all little-endian.
+// appendFrame appends a frame with the payload parts: marker, kind, three zero bytes, length and checksum (CRC-32C over
+// kind, length and payload), all little-endian.
 func appendFrame(b []byte, kind byte, parts ...[]byte) []byte {
-	at, size := len(b), 0
+	start, size := len(b), 0
 	for _, p := range parts {
 		size += len(p)
 	}
@@ -58,43 +79,48 @@
 	for _, p := range parts {
 		b = append(b, p...)
 	}
-	binary.LittleEndian.PutUint32(b[at+12:], frameChecksum(b[at:]))
+	binary.LittleEndian.PutUint32(b[start+12:], frameChecksum(b[start:]))
 	return b
 }
 
+// frameChecksum computes the checksum of an encoded frame.
 func frameChecksum(frame []byte) uint32 {
-	sum := crc32.Update(0, castagnoli, frame[4:12])
-	return crc32.Update(sum, castagnoli, frame[frameHeaderBytes:])
+	sum := crc32.Update(0, castagnoliTable, frame[4:12])
+	return crc32.Update(sum, castagnoliTable, frame[frameHeaderBytes:])
 }
 
-// newKeyFilter makes a block's filter of keys and trace ids: three in a thousand blocks are looked into for nothing.
-func newKeyFilter(n int) *bloom.BloomFilter { return bloom.NewWithEstimates(uint(max(n, 16)), 0.003) }
+// newKeyFilter creates a block's Bloom filter for n keys and trace ids.
+func newKeyFilter(n int) *bloom.BloomFilter {
+	return bloom.NewWithEstimates(uint(max(n, minFilterKeys)), filterFalsePositives)
+}
 
+// uint64Bytes returns the little-endian encoding of v.
 func uint64Bytes(v uint64) []byte { return binary.LittleEndian.AppendUint64(nil, v) }
 
-// fastFillNanos is how fast a block fills, in nanoseconds, from which on time is dearer than space.
+// fastFillNanos is the time span of a block, in nanoseconds, below which the CPU time of compressing it matters more than
+// its size.
 const fastFillNanos = 500_000_000
 
-// encoder turns blocks of records into frames. It is for one goroutine.
+// encoder encodes blocks of records as frames. It must be used by one goroutine at a time.
 type encoder struct {
 	dense      *zstd.Encoder
-	fast       *zstd.Encoder // for blocks that fill quickly: a tenth larger at two thirds of the time
-	out        []byte
+	fast       *zstd.Encoder // for blocks that fill quickly: output a tenth larger in two thirds of the time
+	out        []byte        // the last frame
 	compressed []byte
 	keys       []uint64
-	headBytes  int // bytes of the last frame before its records
+	headBytes  int // bytes of the last frame before its compressed records
 }
 
-// indexEntry is the index's indexEntry of the frame that was made last.
+// indexEntry returns the entry in the index for the last encoded frame.
 func (e *encoder) indexEntry(offset uint64, info *tracepb.Block) *tracepb.Index_Entry {
-	info.Keys = nil // they stand in the block's head, and would make the index huge
-	return &tracepb.Index_Entry{Offset: offset, Block: info, Head: uint32(e.headBytes), HeadSum: crc32.Checksum(e.out[:e.headBytes], castagnoli)}
+	info.Keys = nil // the filter is in the block's head; in the index it would take too much space
+	return &tracepb.Index_Entry{Offset: offset, Block: info, Head: uint32(e.headBytes), HeadSum: crc32.Checksum(e.out[:e.headBytes], castagnoliTable)}
 }
 
 func newEncoder() (*encoder, error) {
 	options := []zstd.EOption{zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithEncoderCRC(false),
 		zstd.WithWindowSize(blockBytes)}
-	z, err := zstd.NewWriter(nil, options...)
+	dense, err := zstd.NewWriter(nil, options...)
 	if err != nil {
 		return nil, err
 	}
@@ -102,10 +128,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return &encoder{dense: z, fast: fast}, nil
+	return &encoder{dense: dense, fast: fast}, nil
 }
 
-// encodeBlock makes the frame of one encodeBlock, and the index entry's part of it.
+// encodeBlock encodes records as a frame and returns it with the block's description, which is gathered from the records.
 func (e *encoder) encodeBlock(first int64, records []byte) ([]byte, *tracepb.Block, error) {
 	info := &tracepb.Block{First: first, Last: first, Size: uint32(len(records))}
 	e.keys = e.keys[:0]
@@ -129,7 +155,7 @@
 				r.Serial = serial + 1
 			}
 			serial = r.Serial
-			// They come nearly in order: a body that is long in coming makes its txn late.
+			// Serials are almost in order only: a txn whose request body arrives slowly is taken late.
 			if info.FirstSerial == 0 || r.Serial < info.FirstSerial {
 				info.FirstSerial = r.Serial
 			}
@@ -145,8 +171,8 @@
 			if info.Names = append(info.Names, r.Text); info.Workers > maxBlockNames {
 				info.Names = nil
 			}
-			if b := int64(r.Token); b != 0 && !slices.Contains(info.Builds, b) {
-				info.Builds = append(info.Builds, b)
+			if build := int64(r.Token); build != 0 && !slices.Contains(info.Builds, build) {
+				info.Builds = append(info.Builds, build)
 			}
 		}
 	}
@@ -157,54 +183,56 @@
 	return e.encodeBlockWithInfo(info, e.keys, records)
 }
 
-// encodeBlockWithInfo makes the frame of a block whose figures are known.
-func (e *encoder) encodeBlockWithInfo(info *tracepb.Block, met []uint64, records []byte) ([]byte, *tracepb.Block, error) {
-	if len(met) > 0 {
-		f := newKeyFilter(len(met))
-		for _, k := range met {
-			f.Add(uint64Bytes(k))
+// encodeBlockWithInfo encodes records as the frame of a block whose description is complete but for the filter, which is
+// built from filterKeys.
+func (e *encoder) encodeBlockWithInfo(info *tracepb.Block, filterKeys []uint64, records []byte) ([]byte, *tracepb.Block, error) {
+	if len(filterKeys) > 0 {
+		filter := newKeyFilter(len(filterKeys))
+		for _, key := range filterKeys {
+			filter.Add(uint64Bytes(key))
 		}
-		keys, err := f.MarshalBinary()
+		encoded, err := filter.MarshalBinary()
 		if err != nil {
 			return nil, nil, err
 		}
-		info.Keys = keys
+		info.Keys = encoded
 	}
 	head, err := proto.Marshal(info)
 	if err != nil {
 		return nil, nil, err
 	}
-	zip := e.dense
+	enc := e.dense
 	if info.Last-info.First < fastFillNanos {
-		zip = e.fast
+		enc = e.fast
 	}
-	e.compressed = zip.EncodeAll(records, e.compressed[:0])
+	e.compressed = enc.EncodeAll(records, e.compressed[:0])
 	length := binary.AppendUvarint(nil, uint64(len(head)))
-	e.out, e.headBytes = appendFrame(e.out[:0], frameBlock, length, head, e.compressed), frameHeaderBytes+len(length)+len(head)
+	e.out, e.headBytes = appendFrame(e.out[:0], frameKindBlock, length, head, e.compressed), frameHeaderBytes+len(length)+len(head)
 	return e.out, info, nil
 }
 
-// headerFrame makes the frame that opens a file.
+// headerFrame encodes the first frame of a file.
 func headerFrame(h *tracepb.Header) ([]byte, error) {
 	data, err := proto.Marshal(h)
 	if err != nil {
 		return nil, err
 	}
-	return appendFrame(nil, frameHeader, data), nil
+	return appendFrame(nil, frameKindHeader, data), nil
 }
 
-// indexFrame makes the frame that closes a file; its last four bytes say where it begins, counted from the end.
+// indexFrame encodes the last frame of a closed file. Its last four bytes are the length of the frame, by which a reader
+// finds it from the end of the file.
 func indexFrame(x *tracepb.Index) ([]byte, error) {
 	data, err := proto.Marshal(x)
 	if err != nil {
 		return nil, err
 	}
-	return appendFrame(nil, frameIndex, data, binary.LittleEndian.AppendUint32(nil, uint32(len(data)+4+frameHeaderBytes))), nil
+	return appendFrame(nil, frameKindIndex, data, binary.LittleEndian.AppendUint32(nil, uint32(len(data)+4+frameHeaderBytes))), nil
 }
 
-// Damage is a stretch of a file that could not be read.
+// Damage is a range of a file that could not be read.
 type Damage struct {
-	From, Till int64 // offsets
+	From, Till int64 // offsets in the file
 	Why        string
 }
 
@@ -215,19 +243,19 @@
 	Header          *tracepb.Header
 	Blocks          []*tracepb.Index_Entry
 	Damages         []Damage
-	Closed          bool // it ends with its index, as a file that was closed does
-	Rebuilt         bool // the index was made anew from the blocks
+	Closed          bool // the file ends with an index, so its writer closed it
+	Rebuilt         bool // the list of blocks was rebuilt by reading through the file
 	in              io.ReaderAt
 	size            int64
 	decoder         *zstd.Decoder
 	frame           []byte
 	records         []byte
-	filterKey       uint64   // the key that places are of
-	filterPositions []uint64 // before they are brought within a filter's size
+	filterKey       uint64   // key that filterPositions belong to
+	filterPositions []uint64 // hashes of filterKey, not yet reduced to the size of a filter
 }
 
-// Open reads a file's header and its index, or finds the blocks where there is no index. Damage is not an error: it
-// is listed, and the blocks behind it are found. The errors are ErrNoTrace, ErrVersion and those of reading.
+// Open reads a file's header and its index, or reads through the file if it has no index. Damage is not an error: it is
+// listed in Damages, and the blocks after it are found. The errors are ErrNoTrace, ErrVersion and read errors.
 func Open(in io.ReaderAt, size int64) (*File, error) {
 	f, next, err := openHeader(in, size)
 	if err != nil {
@@ -241,15 +269,15 @@
 	return f, nil
 }
 
-// openHeader reads a file's header alone.
+// openHeader reads a file's header only, and returns the offset behind it.
 func openHeader(in io.ReaderAt, size int64) (*File, int64, error) {
-	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxBlockBytes))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecodedBlockBytes))
 	if err != nil {
 		return nil, 0, err
 	}
-	f := &File{in: in, size: size, decoder: z}
+	f := &File{in: in, size: size, decoder: decoder}
 	kind, payload, next, err := f.readFrame(0)
-	if err != nil || kind != frameHeader {
+	if err != nil || kind != frameKindHeader {
 		return nil, 0, ErrNoTrace
 	}
 	f.Header = &tracepb.Header{}
@@ -262,21 +290,22 @@
 	return f, next, nil
 }
 
-// Close frees what the reader holds; the file below is the caller's.
+// Close releases the reader's resources; closing the underlying file is up to the caller.
 func (f *File) Close() { f.decoder.Close() }
 
-// readFrame gives the frame at an offset. The payload is valid until the next call.
+// readFrame reads the frame at an offset and returns the offset of the next one. The payload is valid until the next
+// call.
 func (f *File) readFrame(at int64) (kind byte, payload []byte, next int64, err error) {
 	var head [frameHeaderBytes]byte
 	if _, err := f.in.ReadAt(head[:], at); err != nil {
 		return 0, nil, 0, fmt.Errorf("%w: %w", ErrDamaged, io.ErrUnexpectedEOF)
 	}
 	if [4]byte(head[:4]) != frameMarker {
-		return 0, nil, 0, fmt.Errorf("%w: no marker", ErrDamaged)
+		return 0, nil, 0, fmt.Errorf("%w: frame marker is missing", ErrDamaged)
 	}
 	size := int64(binary.LittleEndian.Uint32(head[8:]))
 	if size > maxFrameBytes || at+frameHeaderBytes+size > f.size {
-		return 0, nil, 0, fmt.Errorf("%w: a frame of %d bytes", ErrDamaged, size)
+		return 0, nil, 0, fmt.Errorf("%w: invalid frame length of %d bytes", ErrDamaged, size)
 	}
 	f.frame = append(f.frame[:0], head[:]...)
 	if cap(f.frame) < int(frameHeaderBytes+size) {
@@ -287,45 +316,45 @@
 		return 0, nil, 0, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	if frameChecksum(f.frame) != binary.LittleEndian.Uint32(head[12:]) {
-		return 0, nil, 0, fmt.Errorf("%w: a wrong checksum", ErrDamaged)
+		return 0, nil, 0, fmt.Errorf("%w: frame checksum does not match", ErrDamaged)
 	}
 	return head[4], f.frame[frameHeaderBytes:], at + frameHeaderBytes + size, nil
 }
 
-// loadIndex reads the index at the file's end, if there is a sound one.
+// loadIndex reads the index at the end of the file and reports whether there is a valid one.
 func (f *File) loadIndex() bool {
-	var tail [4]byte
-	if _, err := f.in.ReadAt(tail[:], f.size-4); err != nil {
+	var frameLength [4]byte
+	if _, err := f.in.ReadAt(frameLength[:], f.size-4); err != nil {
 		return false
 	}
-	at := f.size - int64(binary.LittleEndian.Uint32(tail[:]))
+	at := f.size - int64(binary.LittleEndian.Uint32(frameLength[:]))
 	if at < 0 {
 		return false
 	}
 	kind, payload, next, err := f.readFrame(at)
-	if err != nil || kind != frameIndex || next != f.size || len(payload) < 4 {
+	if err != nil || kind != frameKindIndex || next != f.size || len(payload) < 4 {
 		return false
 	}
-	var x tracepb.Index
-	if proto.Unmarshal(payload[:len(payload)-4], &x) != nil {
+	var index tracepb.Index
+	if proto.Unmarshal(payload[:len(payload)-4], &index) != nil {
 		return false
 	}
-	for _, e := range x.Blocks {
+	for _, e := range index.Blocks {
 		if e.Block == nil || int64(e.Offset) >= f.size {
 			return false
 		}
 	}
-	f.Blocks = x.Blocks
+	f.Blocks = index.Blocks
 	return true
 }
 
-// rebuild finds the blocks one by one, and the next marker behind damage.
+// rebuild lists the blocks by reading through the file from an offset. After damage it resumes at the next marker.
 func (f *File) rebuild(at int64) {
 	f.Rebuilt = true
 	for at < f.size {
 		kind, payload, next, err := f.readFrame(at)
 		if err == nil {
-			if kind == frameBlock {
+			if kind == frameKindBlock {
 				if info, _, err := splitBlock(payload); err == nil {
 					f.Blocks = append(f.Blocks, &tracepb.Index_Entry{Offset: uint64(at), Block: info})
 				} else {
@@ -341,7 +370,7 @@
 	}
 }
 
-// findMarker gives the next offset from which on a marker stands, or the file's end.
+// findMarker returns the offset of the first marker at or after an offset, or the end of the file.
 func (f *File) findMarker(at int64) int64 {
 	buf := make([]byte, 64<<10)
 	for at < f.size {
@@ -359,7 +388,7 @@
 	return f.size
 }
 
-// splitBlock takes a block's payload apart.
+// splitBlock splits the payload of a block into its description and its compressed records.
 func splitBlock(payload []byte) (*tracepb.Block, []byte, error) {
 	n, used := binary.Uvarint(payload)
 	if used <= 0 || n > uint64(len(payload)-used) {
@@ -369,42 +398,43 @@
 	if err := proto.Unmarshal(payload[used:used+int(n)], info); err != nil {
 		return nil, nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	if info.Size > maxBlockBytes {
-		return nil, nil, fmt.Errorf("%w: a block of %d bytes", ErrDamaged, info.Size)
+	if info.Size > maxDecodedBlockBytes {
+		return nil, nil, fmt.Errorf("%w: block of %d bytes exceeds the limit", ErrDamaged, info.Size)
 	}
 	return info, payload[used+int(n):], nil
 }
 
-// decompress makes a block's records ready in f.records.
+// decompress reads block i and decompresses its records into f.records.
 func (f *File) decompress(i int) (*tracepb.Block, error) {
 	e := f.Blocks[i]
 	kind, payload, _, err := f.readFrame(int64(e.Offset))
-	if err == nil && kind != frameBlock {
+	if err == nil && kind != frameKindBlock {
 		err = ErrDamaged
 	}
 	if err != nil {
 		return nil, fmt.Errorf("block %d at %d: %w", i, e.Offset, err)
 	}
-	info, packed, err := splitBlock(payload)
+	info, compressed, err := splitBlock(payload)
 	if err != nil {
 		return nil, fmt.Errorf("block %d at %d: %w", i, e.Offset, err)
 	}
-	f.records, err = f.decoder.DecodeAll(packed, f.records[:0])
+	f.records, err = f.decoder.DecodeAll(compressed, f.records[:0])
 	if err != nil || len(f.records) != int(info.Size) {
-		return nil, fmt.Errorf("block %d at %d: %w: it does not unpack", i, e.Offset, ErrDamaged)
+		return nil, fmt.Errorf("block %d at %d: %w: records cannot be decompressed", i, e.Offset, ErrDamaged)
 	}
 	return info, nil
 }
 
-// Read gives each record of block i to do, until it returns false. Records are valid during the call only; workers
-// are named by the block's WORKER records, whose ids are in names by their number.
-func (f *File) Read(i int, do func(r *Record, names []string) bool) error {
+// Read calls fn for each record of block i until fn returns false. A record is valid during the call only. names holds
+// the ids of the block's workers by their numbers in the block. A TAKE that also holds a SUBMIT and a REMIND is passed on
+// as separate records.
+func (f *File) Read(i int, fn func(r *Record, names []string) bool) error {
 	e := f.Blocks[i]
 	info, err := f.decompress(i)
 	if err != nil {
 		return err
 	}
-	var r, x Record
+	var r, implied Record
 	names := make([]string, 1, info.Workers%(1<<16)+1)
 	at, serial := info.First, uint64(0)
 	for rest := f.records; len(rest) > 0; {
@@ -414,15 +444,15 @@
 		at = r.nextBase()
 		if r.Kind == tracepb.Kind_WORKER {
 			if int(r.Worker) != len(names) {
-				return fmt.Errorf("block %d at %d: %w: worker %d after %d", i, e.Offset, ErrDamaged, r.Worker, len(names)-1)
+				return fmt.Errorf("block %d at %d: %w: worker %d follows worker %d", i, e.Offset, ErrDamaged, r.Worker, len(names)-1)
 			}
 			names = append(names, r.Text)
 		}
 		if int(r.Worker) >= len(names) {
-			return fmt.Errorf("block %d at %d: %w: worker %d is not named", i, e.Offset, ErrDamaged, r.Worker)
+			return fmt.Errorf("block %d at %d: %w: worker %d has no WORKER record", i, e.Offset, ErrDamaged, r.Worker)
 		}
 		if r.Kind != tracepb.Kind_TAKE {
-			if !do(&r, names) {
+			if !fn(&r, names) {
 				return nil
 			}
 			continue
@@ -433,18 +463,18 @@
 		serial = r.Serial
 		worker, token, span := r.Worker, r.Token, r.Span
 		r.Worker, r.Token, r.Span = 0, 0, 0
-		if !do(&r, names) {
+		if !fn(&r, names) {
 			return nil
 		}
 		if worker != 0 {
-			x = Record{Kind: tracepb.Kind_SUBMIT, At: r.At, Txn: r.Txn, Worker: worker, Origin: r.Origin}
-			if !do(&x, names) {
+			implied = Record{Kind: tracepb.Kind_SUBMIT, At: r.At, Txn: r.Txn, Worker: worker, Origin: r.Origin}
+			if !fn(&implied, names) {
 				return nil
 			}
 		}
 		if token != 0 {
-			x = Record{Kind: tracepb.Kind_REMIND, At: r.At, Token: token, Span: span, Origin: r.Origin}
-			if !do(&x, names) {
+			implied = Record{Kind: tracepb.Kind_REMIND, At: r.At, Token: token, Span: span, Origin: r.Origin}
+			if !fn(&implied, names) {
 				return nil
 			}
 		}
@@ -452,7 +482,7 @@
 	return nil
 }
 
-// nextBase is the time that the record behind this one counts from.
+// nextBase returns the time to which the time of the next record is relative.
 func (r *Record) nextBase() int64 {
 	if r.Kind == tracepb.Kind_BACK {
 		return r.At - int64(r.Span)
@@ -460,37 +490,39 @@
 	return r.At
 }
 
-// isDuplicate tells whether block i was read before: a block that was being written stands in a tail as well. number is that
-// of the last one read.
-func (f *File) isDuplicate(i int, number *uint64) bool {
+// isDuplicate reports whether block i was read before, and otherwise advances lastNumber, the number of the last block
+// read. A block is in both a segment and the tail file while its slot is not freed after the write.
+func (f *File) isDuplicate(i int, lastNumber *uint64) bool {
 	n := f.Blocks[i].Block.Number
-	if n != 0 && n <= *number {
+	if n != 0 && n <= *lastNumber {
 		return true
 	}
-	*number = max(*number, n)
+	*lastNumber = max(*lastNumber, n)
 	return false
 }
 
-// MayContain tells whether block i may hold a key or a trace id (its halves, one over the other).
+// MayContain reports whether block i may hold a key or a trace id, according to its filter. For a trace id, key is the
+// exclusive or of its halves.
 func (f *File) MayContain(i int, key uint64) bool {
 	e := f.Blocks[i]
-	keys := e.Block.Keys
-	if len(keys) == 0 && e.Head > 0 {
+	filter := e.Block.Keys
+	if len(filter) == 0 && e.Head > 0 {
 		if e.Block.FirstSerial == 0 {
 			return false
 		}
 		var ok bool
-		if keys, ok = f.blockFilter(e); !ok {
-			return true // look rather than miss it
+		if filter, ok = f.blockFilter(e); !ok {
+			return true // without a readable filter the block has to be searched
 		}
 	}
-	if len(keys) == 0 {
+	if len(filter) == 0 {
 		return false
 	}
-	return f.filterContains(keys, key)
+	return f.filterContains(filter, key)
 }
 
-// blockFilter reads the filter in a block's blockFilter. The bytes are valid until the next call.
+// blockFilter reads the filter in a block's head, and reports whether the head is valid. The bytes are valid until the
+// next call.
 func (f *File) blockFilter(e *tracepb.Index_Entry) ([]byte, bool) {
 	if int64(e.Head) > maxFrameBytes || int64(e.Offset)+int64(e.Head) > f.size {
 		return nil, false
@@ -499,7 +531,7 @@
 		f.frame = make([]byte, e.Head)
 	}
 	f.frame = f.frame[:e.Head]
-	if _, err := f.in.ReadAt(f.frame, int64(e.Offset)); err != nil || crc32.Checksum(f.frame, castagnoli) != e.HeadSum || e.Head < frameHeaderBytes {
+	if _, err := f.in.ReadAt(f.frame, int64(e.Offset)); err != nil || crc32.Checksum(f.frame, castagnoliTable) != e.HeadSum || e.Head < frameHeaderBytes {
 		return nil, false
 	}
 	n, used := binary.Uvarint(f.frame[frameHeaderBytes:])
@@ -507,16 +539,16 @@
 		return nil, false
 	}
 	for in := f.frame[frameHeaderBytes+used:]; len(in) > 0; {
-		field, kind, n := protowire.ConsumeTag(in)
+		field, wireType, n := protowire.ConsumeTag(in)
 		if n < 0 {
 			return nil, false
 		}
 		in = in[n:]
-		if field == 7 && kind == protowire.BytesType {
+		if field == blockFieldKeys && wireType == protowire.BytesType {
 			v, n := protowire.ConsumeBytes(in)
 			return v, n >= 0
 		}
-		if n = protowire.ConsumeFieldValue(field, kind, in); n < 0 {
+		if n = protowire.ConsumeFieldValue(field, wireType, in); n < 0 {
 			return nil, false
 		}
 		in = in[n:]
@@ -524,35 +556,35 @@
 	return nil, true
 }
 
-// filterContains looks a key up in a filter as it stands in the file: number of bits, number of hashes and the bits, in words of
-// eight bytes, the highest first. The library's own reader would copy it.
-func (f *File) filterContains(keys []byte, key uint64) bool {
-	if len(keys) < 32 {
+// filterContains looks a key up in an encoded filter: number of bits, number of hashes, number of bits again and the bits
+// in big-endian words of eight bytes. The library's own decoder would copy the filter.
+func (f *File) filterContains(filter []byte, key uint64) bool {
+	if len(filter) < filterHeaderBytes+8 {
 		return true
 	}
-	m, k := binary.BigEndian.Uint64(keys), binary.BigEndian.Uint64(keys[8:])
-	bits := keys[24:]
-	// Danger: a damaged filter may claim anything.
-	if m == 0 || m > uint64(len(bits))*8 || k == 0 || k > 64 {
+	bitCount, hashes := binary.BigEndian.Uint64(filter), binary.BigEndian.Uint64(filter[8:])
+	words := filter[filterHeaderBytes:]
+	// A damaged filter can hold any numbers, which must not lead to an access out of range or an endless computation.
+	if bitCount == 0 || bitCount > uint64(len(words))*8 || hashes == 0 || hashes > maxFilterHashes {
 		return true
 	}
-	if f.filterKey != key || len(f.filterPositions) != int(k) {
-		f.filterKey, f.filterPositions = key, bloom.Locations(uint64Bytes(key), uint(k))
+	if f.filterKey != key || len(f.filterPositions) != int(hashes) {
+		f.filterKey, f.filterPositions = key, bloom.Locations(uint64Bytes(key), uint(hashes))
 	}
-	for _, at := range f.filterPositions {
-		at %= m
-		if binary.BigEndian.Uint64(bits[at/64*8:])>>(at%64)&1 == 0 {
+	for _, pos := range f.filterPositions {
+		pos %= bitCount
+		if binary.BigEndian.Uint64(words[pos/64*8:])>>(pos%64)&1 == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// ContainsBytes tells whether block i holds a key's bytes anywhere, without taking its records apart: most blocks that their
-// filter names in vain are told so by it.
+// ContainsBytes reports whether the records of block i contain the bytes of any of the keys, without decoding them. This
+// eliminates most of the filter's false positives at little cost.
 func (f *File) ContainsBytes(i int, keys ...uint64) bool {
 	if _, err := f.decompress(i); err != nil {
-		return true // Read says what is wrong
+		return true // Read reports the error
 	}
 	for _, k := range keys {
 		if k != 0 && bytes.Contains(f.records, uint64Bytes(k)) {
--- a/trace/tail.go
+++ b/trace/tail.go
@@ -271,7 +271,7 @@
 			return err
 		}
 		found = true
-		frame = appendFrame(nil, frameBlock, frame)
+		frame = appendFrame(nil, frameKindBlock, frame)
 		e := proto.Clone(f.Blocks[i]).(*tracepb.Index_Entry)
 		e.Offset = p.size
 		p.index.Blocks = append(p.index.Blocks, e)
