--- a/trace/store.go
+++ b/trace/store.go
@@ -16,26 +16,26 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Directory is where segments lie. The one of the operating system is Disk; tests hand in ones that fail.
+// Directory holds segments. Disk is the implementation by the operating system; tests use ones that fail.
 type Directory interface {
 	Create(name string) (io.WriteCloser, error)
 	Remove(name string) error
 	List() ([]Segment, error)
-	// Replace puts a small file in place of another, so that a crash leaves the one or the other whole.
+	// Replace writes a small file atomically: after a crash either the old or the new content is there in whole.
 	Replace(name string, data []byte) error
 }
 
-// Segment is a file of a folder.
+// Segment is a segment file in a directory.
 type Segment struct {
 	Name string    `json:"name"`
-	Size int64     `json:"size"`
-	Last time.Time `json:"last"`
+	Size int64     `json:"size"` // bytes
+	Last time.Time `json:"last"` // time of the last write
 }
 
-// Disk is a folder of the operating system.
+// Disk is the path of a directory of the operating system.
 type Disk string
 
-// Create makes a file that must not be there yet.
+// Create creates a file, and the directory if need be; it fails if the file exists.
 func (d Disk) Create(name string) (io.WriteCloser, error) {
 	if err := os.MkdirAll(string(d), 0o755); err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 // Remove deletes a file.
 func (d Disk) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
 
-// List gives the folder's segments, the oldest first.
+// List returns the directory's segments, the oldest first.
 func (d Disk) List() ([]Segment, error) {
 	entries, err := os.ReadDir(string(d))
 	if errors.Is(err, os.ErrNotExist) {
@@ -66,7 +66,7 @@
 	return out, nil
 }
 
-// Replace writes beside and renames.
+// Replace writes a temporary file and renames it.
 func (d Disk) Replace(name string, data []byte) error {
 	tmp := filepath.Join(string(d), name+".new")
 	if err := os.WriteFile(tmp, data, 0o644); err != nil {
@@ -75,47 +75,49 @@
 	return os.Rename(tmp, filepath.Join(string(d), name))
 }
 
-// Suffix is what segments' names end in.
+// Suffix is the file name suffix of segments.
 const Suffix = ".dgt"
 
 const manifestName = "manifest.json"
 
-// Keep says how long traces are kept.
+// Keep limits the size and age of segments and the space they take.
 type Keep struct {
 	SegmentBytes int64         // a segment is closed at this size
 	SegmentAge   time.Duration // or at this age
-	TotalBytes   int64         // all segments of the folder together; the oldest go first
+	TotalBytes   int64         // limit for all segments of the directory together; the oldest are deleted first
 }
 
-// segmentWriter writes the segments of one sentry's life. It is for one goroutine.
+// segmentWriter writes the segments of one run of a sentry. It must be used by one goroutine at a time.
 type segmentWriter struct {
 	dir       Directory
 	retention Keep
 	header    *tracepb.Header
 	enc       *encoder
-	file      io.WriteCloser
+	file      io.WriteCloser // current segment; nil: none
 	name      string
-	size      int64
+	size      int64 // bytes written to the current segment
 	opened    time.Time
 	index     tracepb.Index
-	segment   uint32
+	segment   uint32 // number of the next segment
 }
 
+// namePrefix returns the part of the segments' names that is common to the run.
 func (s *segmentWriter) namePrefix() string {
 	return fmt.Sprintf("%s-s%d-%016x-", s.header.Edge, s.header.Sentry, s.header.Life)
 }
 
-// openSegment begins a segment.
+// openSegment creates a segment and writes its header. clock is the sentry clock at its start.
 func (s *segmentWriter) openSegment(now time.Time, clock int64) error {
 	h := proto.Clone(s.header).(*tracepb.Header)
-	// The sentry's clock does not step; what the wall clock did since the start is not known of this moment.
+	// The wall time is derived from the sentry clock, which never steps. Steps of the wall clock since the run's start are
+	// not reflected in it.
 	h.Segment, h.Wall, h.Start = s.segment, h.Wall+clock-h.Start, clock
 	frame, err := headerFrame(h)
 	if err != nil {
 		return err
 	}
 	name := fmt.Sprintf("%s%06d%s", s.namePrefix(), s.segment, Suffix)
-	s.segment++ // a name that failed is not tried again: something of it may stand there
+	s.segment++ // the name is not used again after a failure, as a part of the file may exist
 	file, err := s.dir.Create(name)
 	if err != nil {
 		return err
@@ -129,7 +131,7 @@
 	return nil
 }
 
-// appendBlock writes a block, in a new segment where the present one is full or old.
+// appendBlock writes a block. It begins a new segment if there is none or the current one is full or too old.
 func (s *segmentWriter) appendBlock(now time.Time, b *block) error {
 	frame, info, err := s.enc.encodeBlockWithInfo(proto.Clone(&b.info).(*tracepb.Block), b.keys, b.records)
 	if err != nil {
@@ -154,7 +156,7 @@
 	return nil
 }
 
-// abandon leaves a segment as it is; a reader finds its blocks without an index.
+// abandon closes a segment without writing its index. Readers find its blocks by reading through it.
 func (s *segmentWriter) abandon() {
 	if s.file != nil {
 		s.file.Close()
@@ -162,7 +164,7 @@
 	}
 }
 
-// close ends a segment with its index.
+// close writes the index of the current segment and closes it.
 func (s *segmentWriter) close() error {
 	if s.file == nil {
 		return nil
@@ -178,33 +180,33 @@
 	return err
 }
 
-// manifest lists the folder for people and tools. The folder itself is the truth: a manifest that lags after a
-// crash is made anew from it.
+// manifest is a list of the directory's segments for people and tools. The directory itself is authoritative: a manifest
+// that is out of date after a crash is rewritten from it.
 type manifest struct {
 	Version  int       `json:"version"`
 	Segments []Segment `json:"segments"`
 }
 
-// enforceRetention deletes the oldest segments over the bound, never the present one, and renews the manifest. A failure
-// costs no txn its trace; the next segment tries again.
+// enforceRetention deletes the oldest segments, except the current one, until a whole new segment fits below TotalBytes,
+// and rewrites the manifest. Failures do not affect recording; the next segment tries again.
 func (s *segmentWriter) enforceRetention() {
-	list, err := s.dir.List()
+	segments, err := s.dir.List()
 	if err != nil {
 		return
 	}
-	sum := int64(0)
-	for _, x := range list {
-		sum += x.Size
+	total := int64(0)
+	for _, seg := range segments {
+		total += seg.Size
 	}
-	kept := list[:0]
-	for _, x := range list {
-		if sum > s.retention.TotalBytes-s.retention.SegmentBytes && x.Name != s.name {
-			if s.dir.Remove(x.Name) == nil || errors.Is(err, os.ErrNotExist) {
-				sum -= x.Size
+	kept := segments[:0]
+	for _, seg := range segments {
+		if total > s.retention.TotalBytes-s.retention.SegmentBytes && seg.Name != s.name {
+			if s.dir.Remove(seg.Name) == nil || errors.Is(err, os.ErrNotExist) {
+				total -= seg.Size
 				continue
 			}
 		}
-		kept = append(kept, x)
+		kept = append(kept, seg)
 	}
 	data, err := json.MarshalIndent(manifest{1, kept}, "", "  ")
 	if err == nil {
--- a/trace/tail.go
+++ b/trace/tail.go
@@ -17,48 +17,66 @@
 	"dunegrade/trace/tracepb"
 )
 
-// A tail is the memory of a sentry's blocks that are not in a segment yet, as a file of a file system in memory. What a
-// process that is killed had recorded up to that instant is read from there; no event loop waits for a disk because of it.
+// A tail file holds the blocks of a sentry that are not written to a segment yet, in shared memory: it is mapped from a
+// file system in memory. What a process had recorded until it was killed is read from there, and no event loop has to
+// wait for a disk to make that possible.
 //
-// It begins with a page: the marker, the length of a Header and that Header. Then come the slots, one a buffer, each
-// with a head of 64 bytes: the block's number in its life (0: free), its first time, and how many bytes of records
-// follow, all little-endian.
+// The file begins with a page that holds the marker, the length of a Header and that Header. Then follow the slots, one
+// for each buffer, each with a header of 64 bytes: the number of the block in its run (0: the slot is free), its first
+// time, and the size of the records that follow, all little-endian.
 
-// TailSuffix is what tails' names end in.
+// TailSuffix is the file name suffix of tail files.
 const TailSuffix = ".tail"
 
-// DefaultTailDir is where tails lie if nobody says otherwise.
+// DefaultTailDir is the default directory of tail files.
 const DefaultTailDir = "/dev/shm"
 
 const (
+	// tailHeaderBytes is the size of the page at the start of a tail file.
 	tailHeaderBytes = 4096
+
+	// tailLengthOffset is the offset of the Header's length in that page, behind the marker.
+	tailLengthOffset = 8
+
+	// tailMessageOffset is the offset of the Header in that page.
+	tailMessageOffset = 12
+
+	// slotHeaderBytes is the size of a slot's header.
 	slotHeaderBytes = 64
-	slotBytes       = slotHeaderBytes + blockBytes + blockBytes/4
+
+	// slotFirstOffset and slotSizeOffset are the offsets of the block's first time and of the size of its records in a
+	// slot's header; the block's number is at offset 0.
+	slotFirstOffset = 8
+	slotSizeOffset  = 16
+
+	// slotBytes is the size of a slot. Records go a quarter over blockBytes at most, except for very long worker lists.
+	slotBytes = slotHeaderBytes + blockBytes + blockBytes/4
 )
 
 var tailMarker = [8]byte{0xd6, 'D', 'G', 'T', 't', 'a', 'i', 'l'}
 
-// tailFile is a sentry's own.
+// tailFile is the tail file of a running sentry.
 type tailFile struct {
 	file *os.File
-	mem  []byte
+	mem  []byte // mapping of the whole file
 	path string
 }
 
-func tailPath(folder string, life uint64) string {
-	return filepath.Join(folder, fmt.Sprintf("dunegrade-%016x%s", life, TailSuffix))
+// tailPath returns the path of the tail file of a run.
+func tailPath(dir string, runID uint64) string {
+	return filepath.Join(dir, fmt.Sprintf("dunegrade-%016x%s", runID, TailSuffix))
 }
 
-// createTail makes a tail and locks it: what is locked belongs to a process that lives.
-func createTail(folder string, h *tracepb.Header) (t *tailFile, err error) {
+// createTail creates, maps and locks a tail file. A locked tail file belongs to a running process.
+func createTail(dir string, h *tracepb.Header) (t *tailFile, err error) {
 	head, err := proto.Marshal(h)
 	if err != nil {
 		return nil, err
 	}
-	if len(head) > tailHeaderBytes-12 {
-		return nil, errors.New("the header does not fit a page")
+	if len(head) > tailHeaderBytes-tailMessageOffset {
+		return nil, errors.New("trace: the header exceeds the first page of a tail file")
 	}
-	path := tailPath(folder, h.Life)
+	path := tailPath(dir, h.Life)
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return nil, err
@@ -73,7 +91,8 @@
 	if err := unix.Flock(fd, unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return nil, err
 	}
-	// Danger: without memory set aside, a write where none is left would end the process.
+	// Reserve the memory now: if the file system ran out of memory later, a write to the mapping would raise SIGBUS and
+	// terminate the process.
 	if err := unix.Fallocate(fd, 0, 0, int64(size)); err != nil {
 		return nil, err
 	}
@@ -81,189 +100,198 @@
 	if err != nil {
 		return nil, err
 	}
-	binary.LittleEndian.PutUint32(mem[8:], uint32(len(head)))
-	copy(mem[12:], head)
+	binary.LittleEndian.PutUint32(mem[tailLengthOffset:], uint32(len(head)))
+	copy(mem[tailMessageOffset:], head)
 	copy(mem, tailMarker[:])
 	return &tailFile{file, mem, path}, nil
 }
 
+// slot returns the memory of slot i.
 func (t *tailFile) slot(i int) []byte {
-	at := tailHeaderBytes + i*slotBytes
-	return t.mem[at : at+slotBytes : at+slotBytes]
+	start := tailHeaderBytes + i*slotBytes
+	return t.mem[start : start+slotBytes : start+slotBytes]
 }
 
-// close removes the tail: all of it is in segments.
+// close unmaps and removes the tail file, once all blocks are in segments.
 func (t *tailFile) close() {
 	unix.Munmap(t.mem)
 	os.Remove(t.path)
 	t.file.Close()
 }
 
-// beginSlot, grow and free keep a block's slot; without one they do nothing.
+// beginSlot assigns the block's slot, if it has one, to the block with the given number.
 func (b *block) beginSlot(number uint64) {
 	if b.slot == nil {
 		return
 	}
 	b.records = b.slot[slotHeaderBytes:slotHeaderBytes:slotBytes]
-	binary.LittleEndian.PutUint64(b.slot[16:], 0)
-	binary.LittleEndian.PutUint64(b.slot[8:], uint64(b.info.First))
+	binary.LittleEndian.PutUint64(b.slot[slotSizeOffset:], 0)
+	binary.LittleEndian.PutUint64(b.slot[slotFirstOffset:], uint64(b.info.First))
 	binary.LittleEndian.PutUint64(b.slot, number)
 }
 
+// updateSlot stores the size of the block's records in its slot, if it has one.
 func (b *block) updateSlot() {
 	if b.slot != nil {
 		n := uint64(len(b.records))
-		if n > slotBytes-slotHeaderBytes { // it has moved elsewhere, for a list that is huge
+		if n > slotBytes-slotHeaderBytes { // the records were reallocated outside the slot, for a very long worker list
 			n = 0
 		}
-		binary.LittleEndian.PutUint64(b.slot[16:], n)
+		binary.LittleEndian.PutUint64(b.slot[slotSizeOffset:], n)
 	}
 }
 
+// freeSlot marks the block's slot, if it has one, as free.
 func (b *block) freeSlot() {
 	if b.slot != nil {
 		binary.LittleEndian.PutUint64(b.slot, 0)
 	}
 }
 
-// readTail reads a tail as a file with an index, and tells whether its process lives.
+// readTail reads a tail file as a trace file with an index, and reports whether its process is running.
 func readTail(path string) (*File, bool, error) {
 	in, err := os.Open(path)
 	if err != nil {
 		return nil, false, err
 	}
 	defer in.Close()
-	alive := unix.Flock(int(in.Fd()), unix.LOCK_SH|unix.LOCK_NB) != nil
+	running := unix.Flock(int(in.Fd()), unix.LOCK_SH|unix.LOCK_NB) != nil
 	info, err := in.Stat()
 	if err != nil {
 		return nil, false, err
 	}
 	if info.Size() != tailHeaderBytes+bufferCount*slotBytes {
-		return nil, alive, fmt.Errorf("%s: %w: a tail of %d bytes", path, ErrDamaged, info.Size())
+		return nil, running, fmt.Errorf("%s: %w: tail file of %d bytes", path, ErrDamaged, info.Size())
 	}
 	data := make([]byte, info.Size())
 	if _, err := in.ReadAt(data, 0); err != nil {
-		return nil, alive, err
+		return nil, running, err
 	}
 	h := &tracepb.Header{}
-	n := binary.LittleEndian.Uint32(data[8:])
-	if !bytes.Equal(data[:8], tailMarker[:]) || n > tailHeaderBytes-12 || proto.Unmarshal(data[12:12+n], h) != nil {
-		return nil, alive, fmt.Errorf("%s: %w", path, ErrNoTrace)
+	n := binary.LittleEndian.Uint32(data[tailLengthOffset:])
+	if !bytes.Equal(data[:tailLengthOffset], tailMarker[:]) || n > tailHeaderBytes-tailMessageOffset || proto.Unmarshal(data[tailMessageOffset:tailMessageOffset+n], h) != nil {
+		return nil, running, fmt.Errorf("%s: %w", path, ErrNoTrace)
 	}
-	type part struct {
+	type usedSlot struct {
 		number  uint64
 		first   int64
 		records []byte
 	}
-	var parts []part
+	var used []usedSlot
 	for i := 0; i < bufferCount; i++ {
-		s := data[tailHeaderBytes+i*slotBytes:][:slotBytes]
-		number, size := binary.LittleEndian.Uint64(s), binary.LittleEndian.Uint64(s[16:])
+		slot := data[tailHeaderBytes+i*slotBytes:][:slotBytes]
+		number, size := binary.LittleEndian.Uint64(slot), binary.LittleEndian.Uint64(slot[slotSizeOffset:])
 		if number != 0 && size > 0 && size <= slotBytes-slotHeaderBytes {
-			parts = append(parts, part{number, int64(binary.LittleEndian.Uint64(s[8:])), s[slotHeaderBytes : slotHeaderBytes+size]})
+			used = append(used, usedSlot{number, int64(binary.LittleEndian.Uint64(slot[slotFirstOffset:])), slot[slotHeaderBytes : slotHeaderBytes+size]})
 		}
 	}
-	sort.Slice(parts, func(i, j int) bool { return parts[i].number < parts[j].number })
+	sort.Slice(used, func(i, j int) bool { return used[i].number < used[j].number })
 	var out bytes.Buffer
-	p, err := newFileWriter(&out, h)
+	w, err := newFileWriter(&out, h)
 	if err != nil {
-		return nil, alive, err
+		return nil, running, err
 	}
-	for _, x := range parts {
-		frame, info, err := p.enc.encodeBlock(x.first, x.records)
+	for _, u := range used {
+		frame, info, err := w.enc.encodeBlock(u.first, u.records)
 		if err != nil {
-			return nil, alive, fmt.Errorf("%s: %w", path, err)
+			return nil, running, fmt.Errorf("%s: %w", path, err)
 		}
-		info.Number = x.number
-		// The number goes into the frame as well: it is made again with it.
-		if frame, info, err = p.enc.encodeBlockWithInfo(info, p.enc.keys, x.records); err != nil {
-			return nil, alive, err
+		info.Number = u.number
+		// The frame is encoded again, so that it holds the number.
+		if frame, info, err = w.enc.encodeBlockWithInfo(info, w.enc.keys, u.records); err != nil {
+			return nil, running, err
 		}
-		p.index.Blocks = append(p.index.Blocks, p.enc.indexEntry(p.size, info))
-		if err := p.write(frame); err != nil {
-			return nil, alive, err
+		w.index.Blocks = append(w.index.Blocks, w.enc.indexEntry(w.size, info))
+		if err := w.write(frame); err != nil {
+			return nil, running, err
 		}
 	}
-	if err := p.close(); err != nil {
-		return nil, alive, err
+	if err := w.close(); err != nil {
+		return nil, running, err
 	}
 	f, err := Open(bytes.NewReader(out.Bytes()), int64(out.Len()))
-	return f, alive, err
+	return f, running, err
 }
 
-// lockReleaseWait is how long the lock of a process that was killed may outlive it: the kernel closes files after the process
-// has been waited for, on a busy machine tens of milliseconds later.
-const lockReleaseWait = 250 * time.Millisecond
+const (
+	// lockReleaseWait is the time for which the lock of a killed process may outlive it: the kernel closes the files after
+	// wait(2) has returned for the process, tens of milliseconds later on a busy machine.
+	lockReleaseWait = 250 * time.Millisecond
+
+	// lockRetryInterval is the time between two attempts on such a lock.
+	lockRetryInterval = 5 * time.Millisecond
+)
 
-// recoverTails writes what processes that have died left in their tails into segments of their lives, in the folder that they
-// recorded to, and removes the tails. What lives keeps its own.
-func recoverTails(folder Directory, tails string, now *tracepb.Header) error {
-	dir, isDisk := folder.(Disk)
+// recoverTails writes the blocks that terminated processes left in tail files to segments of their runs and removes the
+// tail files. It skips those of running processes and those of other trace directories. header is that of the new run.
+func recoverTails(dir Directory, tails string, header *tracepb.Header) error {
+	disk, isDisk := dir.(Disk)
 	paths, err := filepath.Glob(filepath.Join(tails, "dunegrade-*"+TailSuffix))
 	if err != nil || !isDisk {
 		return err
 	}
-	own, err := filepath.Abs(string(dir))
+	ownDir, err := filepath.Abs(string(disk))
 	if err != nil {
 		return err
 	}
-	var faults []error
-	until := time.Now().Add(lockReleaseWait)
+	var errs []error
+	deadline := time.Now().Add(lockReleaseWait)
 	for _, path := range paths {
-		if path == tailPath(tails, now.Life) {
+		if path == tailPath(tails, header.Life) {
 			continue
 		}
-		f, alive, err := readTail(path)
-		// Danger: an edge that is started again at once would take its own life before for one that still runs, and what
-		// that had in hand would be missing until the next start.
-		for alive && err == nil && f.Header.Folder == own && f.Header.Edge == now.Edge && f.Header.Sentry == now.Sentry &&
-			time.Now().Before(until) {
+		f, running, err := readTail(path)
+		// The lock of this sentry's previous run may be held for a moment longer. Without the wait, an edge that is restarted at
+		// once would take that run for a running process, and its last records would be missing until the next start.
+		for running && err == nil && f.Header.Folder == ownDir && f.Header.Edge == header.Edge && f.Header.Sentry == header.Sentry &&
+			time.Now().Before(deadline) {
 			f.Close()
-			time.Sleep(5 * time.Millisecond)
-			f, alive, err = readTail(path)
+			time.Sleep(lockRetryInterval)
+			f, running, err = readTail(path)
 		}
 		if err != nil {
-			continue // not ours to judge
+			continue // unreadable: it is left alone, as it may belong to another program
 		}
-		if !alive && f.Header.Folder == own {
-			faults = append(faults, recoverTail(dir, path, f))
+		if !running && f.Header.Folder == ownDir {
+			errs = append(errs, recoverTail(disk, path, f))
 		}
 		f.Close()
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
+// recoverTail writes the blocks of a tail file that are in no segment yet to a new segment and removes the tail file.
 func recoverTail(dir Disk, path string, f *File) error {
-	list, err := dir.List()
+	segments, err := dir.List()
 	if err != nil {
 		return err
 	}
-	s := &segmentWriter{dir: dir, header: f.Header}
-	next, seen := uint32(0), uint64(0)
-	for _, x := range list {
-		if !strings.HasPrefix(x.Name, s.namePrefix()) {
+	run := &segmentWriter{dir: dir, header: f.Header}
+	nextSegment, lastNumber := uint32(0), uint64(0)
+	for _, seg := range segments {
+		if !strings.HasPrefix(seg.Name, run.namePrefix()) {
 			continue
 		}
-		old, done, err := OpenPath(filepath.Join(string(dir), x.Name))
+		old, done, err := OpenPath(filepath.Join(string(dir), seg.Name))
 		if err != nil {
-			continue // its header was cut: nothing in it
+			continue // without a readable header it holds no blocks
 		}
-		next = max(next, old.Header.Segment+1)
+		nextSegment = max(nextSegment, old.Header.Segment+1)
 		for _, b := range old.Blocks {
-			seen = max(seen, b.Block.Number)
+			lastNumber = max(lastNumber, b.Block.Number)
 		}
 		done()
 	}
 	h := proto.Clone(f.Header).(*tracepb.Header)
-	h.Segment = next
+	h.Segment = nextSegment
 	var out bytes.Buffer
-	p, err := newFileWriter(&out, h)
+	w, err := newFileWriter(&out, h)
 	if err != nil {
 		return err
 	}
 	found := false
 	for i := range f.Blocks {
-		if f.Blocks[i].Block.Number <= seen {
+		if f.Blocks[i].Block.Number <= lastNumber {
 			continue
 		}
 		_, frame, _, err := f.readFrame(int64(f.Blocks[i].Offset))
@@ -272,18 +300,18 @@
 		}
 		found = true
 		frame = appendFrame(nil, frameKindBlock, frame)
-		e := proto.Clone(f.Blocks[i]).(*tracepb.Index_Entry)
-		e.Offset = p.size
-		p.index.Blocks = append(p.index.Blocks, e)
-		if err := p.write(frame); err != nil {
+		entry := proto.Clone(f.Blocks[i]).(*tracepb.Index_Entry)
+		entry.Offset = w.size
+		w.index.Blocks = append(w.index.Blocks, entry)
+		if err := w.write(frame); err != nil {
 			return err
 		}
 	}
 	if found {
-		if err := p.close(); err != nil {
+		if err := w.close(); err != nil {
 			return err
 		}
-		file, err := dir.Create(fmt.Sprintf("%s%06d%s", s.namePrefix(), next, Suffix))
+		file, err := dir.Create(fmt.Sprintf("%s%06d%s", run.namePrefix(), nextSegment, Suffix))
 		if err != nil {
 			return err
 		}
