--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -624,7 +624,7 @@
 // Done reports that a txn has no further records. Where txns are sampled, this decides whether its records are written.
 func (k *Recorder) Done(now logic.Nanos, t logic.TxnID) {
 	if k.sampler != nil {
-		k.sampler.done(k, now, t)
+		k.sampler.finish(k, now, t)
 	}
 }
 
