--- a/trace/internal/gen/main.go
+++ b/trace/internal/gen/main.go
@@ -1,5 +1,5 @@
-// Command gen writes the Go code of trace.proto, or with -check says whether it is as it should be. It compiles the
-// schema by itself, so that no protoc is needed.
+// Command gen generates the Go code of trace.proto; with -check it only reports whether the code is up to date. It
+// compiles the schema itself, so that no protoc is needed.
 package main
 
 import (
@@ -19,7 +19,7 @@
 )
 
 func main() {
-	check := flag.Bool("check", false, "compare only")
+	check := flag.Bool("check", false, "only compare the generated code with the files")
 	flag.Parse()
 	if err := run("trace/tracepb", "trace.proto", *check); err != nil {
 		fmt.Fprintln(os.Stderr, "gen:", err)
@@ -28,8 +28,8 @@
 }
 
 func run(dir, name string, check bool) error {
-	c := protocompile.Compiler{Resolver: &protocompile.SourceResolver{ImportPaths: []string{dir}}, SourceInfoMode: protocompile.SourceInfoStandard}
-	files, err := c.Compile(context.Background(), name)
+	compiler := protocompile.Compiler{Resolver: &protocompile.SourceResolver{ImportPaths: []string{dir}}, SourceInfoMode: protocompile.SourceInfoStandard}
+	files, err := compiler.Compile(context.Background(), name)
 	if err != nil {
 		return err
 	}
@@ -51,11 +51,11 @@
 	for _, f := range response.File {
 		path := dir + "/" + f.GetName()
 		if check {
-			have, err := os.ReadFile(path)
+			existing, err := os.ReadFile(path)
 			if err != nil {
 				return err
 			}
-			if !bytes.Equal(have, []byte(f.GetContent())) {
+			if !bytes.Equal(existing, []byte(f.GetContent())) {
 				return fmt.Errorf("%s does not match %s: run 'go run ./trace/internal/gen'", path, name)
 			}
 			continue
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -15,19 +15,20 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Life is all segments of one sentry's life, in order.
+// Life is the trace of one run of a sentry, from its start to its end: all its segments in order. File names and headers
+// call the id of a run its life.
 type Life struct {
 	ID               uint64
 	Edge             string
 	Sentry           uint32
 	Paths            []string
 	Headers          []*tracepb.Header
-	ClockUncertainty int64 // of a merged file: its times may be off by so much against the others'; negative: by any
-	origin           uint32
-	sourceLevel      uint32 // of the file that a merged one was made of
+	ClockUncertainty int64  // of a merged file: bound in nanoseconds on the clock's error against the first run's clock; negative: unknown
+	origin           uint32 // in a merged file: position in the header's list of origins, from 1; 0: not a merged file
+	sourceLevel      uint32 // of a merged file: level of the file that this run was merged from
 }
 
-// Level is how much of the life is there.
+// Level returns the level of detail of the run's trace.
 func (l *Life) Level() uint32 {
 	if l.origin != 0 {
 		return l.sourceLevel
@@ -35,15 +36,15 @@
 	return l.Headers[0].Level
 }
 
-// Lives groups the segments among some files and folders by the sentry's life. Files that are no traces are named
-// in the error; the others are given all the same.
+// Lives finds the segments among files and directories and groups them by run. Files that are not traces are listed in
+// the error; the runs found are returned all the same.
 func Lives(paths []string) ([]*Life, error) {
 	var files []string
-	var faults []error
+	var errs []error
 	for _, p := range paths {
 		info, err := os.Stat(p)
 		if err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 			continue
 		}
 		if !info.IsDir() {
@@ -58,39 +59,40 @@
 		})
 	}
 	byID := map[uint64]*Life{}
-	var out []*Life
+	var runs []*Life
 	for _, path := range files {
 		h, err := readHeader(path)
 		if err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 			continue
 		}
 		if len(h.Origins) > 0 {
-			out = append(out, splitMergedFile(path, h)...)
+			runs = append(runs, splitMergedFile(path, h)...)
 			continue
 		}
 		l := byID[h.Life]
 		if l == nil {
 			l = &Life{ID: h.Life, Edge: h.Edge, Sentry: h.Sentry}
 			byID[h.Life] = l
-			out = append(out, l)
+			runs = append(runs, l)
 		}
 		l.Paths, l.Headers = append(l.Paths, path), append(l.Headers, h)
 	}
-	for _, l := range out {
+	for _, l := range runs {
 		if l.origin == 0 {
 			sort.Sort(bySegment{l})
 			l.appendTail()
 		}
 	}
-	sort.Slice(out, func(i, j int) bool {
-		a, b := out[i], out[j]
+	sort.Slice(runs, func(i, j int) bool {
+		a, b := runs[i], runs[j]
 		return a.Sentry < b.Sentry || a.Sentry == b.Sentry && a.Headers[0].Wall < b.Headers[0].Wall
 	})
-	return out, errors.Join(faults...)
+	return runs, errors.Join(errs...)
 }
 
-// appendTail has the life end with what its process has not written to segments yet, or, if it was killed, never will.
+// appendTail appends the tail file, which holds what the process has not written to segments yet or, if it was killed,
+// never will.
 func (l *Life) appendTail() {
 	path := tailPath(TailDir, l.ID)
 	f, _, err := readTail(path)
@@ -98,16 +100,17 @@
 		return
 	}
 	defer f.Close()
-	own, err := filepath.Abs(filepath.Dir(l.Paths[0]))
-	if err == nil && f.Header.Folder == own && len(f.Blocks) > 0 {
+	dir, err := filepath.Abs(filepath.Dir(l.Paths[0]))
+	if err == nil && f.Header.Folder == dir && len(f.Blocks) > 0 {
 		f.Header.Segment = l.Headers[len(l.Headers)-1].Segment + 1
 		l.Paths, l.Headers = append(l.Paths, path), append(l.Headers, f.Header)
 	}
 }
 
-// TailDir is where tails are looked for.
+// TailDir is the directory that is searched for tail files.
 var TailDir = DefaultTailDir
 
+// bySegment sorts the files of a run by segment number.
 type bySegment struct{ *Life }
 
 func (s bySegment) Len() int           { return len(s.Paths) }
@@ -117,7 +120,7 @@
 	s.Headers[i], s.Headers[j] = s.Headers[j], s.Headers[i]
 }
 
-// readHeader reads a file's header.
+// readHeader reads the header of a segment or tail file.
 func readHeader(path string) (*tracepb.Header, error) {
 	if strings.HasSuffix(path, TailSuffix) {
 		f, _, err := readTail(path)
@@ -144,7 +147,7 @@
 	return f.Header, nil
 }
 
-// OpenPath opens a file by its path; done closes it.
+// OpenPath opens a segment or tail file by its path; done closes it.
 func OpenPath(path string) (f *File, done func(), err error) {
 	if strings.HasSuffix(path, TailSuffix) {
 		if f, _, err = readTail(path); err != nil {
@@ -167,24 +170,24 @@
 	return f, func() { f.Close(); in.Close() }, nil
 }
 
-// Each gives every record of a life, in order. Damage found on the way is given to hurt, if it is not nil, and is an error
-// otherwise.
-func (l *Life) Each(do func(r *Record, names []string) bool, hurt func(path string, d Damage)) error {
-	return l.eachSkipping(do, hurt, nil)
+// Each calls fn for every record of the run, in order, until fn returns false. Damage is passed to onDamage, or returned
+// as an error if onDamage is nil.
+func (l *Life) Each(fn func(r *Record, names []string) bool, onDamage func(path string, d Damage)) error {
+	return l.eachSkipping(fn, onDamage, nil)
 }
 
-// eachSkipping passes over the blocks that pass says hold nothing of interest.
-func (l *Life) eachSkipping(do func(r *Record, names []string) bool, hurt func(path string, d Damage), pass func(f *File, i int) bool) error {
-	number := uint64(0)
+// eachSkipping is like Each, but skips the blocks for which skip returns true.
+func (l *Life) eachSkipping(fn func(r *Record, names []string) bool, onDamage func(path string, d Damage), skip func(f *File, i int) bool) error {
+	lastNumber := uint64(0)
 	for i, path := range l.Paths {
 		if i > 0 && l.Headers[i].Segment != l.Headers[i-1].Segment+1 {
 			d := Damage{Why: fmt.Sprintf("segment %d is followed by %d", l.Headers[i-1].Segment, l.Headers[i].Segment)}
-			if hurt == nil {
+			if onDamage == nil {
 				return fmt.Errorf("%s: %w: %v", path, ErrDamaged, d.Why)
 			}
-			hurt(path, d)
+			onDamage(path, d)
 		}
-		more, err := l.eachInFile(path, &number, do, hurt, pass)
+		more, err := l.eachInFile(path, &lastNumber, fn, onDamage, skip)
 		if err != nil || !more {
 			return err
 		}
@@ -192,39 +195,41 @@
 	return nil
 }
 
-func (l *Life) eachInFile(path string, number *uint64, do func(r *Record, names []string) bool, hurt func(path string, d Damage),
-	pass func(f *File, i int) bool) (more bool, err error) {
+// eachInFile calls fn for the records of one file, except blocks with a number up to lastNumber, and reports whether the
+// caller has to go on.
+func (l *Life) eachInFile(path string, lastNumber *uint64, fn func(r *Record, names []string) bool, onDamage func(path string, d Damage),
+	skip func(f *File, i int) bool) (more bool, err error) {
 	f, done, err := OpenPath(path)
 	if err != nil {
 		return false, err
 	}
 	defer done()
 	for _, d := range f.Damages {
-		// A torn end is what a crash leaves; nothing before it is lost.
-		if d.Till == f.size && hurt == nil {
+		// A truncated end is normal after a crash and affects nothing before it.
+		if d.Till == f.size && onDamage == nil {
 			continue
 		}
-		if hurt == nil {
+		if onDamage == nil {
 			return false, fmt.Errorf("%s: %w: %v", path, ErrDamaged, d)
 		}
-		hurt(path, d)
+		onDamage(path, d)
 	}
 	more = true
 	for i := range f.Blocks {
-		if f.isDuplicate(i, number) || pass != nil && pass(f, i) {
+		if f.isDuplicate(i, lastNumber) || skip != nil && skip(f, i) {
 			continue
 		}
 		err := f.Read(i, func(r *Record, names []string) bool {
 			if l.origin == 0 || r.Origin == l.origin || r.Kind == tracepb.Kind_WORKER || r.Kind == tracepb.Kind_BACK {
-				more = do(r, names)
+				more = fn(r, names)
 			}
 			return more
 		})
 		if err != nil {
-			if hurt == nil {
+			if onDamage == nil {
 				return false, fmt.Errorf("%s: %w", path, err)
 			}
-			hurt(path, Damage{From: int64(f.Blocks[i].Offset), Till: int64(f.Blocks[i].Offset), Why: err.Error()})
+			onDamage(path, Damage{From: int64(f.Blocks[i].Offset), Till: int64(f.Blocks[i].Offset), Why: err.Error()})
 		}
 		if !more {
 			return false, nil
@@ -233,23 +238,23 @@
 	return true, nil
 }
 
-// Replayed is what a replay came to.
+// Replayed is the result of a replay.
 type Replayed struct {
-	Events, Actions int
+	Events, Actions int // replayed events and matching actions
 	Txns            int
-	Differs         string // the first difference, "" for none
-	At              int64
-	OtherVersion    bool // recorded under another text of the decisions
+	Differs         string // first difference, "" if there is none
+	At              int64  // sentry clock at the first difference
+	OtherVersion    bool   // recorded by another version of the decision module
 }
 
-// Why a life cannot be replayed.
+// Reasons why a run cannot be replayed, or no further.
 var (
-	ErrGap     = errors.New("trace: something was not recorded here, so the decisions cannot be replayed any further")
-	ErrSampled = errors.New("trace: a sampled trace holds a part of the txns, and cannot be replayed")
-	ErrNoStart = errors.New("trace: the sentry's start is missing, so the decisions cannot be replayed")
+	ErrGap     = errors.New("trace: records are missing here, so the decisions cannot be replayed any further")
+	ErrSampled = errors.New("trace: the trace does not hold all records of all txns, so it cannot be replayed")
+	ErrNoStart = errors.New("trace: the record of the sentry's start is missing, so the decisions cannot be replayed")
 )
 
-// action is what left the module, in the form that is compared.
+// action is an action of the decision module, in a form that can be compared.
 type action struct {
 	kind   Kind
 	txn    uint64
@@ -271,12 +276,12 @@
 	return s + fmt.Sprintf(" number %d token %d span %d %q", a.number, a.token, a.span, a.text)
 }
 
-// actionCollector is the module's Sink in a replay.
+// actionCollector is the decision module's Sink in a replay. It collects the actions.
 type actionCollector struct{ actions []action }
 
 func (p *actionCollector) add(a action) { p.actions = append(p.actions, a) }
 
-// Submit is a part of logic.Sink, as are the methods below.
+// Submit and the methods below implement logic.Sink.
 func (p *actionCollector) Submit(t logic.TxnID, w logic.WorkerID, timeout logic.Nanos) {
 	p.add(action{kind: tracepb.Kind_SUBMIT, txn: uint64(t), worker: string(w), span: uint64(timeout)})
 }
@@ -286,7 +291,9 @@
 func (p *actionCollector) Decline(t logic.TxnID, after logic.Nanos) {
 	p.add(action{kind: tracepb.Kind_DECLINE, txn: uint64(t), span: uint64(after)})
 }
-func (p *actionCollector) Void(t logic.TxnID) { p.add(action{kind: tracepb.Kind_VOID, txn: uint64(t)}) }
+func (p *actionCollector) Void(t logic.TxnID) {
+	p.add(action{kind: tracepb.Kind_VOID, txn: uint64(t)})
+}
 func (p *actionCollector) SetTimer(after logic.Nanos, token uint64) {
 	p.add(action{kind: tracepb.Kind_REMIND, token: token, span: uint64(after)})
 }
@@ -299,15 +306,16 @@
 }
 func (p *actionCollector) Log(text string) { p.add(action{kind: tracepb.Kind_LOG, text: text}) }
 
-// isAction tells whether a record left the module.
+// isAction reports whether a kind is that of an action of the decision module.
 func isAction(k Kind) bool { return k >= tracepb.Kind_SUBMIT && k <= tracepb.Kind_LOG }
 
-// Replay runs the decision module on a life's recorded events and holds its actions against the recorded ones, up to
-// the first that differs. The error says why the replay could not be made, or no further.
+// Replay runs the decision module on the recorded events of a run and compares its actions with the recorded ones, up to
+// the first difference. The error is the reason why the run could not be replayed, or no further.
 func Replay(l *Life) (*Replayed, error) {
 	return replay(l, nil)
 }
 
+// replay is Replay under other settings; nil for the recorded ones.
 func replay(l *Life, settings map[string]any) (*Replayed, error) {
 	if l.Headers[0].Level != 0 {
 		return &Replayed{}, ErrSampled
@@ -315,112 +323,112 @@
 	if settings == nil {
 		settings = map[string]any{}
 		if err := json.Unmarshal(l.Headers[0].Settings, &settings); err != nil {
-			return nil, fmt.Errorf("trace: the header's settings: %w", err)
+			return nil, fmt.Errorf("trace: decoding the header's settings: %w", err)
 		}
 	}
-	out := &Replayed{OtherVersion: l.Headers[0].Module != logic.Version()}
-	p := &actionCollector{}
-	next := 0 // of p.out, not seen in the trace yet
-	var s *logic.Sentry
-	var fault error
-	differ := func(r *Record, want string) bool {
+	res := &Replayed{OtherVersion: l.Headers[0].Module != logic.Version()}
+	sink := &actionCollector{}
+	next := 0 // index of the first action not yet compared with the trace
+	var sentry *logic.Sentry
+	var replayErr error
+	reportDifference := func(r *Record, recorded string) bool {
 		got := "nothing more"
-		if next < len(p.actions) {
-			got = p.actions[next].String()
+		if next < len(sink.actions) {
+			got = sink.actions[next].String()
 		}
-		out.Differs, out.At = fmt.Sprintf("recorded: %s; decided now: %s", want, got), r.At
+		res.Differs, res.At = fmt.Sprintf("recorded: %s; decided now: %s", recorded, got), r.At
 		return false
 	}
 	err := l.Each(func(r *Record, names []string) bool {
 		if isAction(r.Kind) {
-			want := action{kind: r.Kind, txn: r.Txn, worker: names[r.Worker], number: r.Number, token: r.Token, span: r.Span, text: r.Text + string(r.Body)}
-			if next >= len(p.actions) || p.actions[next] != want {
-				return differ(r, want.String())
+			recorded := action{kind: r.Kind, txn: r.Txn, worker: names[r.Worker], number: r.Number, token: r.Token, span: r.Span, text: r.Text + string(r.Body)}
+			if next >= len(sink.actions) || sink.actions[next] != recorded {
+				return reportDifference(r, recorded.String())
 			}
 			next++
-			out.Actions++
+			res.Actions++
 			return true
 		}
 		switch r.Kind {
 		case tracepb.Kind_WORKER, tracepb.Kind_END, tracepb.Kind_LEFT_OUT, tracepb.Kind_STANDING:
 			return true
 		case tracepb.Kind_GAP:
-			fault = ErrGap
+			replayErr = ErrGap
 			return false
 		}
-		if next < len(p.actions) {
-			return differ(r, "the event "+r.Kind.String())
+		if next < len(sink.actions) {
+			return reportDifference(r, "the event "+r.Kind.String())
 		}
-		p.actions, next = p.actions[:0], 0
+		sink.actions, next = sink.actions[:0], 0
 		now := logic.Nanos(r.At)
-		if s == nil && r.Kind != tracepb.Kind_START {
-			fault = ErrNoStart
+		if sentry == nil && r.Kind != tracepb.Kind_START {
+			replayErr = ErrNoStart
 			return false
 		}
-		out.Events++
-		if fault = out.applyEvent(&s, now, r, names, settings, p); fault != nil {
+		res.Events++
+		if replayErr = res.applyEvent(&sentry, now, r, names, settings, sink); replayErr != nil {
 			return false
 		}
 		return true
 	}, nil)
 	if err == nil {
-		err = fault
+		err = replayErr
 	}
-	return out, err
+	return res, err
 }
 
-// applyEvent hands one recorded applyEvent to the module.
-func (out *Replayed) applyEvent(s **logic.Sentry, now logic.Nanos, r *Record, names []string, settings map[string]any, p *actionCollector) error {
+// applyEvent passes a recorded event to the decision module; a START creates the module.
+func (res *Replayed) applyEvent(sentry **logic.Sentry, now logic.Nanos, r *Record, names []string, settings map[string]any, sink *actionCollector) error {
 	switch r.Kind {
 	case tracepb.Kind_START:
-		*s = logic.New(now, int64(r.Token), settings, p)
+		*sentry = logic.New(now, int64(r.Token), settings, sink)
 	case tracepb.Kind_LIST:
-		var l tracepb.List
-		if err := proto.Unmarshal(r.Body, &l); err != nil {
-			return fmt.Errorf("%w: a list: %w", ErrDamaged, err)
+		var list tracepb.List
+		if err := proto.Unmarshal(r.Body, &list); err != nil {
+			return fmt.Errorf("%w: worker list: %w", ErrDamaged, err)
 		}
-		var list []logic.Worker
-		for _, w := range l.Workers {
-			list = append(list, logic.Worker{ID: logic.WorkerID(w.Id), Zone: logic.ZoneID(w.Zone), Kind: logic.KindID(w.Kind), Cell: int(w.Cell),
+		var workers []logic.Worker
+		for _, w := range list.Workers {
+			workers = append(workers, logic.Worker{ID: logic.WorkerID(w.Id), Zone: logic.ZoneID(w.Zone), Kind: logic.KindID(w.Kind), Cell: int(w.Cell),
 				State: logic.State(w.State), Weight: w.Weight, Rel: logic.RelID(w.Build), Start: logic.Nanos(w.Start)})
 		}
-		(*s).UpdateWorkers(now, logic.ListMode(r.Number), list)
+		(*sentry).UpdateWorkers(now, logic.ListMode(r.Number), workers)
 	case tracepb.Kind_TAKE:
-		out.Txns++
-		(*s).Take(now, logic.Txn{ID: logic.TxnID(r.Txn), Product: logic.ProductID(r.Product), Customer: logic.CustomerID(r.Customer),
+		res.Txns++
+		(*sentry).Take(now, logic.Txn{ID: logic.TxnID(r.Txn), Product: logic.ProductID(r.Product), Customer: logic.CustomerID(r.Customer),
 			Key: logic.KeyID(r.Key), Cost: logic.Nanos(r.Cost), Repeat: r.Repeat, Expiry: now + logic.Nanos(r.Patience)})
 	case tracepb.Kind_OUTCOME:
-		o := logic.Outcome{Txn: logic.TxnID(r.Txn), Number: int(r.Number), Ending: logic.Ending(r.Ending), Elapsed: logic.Nanos(r.Elapsed), Final: r.Over}
+		outcome := logic.Outcome{Txn: logic.TxnID(r.Txn), Number: int(r.Number), Ending: logic.Ending(r.Ending), Elapsed: logic.Nanos(r.Elapsed), Final: r.Over}
 		if r.Loaded {
-			o.Load = &logic.Load{Util: r.Util, Queue: r.Queue, Busy: r.Busy}
+			outcome.Load = &logic.Load{Util: r.Util, Queue: r.Queue, Busy: r.Busy}
 		}
-		(*s).Outcome(now, o)
+		(*sentry).Outcome(now, outcome)
 	case tracepb.Kind_LEFT:
-		(*s).ClientLeft(now, logic.TxnID(r.Txn))
+		(*sentry).ClientLeft(now, logic.TxnID(r.Txn))
 	case tracepb.Kind_STREAMING:
-		(*s).StreamStarted(now, logic.TxnID(r.Txn), int(r.Number))
+		(*sentry).StreamStarted(now, logic.TxnID(r.Txn), int(r.Number))
 	case tracepb.Kind_TIMER:
-		(*s).TimerFired(now, r.Token)
+		(*sentry).TimerFired(now, r.Token)
 	case tracepb.Kind_NEWS:
-		var n tracepb.News
-		if err := proto.Unmarshal(r.Body, &n); err != nil {
-			return fmt.Errorf("%w: news: %w", ErrDamaged, err)
+		var update tracepb.News
+		if err := proto.Unmarshal(r.Body, &update); err != nil {
+			return fmt.Errorf("%w: release update: %w", ErrDamaged, err)
 		}
-		(*s).ReleaseUpdate(now, logic.ReleaseUpdate{Stage: int(n.Stage), VoteReply: n.Answer, Rel: logic.RelID(n.Build), Cap: n.Cap, Phase: logic.Phase(n.Phase),
-			Age: logic.Nanos(n.Age), Ending: logic.Ending(n.Ending)})
+		(*sentry).ReleaseUpdate(now, logic.ReleaseUpdate{Stage: int(update.Stage), VoteReply: update.Answer, Rel: logic.RelID(update.Build), Cap: update.Cap,
+			Phase: logic.Phase(update.Phase), Age: logic.Nanos(update.Age), Ending: logic.Ending(update.Ending)})
 	case tracepb.Kind_TALLY:
-		var t tracepb.Tally
-		if err := proto.Unmarshal(r.Body, &t); err != nil {
-			return fmt.Errorf("%w: a tally: %w", ErrDamaged, err)
+		var tally tracepb.Tally
+		if err := proto.Unmarshal(r.Body, &tally); err != nil {
+			return fmt.Errorf("%w: tally: %w", ErrDamaged, err)
 		}
-		(*s).Tally(now, logic.Tally{Rel: logic.RelID(t.Build), Product: logic.ProductID(t.Product), Many: int(t.Many), Bad: int(t.Bad),
-			Mean: logic.Nanos(t.Mean)})
+		(*sentry).Tally(now, logic.Tally{Rel: logic.RelID(tally.Build), Product: logic.ProductID(tally.Product), Many: int(tally.Many),
+			Bad: int(tally.Bad), Mean: logic.Nanos(tally.Mean)})
 	case tracepb.Kind_CONTESTED:
-		(*s).Contested(now, logic.ProductID(r.Product), logic.WorkerID(names[r.Worker]), logic.Nanos(r.Span))
+		(*sentry).Contested(now, logic.ProductID(r.Product), logic.WorkerID(names[r.Worker]), logic.Nanos(r.Span))
 	case tracepb.Kind_TOLD:
-		(*s).PeerMessage(now, int(r.Number), append([]byte(nil), r.Body...))
+		(*sentry).PeerMessage(now, int(r.Number), append([]byte(nil), r.Body...))
 	default:
-		return fmt.Errorf("trace: a record of kind %d, which this program does not know", r.Kind)
+		return fmt.Errorf("trace: unknown record kind %d", r.Kind)
 	}
 	return nil
 }
--- a/trace/whatif.go
+++ b/trace/whatif.go
@@ -8,124 +8,133 @@
 	"dunegrade/trace/tracepb"
 )
 
-// WhatIfResult is what other settings would have decided on the same events.
+// WhatIfResult compares the decisions under other settings with those under the recorded settings, on the same events.
 type WhatIfResult struct {
 	Txns     int
-	Differ   int               // txns that were sent, declined or voided otherwise
-	Sums     map[string][2]int // actions by kind: recorded, and under the other settings
-	Examples []string          // the first of the txns that differ, by name
-	First    int64             // the sentry's clock at the first action that differs; 0: none does
+	Differ   int               // txns with another number of submissions, or declined or voided under one of the two only
+	Sums     map[string][2]int // actions by kind: under the recorded settings, and under the other ones
+	Examples []string          // names of the first txns that differ, with both decisions
+	First    int64             // sentry clock at the first action that differs; 0: none does
 }
 
-// txnDecision is what was decided on a txn, without by whom: workers are picked by chance, which goes its own way once
-// anything differs.
+const (
+	// maxExamples limits WhatIfResult.Examples.
+	maxExamples = 10
+
+	// maxSerial ends the search for txns in the order of their serials.
+	maxSerial = 1 << 40
+)
+
+// txnDecision is what was decided on a txn, without the workers chosen: these are picked at random, and the random
+// sequence is used differently after the first difference.
 type txnDecision struct {
 	submissions      int
 	declined, voided bool
 }
 
-// WhatIf runs the decisions on a life's events under other settings. The events stay as they were: what a submission
-// that was never made would have come to, nobody knows. So it is an answer for what hangs on limits and rules, and the less
-// the further the two ways have parted.
+// WhatIf runs the decision module on the recorded events of a run under other settings. The events are those recorded, as
+// the outcome of a submission that was never made is unknown. So the result is meaningful for limits and rules, and the
+// less so the more the decisions have diverged.
 func WhatIf(l *Life, settings map[string]any) (*WhatIfResult, error) {
 	if l.Headers[0].Level != 0 {
 		return nil, ErrSampled
 	}
-	out := &WhatIfResult{Sums: map[string][2]int{}}
-	run := func(settings map[string]any) (map[uint64]txnDecision, map[string]int, error) {
-		fates, sums, serials := map[uint64]txnDecision{}, map[string]int{}, map[uint64]uint64{}
-		p, r := &actionCollector{}, &Replayed{}
-		var s *logic.Sentry
-		var fault error
-		err := l.Each(func(x *Record, names []string) bool {
+	res := &WhatIfResult{Sums: map[string][2]int{}}
+	decide := func(settings map[string]any) (map[uint64]txnDecision, map[string]int, error) {
+		decisions, counts, serials := map[uint64]txnDecision{}, map[string]int{}, map[uint64]uint64{}
+		sink, replayed := &actionCollector{}, &Replayed{}
+		var sentry *logic.Sentry
+		var replayErr error
+		err := l.Each(func(r *Record, names []string) bool {
 			switch {
-			case isAction(x.Kind), x.Kind == tracepb.Kind_WORKER, x.Kind == tracepb.Kind_END, x.Kind == tracepb.Kind_STANDING:
+			case isAction(r.Kind), r.Kind == tracepb.Kind_WORKER, r.Kind == tracepb.Kind_END, r.Kind == tracepb.Kind_STANDING:
 				return true
-			case x.Kind == tracepb.Kind_GAP:
-				fault = ErrGap
+			case r.Kind == tracepb.Kind_GAP:
+				replayErr = ErrGap
 				return false
-			case s == nil && x.Kind != tracepb.Kind_START:
-				fault = ErrNoStart
+			case sentry == nil && r.Kind != tracepb.Kind_START:
+				replayErr = ErrNoStart
 				return false
-			case x.Kind == tracepb.Kind_TAKE:
-				serials[x.Txn] = x.Serial
+			case r.Kind == tracepb.Kind_TAKE:
+				serials[r.Txn] = r.Serial
 			}
-			p.actions = p.actions[:0]
-			if fault = r.applyEvent(&s, logic.Nanos(x.At), x, names, settings, p); fault != nil {
+			sink.actions = sink.actions[:0]
+			if replayErr = replayed.applyEvent(&sentry, logic.Nanos(r.At), r, names, settings, sink); replayErr != nil {
 				return false
 			}
-			for _, a := range p.actions {
-				sums[a.kind.String()]++
+			for _, a := range sink.actions {
+				counts[a.kind.String()]++
 				if a.txn == 0 {
 					continue
 				}
-				f := fates[serials[a.txn]]
+				d := decisions[serials[a.txn]]
 				switch a.kind {
 				case tracepb.Kind_SUBMIT:
-					f.submissions++
+					d.submissions++
 				case tracepb.Kind_DECLINE:
-					f.declined = true
+					d.declined = true
 				case tracepb.Kind_VOID:
-					f.voided = true
+					d.voided = true
 				}
-				fates[serials[a.txn]] = f
+				decisions[serials[a.txn]] = d
 			}
 			return true
 		}, nil)
 		if err == nil {
-			err = fault
+			err = replayErr
 		}
-		return fates, sums, err
+		return decisions, counts, err
 	}
-	was := map[string]any{}
-	if err := json.Unmarshal(l.Headers[0].Settings, &was); err != nil {
-		return nil, fmt.Errorf("trace: the header's settings: %w", err)
+	recordedSettings := map[string]any{}
+	if err := json.Unmarshal(l.Headers[0].Settings, &recordedSettings); err != nil {
+		return nil, fmt.Errorf("trace: decoding the header's settings: %w", err)
 	}
-	before, sumsBefore, err := run(was)
+	before, countsBefore, err := decide(recordedSettings)
 	if err != nil {
 		return nil, err
 	}
-	after, sumsAfter, err := run(settings)
+	after, countsAfter, err := decide(settings)
 	if err != nil {
 		return nil, err
 	}
-	out.Txns = len(before)
+	res.Txns = len(before)
 	for kind := range tracepb.Kind_value {
-		if sumsBefore[kind]+sumsAfter[kind] > 0 {
-			out.Sums[kind] = [2]int{sumsBefore[kind], sumsAfter[kind]}
+		if countsBefore[kind]+countsAfter[kind] > 0 {
+			res.Sums[kind] = [2]int{countsBefore[kind], countsAfter[kind]}
 		}
 	}
 	for serial := uint64(1); len(before) > 0; serial++ {
-		f, known := before[serial]
+		d, known := before[serial]
 		if !known {
-			if serial > 1<<40 {
+			if serial > maxSerial {
 				break
 			}
 			continue
 		}
 		delete(before, serial)
-		if after[serial] != f {
-			if out.Differ++; len(out.Examples) < 10 {
-				out.Examples = append(out.Examples, fmt.Sprintf("s%d-%d: %v, now %v", l.Sentry, serial, f, after[serial]))
+		if after[serial] != d {
+			if res.Differ++; len(res.Examples) < maxExamples {
+				res.Examples = append(res.Examples, fmt.Sprintf("s%d-%d: %v, now %v", l.Sentry, serial, d, after[serial]))
 			}
 		}
 	}
-	r, err := replay(l, settings)
+	replayed, err := replay(l, settings)
 	if err != nil {
 		return nil, err
 	}
-	if r.Differs != "" {
-		out.First = r.At
+	if replayed.Differs != "" {
+		res.First = replayed.At
 	}
-	return out, nil
+	return res, nil
 }
 
-func (f txnDecision) String() string {
-	s := fmt.Sprintf("%d sent", f.submissions)
-	if f.declined {
+// String describes the decision in the examples of a WhatIfResult.
+func (d txnDecision) String() string {
+	s := fmt.Sprintf("%d sent", d.submissions)
+	if d.declined {
 		s += ", declined"
 	}
-	if f.voided {
+	if d.voided {
 		s += ", voided"
 	}
 	return s
