--- a/trace/tail.go
+++ b/trace/tail.go
@@ -169,7 +169,8 @@
 	}
 	h := &tracepb.Header{}
 	n := binary.LittleEndian.Uint32(data[tailLengthOffset:])
-	if !bytes.Equal(data[:tailLengthOffset], tailMarker[:]) || n > tailHeaderBytes-tailMessageOffset || proto.Unmarshal(data[tailMessageOffset:tailMessageOffset+n], h) != nil {
+	if !bytes.Equal(data[:tailLengthOffset], tailMarker[:]) || n > tailHeaderBytes-tailMessageOffset ||
+		proto.Unmarshal(data[tailMessageOffset:tailMessageOffset+n], h) != nil {
 		return nil, running, fmt.Errorf("%s: %w", path, ErrNoTrace)
 	}
 	type usedSlot struct {
--- a/trace/tail_test.go
+++ b/trace/tail_test.go
@@ -23,86 +23,86 @@
 	"dunegrade/trace/tracepb"
 )
 
-// TestMain plays a sentry that is killed, where the test binary is started as one.
+// TestMain runs the process that TestKilledAtFullSpeed kills if the environment asks for it, and the tests otherwise.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("TRACE_KILLED"); dir != "" {
-		rec, err := NewTailed(Disk(dir), filepath.Dir(dir), testRetention, &tracepb.Header{Edge: "e", Life: 77, Products: []string{"ask", "pay"}, Wall: began, Start: 1e12},
-			testSettings, zap.NewNop())
+		rec, err := NewTailed(Disk(dir), filepath.Dir(dir), testRetention, &tracepb.Header{Edge: "e", Life: 77, Products: []string{"ask", "pay"}, Wall: began,
+			Start: 1e12}, testSettings, zap.NewNop())
 		if err != nil {
 			os.Exit(3)
 		}
 		go recordForever(rec)
-		time.Sleep(time.Minute) // killed before that
+		time.Sleep(time.Minute) // the test kills the process before that
 		os.Exit(4)
 	}
 	os.Exit(m.Run())
 }
 
-// recordForever records txns and says on the standard output, by itself, how many are in the recorder's hands.
+// recordForever records txns and writes the serial of each to the standard output once the recorder has it.
 func recordForever(rec *Recorder) {
 	now := logic.Nanos(1e12)
 	rec.Start(now, 1)
 	for i := uint64(1); ; i++ {
 		now += 1000 * logic.Nanos(i%7)
-		x := logic.Txn{ID: logic.TxnID(i), Key: logic.KeyID(i | 1), Expiry: now + logic.Second}
+		txn := logic.Txn{ID: logic.TxnID(i), Key: logic.KeyID(i | 1), Expiry: now + logic.Second}
 		for rec.freeBuffers() <= reservedBuffers {
-			time.Sleep(time.Millisecond) // the writer is behind
+			time.Sleep(time.Millisecond) // the writer lags behind
 		}
-		rec.Take(now, &x, i, 0, 0)
+		rec.Take(now, &txn, i, 0, 0)
 		rec.Settle()
 		os.Stdout.Write(binary.LittleEndian.AppendUint64(nil, i))
 	}
 }
 
-// A process is killed at full speed: every txn that it had handed to the recorder is found, by a reader beside the tail and
-// after the next start of an edge in the same folder.
+// A process killed while recording at full speed must lose no txn that it passed to the recorder: all of them are found by
+// a reader of the tail file, and again after the next edge on the same directory has recovered it.
 func TestKilledAtFullSpeed(t *testing.T) {
 	for try := 0; try < 3; try++ {
 		parent := t.TempDir()
 		dir := filepath.Join(parent, "trace")
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "TRACE_KILLED="+dir)
-		out, err := cmd.StdoutPipe()
+		stdout, err := cmd.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		var said bytes.Buffer
+		var output bytes.Buffer
 		var group sync.WaitGroup
-		enough := make(chan struct{})
+		enoughTxns := make(chan struct{})
 		group.Go(func() {
-			io.CopyN(&said, out, int64(8*(3000+try*20000)))
-			close(enough)
-			io.Copy(&said, out)
+			io.CopyN(&output, stdout, int64(8*(3000+try*20000)))
+			close(enoughTxns)
+			io.Copy(&output, stdout)
 		})
-		<-enough
+		<-enoughTxns
 		cmd.Process.Kill()
 		group.Wait()
 		cmd.Wait()
-		n := uint64(said.Len() / 8)
-		if n == 0 {
-			t.Fatal("the process recorded nothing")
+		acknowledged := uint64(output.Len() / 8)
+		if acknowledged == 0 {
+			t.Fatal("the process recorded no txn")
 		}
-		was := TailDir
+		defaultDir := TailDir
 		TailDir = parent
-		count := func() (serials []uint64) {
+		readSerials := func() (serials []uint64) {
 			var paths []string
 			if found, _ := filepath.Glob(filepath.Join(dir, "*"+Suffix)); len(found) == 0 {
-				paths, _ = filepath.Glob(filepath.Join(parent, "*"+TailSuffix)) // no segment was begun: the tail has it all
+				paths, _ = filepath.Glob(filepath.Join(parent, "*"+TailSuffix)) // no segment was begun: all records are in the tail file
 			} else {
 				paths = []string{dir}
 			}
-			lives, err := Lives(paths)
+			runs, err := Lives(paths)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, l := range lives {
-				if l.ID != 77 {
+			for _, run := range runs {
+				if run.ID != 77 {
 					continue
 				}
-				err = l.Each(func(r *Record, _ []string) bool {
+				err = run.Each(func(r *Record, _ []string) bool {
 					if r.Kind == tracepb.Kind_TAKE {
 						serials = append(serials, r.Serial)
 					}
@@ -114,147 +114,149 @@
 			}
 			return serials
 		}
-		before := count()
-		if uint64(len(before)) < n || before[len(before)-1] != uint64(len(before)) {
-			t.Errorf("%d txns were handed over, %d are found", n, len(before))
+		before := readSerials()
+		if uint64(len(before)) < acknowledged || before[len(before)-1] != uint64(len(before)) {
+			t.Errorf("%d txns were recorded, %d are found", acknowledged, len(before))
 		}
 		rec, err := NewTailed(Disk(dir), parent, testRetention, &tracepb.Header{Edge: "e", Life: 78}, testSettings, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
 		rec.Close(1e12)
-		if left, _ := filepath.Glob(filepath.Join(parent, "*"+TailSuffix)); len(left) > 0 {
-			t.Errorf("tails are left: %v", left)
+		if remaining, _ := filepath.Glob(filepath.Join(parent, "*"+TailSuffix)); len(remaining) > 0 {
+			t.Errorf("tail files remain: %v", remaining)
 		}
-		if after := count(); !reflect.DeepEqual(before, after) {
-			t.Errorf("%d txns before the next start, %d after it", len(before), len(after))
+		if after := readSerials(); !reflect.DeepEqual(before, after) {
+			t.Errorf("%d txns found before the next start, %d after it", len(before), len(after))
 		}
-		TailDir = was
+		TailDir = defaultDir
 	}
 }
 
-// Danger: the lock of a process that was killed outlives it for a moment, and its last second would not be found by the
-// start that follows at once. A sentry waits for its own life before, and for nobody else's.
+// The lock of a killed process outlives it for a moment. A sentry restarted at once must wait for the lock of its previous
+// run, or that run's last second of records would not be recovered; it must not wait for those of other sentries or edges.
 func TestLockThatOutlivesItsProcess(t *testing.T) {
-	for _, c := range []struct {
-		name    string
-		edge    string
-		sentry  uint32
-		rescued bool
-	}{{"its own life before", "e", 3, true}, {"another sentry", "e", 4, false}, {"another edge", "f", 3, false}} {
-		t.Run(c.name, func(t *testing.T) {
+	for _, tc := range []struct {
+		name      string
+		edge      string
+		sentry    uint32
+		recovered bool
+	}{{"its own previous run", "e", 3, true}, {"another sentry", "e", 4, false}, {"another edge", "f", 3, false}} {
+		t.Run(tc.name, func(t *testing.T) {
 			defer goleak.VerifyNone(t)
 			parent := t.TempDir()
 			dir := filepath.Join(parent, "trace")
-			first, err := NewTailed(Disk(dir), parent, testRetention, &tracepb.Header{Edge: c.edge, Sentry: c.sentry, Life: 77}, testSettings, zap.NewNop())
+			first, err := NewTailed(Disk(dir), parent, testRetention, &tracepb.Header{Edge: tc.edge, Sentry: tc.sentry, Life: 77}, testSettings, zap.NewNop())
 			if err != nil {
 				t.Fatal(err)
 			}
 			first.Start(1e9, 1)
 			first.Take(2e9, &logic.Txn{ID: 1, Key: 5, Expiry: 3e9}, 1, 0, 0)
 			path := tailPath(parent, 77)
-			left, err := os.ReadFile(path)
+			tail, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			first.Close(4e9) // it goes with its tail; what a kill would have left is put back, and locked as the dead hold it
+			// Close removes the tail file. The state after a kill is restored: the file, locked as if by the killed process, and
+			// no segments.
+			first.Close(4e9)
 			os.RemoveAll(dir)
-			if err := os.WriteFile(path, left, 0o600); err != nil {
+			if err := os.WriteFile(path, tail, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			held, err := os.Open(path)
+			locked, err := os.Open(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := unix.Flock(int(held.Fd()), unix.LOCK_EX); err != nil {
+			if err := unix.Flock(int(locked.Fd()), unix.LOCK_EX); err != nil {
 				t.Fatal(err)
 			}
-			closing := time.AfterFunc(60*time.Millisecond, func() { held.Close() })
+			unlockTimer := time.AfterFunc(60*time.Millisecond, func() { locked.Close() })
 			rec, err := NewTailed(Disk(dir), parent, testRetention, &tracepb.Header{Edge: "e", Sentry: 3, Life: 78}, testSettings, zap.NewNop())
 			if err != nil {
 				t.Fatal(err)
 			}
 			rec.Close(5e9)
-			closing.Stop()
-			held.Close()
-			if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) != c.rescued {
-				t.Errorf("the tail: %v, wanted it gone: %t", err, c.rescued)
+			unlockTimer.Stop()
+			locked.Close()
+			if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) != tc.recovered {
+				t.Errorf("tail file: %v, want it removed: %t", err, tc.recovered)
 			}
-			found, err := filepath.Glob(filepath.Join(dir, fmt.Sprintf("*%016x*", 77)))
-			if err != nil || (len(found) > 0) != c.rescued {
-				t.Errorf("segments %v, %v, wanted some: %t", found, err, c.rescued)
+			segments, err := filepath.Glob(filepath.Join(dir, fmt.Sprintf("*%016x*", 77)))
+			if err != nil || (len(segments) > 0) != tc.recovered {
+				t.Errorf("segments %v, %v, want some: %t", segments, err, tc.recovered)
 			}
 		})
 	}
 }
 
-// What one process records is not touched by the start of another beside it, and can be read while it lives.
+// The tail file of a running process must survive the start of another process, and be readable while its owner runs.
 func TestTailOfALivingProcess(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	parent := t.TempDir()
-	was := TailDir
+	defaultDir := TailDir
 	TailDir = parent
-	defer func() { TailDir = was }()
+	defer func() { TailDir = defaultDir }()
 	dir := filepath.Join(parent, "trace")
-	h := func(life uint64) *tracepb.Header {
-		return &tracepb.Header{Edge: "e", Life: life, Products: []string{"ask", "pay"}}
+	header := func(runID uint64) *tracepb.Header {
+		return &tracepb.Header{Edge: "e", Life: runID, Products: []string{"ask", "pay"}}
 	}
-	first, err := NewTailed(Disk(dir), parent, testRetention, h(1), testSettings, zap.NewNop())
+	first, err := NewTailed(Disk(dir), parent, testRetention, header(1), testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := logic.Txn{ID: 1, Key: 5, Expiry: 2e9}
+	txn := logic.Txn{ID: 1, Key: 5, Expiry: 2e9}
 	first.Start(1e9, 1)
-	first.Take(1e9, &x, 1, 0, 0)
+	first.Take(1e9, &txn, 1, 0, 0)
 	first.Settle()
-	second, err := NewTailed(Disk(dir), parent, testRetention, h(2), testSettings, zap.NewNop())
+	second, err := NewTailed(Disk(dir), parent, testRetention, header(2), testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	second.Close(1e9)
-	lives, err := Lives([]string{tailPath(parent, 1)})
-	if err != nil || len(lives) != 1 {
-		t.Fatalf("%d lives in the tail, %v", len(lives), err)
+	runs, err := Lives([]string{tailPath(parent, 1)})
+	if err != nil || len(runs) != 1 {
+		t.Fatalf("%d runs in the tail file, %v", len(runs), err)
 	}
-	if found, err := Follow(lives, Query{Sentry: -1, Key: 5}, nil); err != nil || len(found) != 1 {
-		t.Errorf("%d txns in the tail, %v", len(found), err)
+	if found, err := Follow(runs, Query{Sentry: -1, Key: 5}, nil); err != nil || len(found) != 1 {
+		t.Errorf("%d txns in the tail file, %v", len(found), err)
 	}
 	first.Close(2e9)
-	if lives, err = Lives([]string{dir}); err != nil || len(lives) != 2 {
-		t.Errorf("%d lives, %v", len(lives), err)
+	if runs, err = Lives([]string{dir}); err != nil || len(runs) != 2 {
+		t.Errorf("%d runs, %v", len(runs), err)
 	}
 }
 
-// Anything may stand where tails are: it is passed over, and neither read at length nor removed.
+// A malformed file among the tail files must be rejected without large allocations, and neither be recovered nor removed.
 func TestMalformedTailFiles(t *testing.T) {
-	whole := make([]byte, tailHeaderBytes+bufferCount*slotBytes)
-	copy(whole, tailMarker[:])
-	slot := append([]byte(nil), whole...)
-	binary.LittleEndian.PutUint64(slot[tailHeaderBytes:], 1)
-	binary.LittleEndian.PutUint64(slot[tailHeaderBytes+16:], 1<<62)
-	broken := append([]byte(nil), whole...)
-	binary.LittleEndian.PutUint64(broken[tailHeaderBytes:], 1)
-	binary.LittleEndian.PutUint64(broken[tailHeaderBytes+16:], 100)
+	empty := make([]byte, tailHeaderBytes+bufferCount*slotBytes)
+	copy(empty, tailMarker[:])
+	hugeSlot := append([]byte(nil), empty...)
+	binary.LittleEndian.PutUint64(hugeSlot[tailHeaderBytes:], 1)
+	binary.LittleEndian.PutUint64(hugeSlot[tailHeaderBytes+16:], 1<<62)
+	badRecords := append([]byte(nil), empty...)
+	binary.LittleEndian.PutUint64(badRecords[tailHeaderBytes:], 1)
+	binary.LittleEndian.PutUint64(badRecords[tailHeaderBytes+16:], 100)
 	for i := range 100 {
-		broken[tailHeaderBytes+slotHeaderBytes+i] = 0xff
+		badRecords[tailHeaderBytes+slotHeaderBytes+i] = 0xff
 	}
-	huge := append([]byte(nil), whole...)
-	binary.LittleEndian.PutUint32(huge[8:], 1<<31)
-	for _, c := range []struct {
+	hugeHeader := append([]byte(nil), empty...)
+	binary.LittleEndian.PutUint32(hugeHeader[8:], 1<<31)
+	for _, tc := range []struct {
 		name string
 		data []byte
 		want error
-	}{{"empty", nil, ErrDamaged}, {"text", []byte(strings.Repeat("x", 5000)), ErrDamaged}, {"a slot that claims to be huge", slot, nil},
-		{"records that are none", broken, ErrRecord}, {"a header that claims to be huge", huge, ErrNoTrace}} {
-		t.Run(c.name, func(t *testing.T) {
+	}{{"empty", nil, ErrDamaged}, {"text", []byte(strings.Repeat("x", 5000)), ErrDamaged}, {"huge size of a slot", hugeSlot, nil},
+		{"malformed records", badRecords, ErrRecord}, {"huge size of the header", hugeHeader, ErrNoTrace}} {
+		t.Run(tc.name, func(t *testing.T) {
 			dir := t.TempDir()
 			path := tailPath(dir, 5)
-			if err := os.WriteFile(path, c.data, 0o600); err != nil {
+			if err := os.WriteFile(path, tc.data, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			f, alive, err := readTail(path)
-			if !errors.Is(err, c.want) || alive {
-				t.Errorf("it reads as %v, %v", f, err)
+			f, running, err := readTail(path)
+			if !errors.Is(err, tc.want) || running {
+				t.Errorf("got %v, %v", f, err)
 			}
 			rec, err := NewTailed(Disk(filepath.Join(dir, "trace")), dir, testRetention, &tracepb.Header{Edge: "e", Life: 6}, testSettings, zap.NewNop())
 			if err != nil {
@@ -262,7 +264,7 @@
 			}
 			rec.Close(1e9)
 			if _, err := os.Stat(path); err != nil {
-				t.Errorf("it was removed: %v", err)
+				t.Errorf("the file was removed: %v", err)
 			}
 		})
 	}
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -22,13 +22,13 @@
 	"dunegrade/trace/tracepb"
 )
 
-// memoryDir is a folder in memoryDir, whose writes fail or stall as a test wants.
+// memoryDir is a Directory in memory whose writes fail or stall on demand.
 type memoryDir struct {
-	mu       sync.Mutex
-	files    map[string]*bytes.Buffer
-	writeErr error
-	capacity int // bytes until the disk is full; 0: endless
-	gate     chan struct{}
+	mu        sync.Mutex
+	files     map[string]*bytes.Buffer
+	writeErr  error         // returned by Create and Write, if set
+	capacity  int           // bytes per file until the disk is full; 0: unlimited
+	writeGate chan struct{} // writes block until it is closed; nil: they do not
 }
 
 func newMemoryDir() *memoryDir { return &memoryDir{files: map[string]*bytes.Buffer{}} }
@@ -39,8 +39,8 @@
 }
 
 func (f memoryFile) Write(b []byte) (int, error) {
-	if f.dir.gate != nil {
-		<-f.dir.gate
+	if f.dir.writeGate != nil {
+		<-f.dir.writeGate
 	}
 	f.dir.mu.Lock()
 	defer f.dir.mu.Unlock()
@@ -55,9 +55,9 @@
 	return f.dir.files[f.name].Write(b)
 }
 func (f memoryFile) Close() error { return nil }
-func (m *memoryDir) setWriteErr(fail error) {
+func (m *memoryDir) setWriteErr(err error) {
 	m.mu.Lock()
-	m.writeErr = fail
+	m.writeErr = err
 	m.mu.Unlock()
 }
 func (m *memoryDir) Create(name string) (io.WriteCloser, error) {
@@ -80,15 +80,16 @@
 	"release.votes": "single", "release.caps.0": 0.1, "release.free": 3.0, "release.window": 4e9, "release.bake": 1e9,
 	"rules.cold": 3e9, "rules.cold-from": 0.3, "rules.fall-multiple": 2.0, "rules.fall-after": 1e9}
 
-// recordedSentry is a sentry that is recorded as the edge does it; its workers answer by chance.
+// recordedSentry is the Sink of a sentry that is recorded as the edge records it. The test answers its submissions with
+// random outcomes.
 type recordedSentry struct {
-	*actionCollector // keeps nothing here
+	*actionCollector // for the methods of logic.Sink that are not overridden
 	rec              *Recorder
 	now              logic.Nanos
 	submissions      []action
 	timers           []logic.Nanos
 	tokens           []uint64
-	recorded         map[logic.TxnID]bool
+	recorded         map[logic.TxnID]bool // txns in progress that are recorded
 }
 
 func (h *recordedSentry) Submit(t logic.TxnID, w logic.WorkerID, to logic.Nanos) {
@@ -116,69 +117,69 @@
 	h.timers, h.tokens = append(h.timers, h.now+after), append(h.tokens, token)
 }
 
-// recordTxns records n txns of a sentry with a build on trial that fails, and gives how many were recorded.
-// pace waits for the writer, as txns come faster here than any edge takes them.
+// recordTxns records n txns of a sentry with a failing build on trial and returns the number of txns recorded. With pace it
+// waits for the writer, as txns arrive faster here than at any edge.
 func recordTxns(t *testing.T, rec *Recorder, n int, pace bool) int {
 	rng := rand.New(rand.NewSource(5))
-	h := &recordedSentry{actionCollector: &actionCollector{}, rec: rec, now: 1e12, recorded: map[logic.TxnID]bool{}}
-	rec.Start(h.now, 99)
-	s := logic.New(h.now, 99, testSettings, h)
+	sink := &recordedSentry{actionCollector: &actionCollector{}, rec: rec, now: 1e12, recorded: map[logic.TxnID]bool{}}
+	rec.Start(sink.now, 99)
+	sentry := logic.New(sink.now, 99, testSettings, sink)
 	var list []logic.Worker
 	for i := 0; i < 8; i++ {
 		list = append(list, logic.Worker{ID: logic.WorkerID(fmt.Sprintf("w%d", i)), Rel: logic.RelID(1 + i/6), Weight: 1})
 	}
-	rec.List(h.now, logic.Whole, list)
-	s.UpdateWorkers(h.now, logic.Whole, list)
-	news := logic.ReleaseUpdate{Rel: 2, Cap: 0.3, Phase: logic.OnTrial}
-	rec.News(h.now, news)
-	s.ReleaseUpdate(h.now, news)
-	count := 0
+	rec.List(sink.now, logic.Whole, list)
+	sentry.UpdateWorkers(sink.now, logic.Whole, list)
+	update := logic.ReleaseUpdate{Rel: 2, Cap: 0.3, Phase: logic.OnTrial}
+	rec.News(sink.now, update)
+	sentry.ReleaseUpdate(sink.now, update)
+	recorded := 0
 	for i := 1; i <= n; i++ {
-		h.now += logic.Nanos(rng.Int63n(int64(10 * logic.Millisecond)))
-		for k := 0; k < len(h.timers); k++ {
-			if h.timers[k] <= h.now {
-				token := h.tokens[k]
-				h.timers, h.tokens = append(h.timers[:k], h.timers[k+1:]...), append(h.tokens[:k], h.tokens[k+1:]...)
-				k--
-				rec.Event(h.now, tracepb.Kind_TIMER, 0, 0, token, 0)
-				s.TimerFired(h.now, token)
+		sink.now += logic.Nanos(rng.Int63n(int64(10 * logic.Millisecond)))
+		for j := 0; j < len(sink.timers); j++ {
+			if sink.timers[j] <= sink.now {
+				token := sink.tokens[j]
+				sink.timers, sink.tokens = append(sink.timers[:j], sink.timers[j+1:]...), append(sink.tokens[:j], sink.tokens[j+1:]...)
+				j--
+				rec.Event(sink.now, tracepb.Kind_TIMER, 0, 0, token, 0)
+				sentry.TimerFired(sink.now, token)
 			}
 		}
-		rec.Flush(h.now)
+		rec.Flush(sink.now)
 		for pace && rec.freeBuffers() <= reservedBuffers {
 			runtime.Gosched()
 		}
-		x := logic.Txn{ID: logic.TxnID(i), Product: logic.ProductID(rng.Intn(2)), Key: logic.KeyID(rng.Intn(50) + 1), Cost: 2e7, Expiry: h.now + logic.Second}
-		if rec.Take(h.now, &x, uint64(i), uint64(i%2)*uint64(i), uint64(i%2)*7) {
-			h.recorded[x.ID] = true
-			count++
+		txn := logic.Txn{ID: logic.TxnID(i), Product: logic.ProductID(rng.Intn(2)), Key: logic.KeyID(rng.Intn(50) + 1), Cost: 2e7, Expiry: sink.now + logic.Second}
+		if rec.Take(sink.now, &txn, uint64(i), uint64(i%2)*uint64(i), uint64(i%2)*7) {
+			sink.recorded[txn.ID] = true
+			recorded++
 		}
-		s.Take(h.now, x)
-		for tries := 0; len(h.submissions) > 0; tries++ {
-			a := h.submissions[0]
-			h.submissions = h.submissions[1:]
-			o := logic.Outcome{Txn: logic.TxnID(a.txn), Number: tries, Elapsed: logic.Nanos(rng.Int63n(int64(40 * logic.Millisecond)))}
-			if a.worker > "w5" && rng.Intn(3) == 0 {
-				o.Ending = logic.ErrorResponse
+		sentry.Take(sink.now, txn)
+		for number := 0; len(sink.submissions) > 0; number++ {
+			sub := sink.submissions[0]
+			sink.submissions = sink.submissions[1:]
+			outcome := logic.Outcome{Txn: logic.TxnID(sub.txn), Number: number, Elapsed: logic.Nanos(rng.Int63n(int64(40 * logic.Millisecond)))}
+			if sub.worker > "w5" && rng.Intn(3) == 0 {
+				outcome.Ending = logic.ErrorResponse
 			}
-			o.Final = o.Ending == logic.OK
+			outcome.Final = outcome.Ending == logic.OK
 			if rng.Intn(2) == 0 {
-				o.Load = &logic.Load{Util: rng.Float64(), Queue: 2, Busy: -1}
+				outcome.Load = &logic.Load{Util: rng.Float64(), Queue: 2, Busy: -1}
 			}
-			if h.recorded[o.Txn] {
-				rec.Outcome(h.now, &o, 200)
+			if sink.recorded[outcome.Txn] {
+				rec.Outcome(sink.now, &outcome, 200)
 			}
-			s.Outcome(h.now, o)
+			sentry.Outcome(sink.now, outcome)
 		}
-		delete(h.recorded, x.ID)
+		delete(sink.recorded, txn.ID)
 	}
-	rec.Close(h.now)
-	return count
+	rec.Close(sink.now)
+	return recorded
 }
 
-// recordRun records a life into a folder on disk and gives its segments.
-func recordRun(t *testing.T, dir string, keep Keep, n int) []string {
-	rec, err := NewRecorder(Disk(dir), keep, &tracepb.Header{Edge: "e", Sentry: 1, Life: 77, Products: []string{"ask", "pay"}}, testSettings, zap.NewNop())
+// recordRun records a run with n txns into a directory on disk and returns the paths of its segments.
+func recordRun(t *testing.T, dir string, retention Keep, n int) []string {
+	rec, err := NewRecorder(Disk(dir), retention, &tracepb.Header{Edge: "e", Sentry: 1, Life: 77, Products: []string{"ask", "pay"}}, testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -189,64 +190,71 @@
 	return paths
 }
 
+// The hand-written encoding must agree with the generated code and with Decode, also for a record whose length needs more
+// than two bytes.
 func TestRecordEncodingMatchesSchema(t *testing.T) {
 	r := Record{Kind: tracepb.Kind_OUTCOME, At: 1500, Txn: 1 << 40, Serial: 9, Number: 2, Worker: 3, Product: 1, Customer: 4, Ending: 5, Key: 77,
 		TraceID: [2]uint64{1, 2}, Cost: 6, Patience: 7, Elapsed: 8, Token: 1 << 60, Span: 10, Util: 0.5, Queue: 1.0 / 3, Busy: -1, Repeat: true,
 		Over: true, Loaded: true, Body: []byte("body"), Text: "text", Origin: 3}
-	var back Record
-	rest, err := back.Decode(append(r.Append(nil, 1000), "rest"...), 1000)
-	if err != nil || string(rest) != "rest" || !reflect.DeepEqual(r, back) {
-		t.Fatalf("got %+v, %q, %v", back, rest, err)
+	var decoded Record
+	rest, err := decoded.Decode(append(r.Append(nil, 1000), "rest"...), 1000)
+	if err != nil || string(rest) != "rest" || !reflect.DeepEqual(r, decoded) {
+		t.Fatalf("got %+v, %q, %v", decoded, rest, err)
 	}
-	var m tracepb.Record
-	if err := proto.Unmarshal(r.Append(nil, 1000)[2:], &m); err != nil {
+	var msg tracepb.Record
+	if err := proto.Unmarshal(r.Append(nil, 1000)[2:], &msg); err != nil {
 		t.Fatal(err)
 	}
-	if m.AfterNanos != 500 || m.Txn != r.Txn || m.Key != r.Key || m.UtilThousandths != 500 || !m.Over || string(m.Body) != "body" || m.TraceLow != 2 {
-		t.Errorf("by the generated code: %v", &m)
+	if msg.AfterNanos != 500 || msg.Txn != r.Txn || msg.Key != r.Key || msg.UtilThousandths != 500 || !msg.Over ||
+		string(msg.Body) != "body" || msg.TraceLow != 2 {
+		t.Errorf("decoded by the generated code: %v", &msg)
 	}
 	long := Record{Kind: tracepb.Kind_LOG, At: 1, Text: string(make([]byte, 40000))}
-	if _, err := back.Decode(long.Append([]byte("x"), 0)[1:], 0); err != nil || len(back.Text) != 40000 {
-		t.Errorf("a long record: %d bytes, %v", len(back.Text), err)
+	if _, err := decoded.Decode(long.Append([]byte("x"), 0)[1:], 0); err != nil || len(decoded.Text) != 40000 {
+		t.Errorf("long record: %d bytes, %v", len(decoded.Text), err)
 	}
 }
 
+// A replay must repeat every recorded action under the recorded settings, differ under other ones, and refuse a run whose
+// first segment is missing.
 func TestReplayMatchesAndDetectsChangedSettings(t *testing.T) {
 	recordRun(t, t.TempDir(), testRetention, 10)
 	dir := t.TempDir()
 	recordRun(t, dir, Keep{SegmentBytes: 64 << 10, SegmentAge: time.Hour, TotalBytes: 1 << 30}, 20000)
-	all, err := Lives([]string{dir})
-	if err != nil || len(all) != 1 || len(all[0].Paths) < 2 {
-		t.Fatalf("%v, %v", all, err)
+	runs, err := Lives([]string{dir})
+	if err != nil || len(runs) != 1 || len(runs[0].Paths) < 2 {
+		t.Fatalf("%v, %v", runs, err)
 	}
-	r, err := Replay(all[0])
+	r, err := Replay(runs[0])
 	if err != nil || r.Differs != "" || r.Txns != 20000 || r.Actions < 20000 {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	other := map[string]any{}
+	changed := map[string]any{}
 	for k, v := range testSettings {
-		other[k] = v
+		changed[k] = v
 	}
-	other["release.free"] = 4.0
-	r, err = replay(all[0], other)
+	changed["release.free"] = 4.0
+	r, err = replay(runs[0], changed)
 	if err != nil || r.Differs == "" {
-		t.Errorf("another setting replays as equal: %+v, %v", r, err)
+		t.Errorf("replay under another setting does not differ: %+v, %v", r, err)
 	}
-	// With fewer submissions allowed, txns that failed at the bad build are given up; with the same, nothing differs.
-	if d, err := WhatIf(all[0], testSettings); err != nil || d.Differ != 0 || d.Txns != 20000 || d.First != 0 {
-		t.Errorf("the same settings differ: %+v, %v", d, err)
+	// With fewer submissions allowed, txns that failed at the bad build are voided or declined; with the same, nothing
+	// differs.
+	if d, err := WhatIf(runs[0], testSettings); err != nil || d.Differ != 0 || d.Txns != 20000 || d.First != 0 {
+		t.Errorf("what-if under the same settings differs: %+v, %v", d, err)
 	}
-	other["release.free"], other["allow.submissions"] = 3.0, 1.0
-	if d, err := WhatIf(all[0], other); err != nil || d.Differ == 0 || d.Sums["VOID"][1]+d.Sums["DECLINE"][1] <= d.Sums["VOID"][0]+d.Sums["DECLINE"][0] {
-		t.Errorf("one submission at the most: %+v, %v", d, err)
+	changed["release.free"], changed["allow.submissions"] = 3.0, 1.0
+	if d, err := WhatIf(runs[0], changed); err != nil || d.Differ == 0 || d.Sums["VOID"][1]+d.Sums["DECLINE"][1] <= d.Sums["VOID"][0]+d.Sums["DECLINE"][0] {
+		t.Errorf("what-if with one submission: %+v, %v", d, err)
 	}
-	all[0].Paths, all[0].Headers = all[0].Paths[1:], all[0].Headers[1:]
-	if _, err := Replay(all[0]); !errors.Is(err, ErrNoStart) {
-		t.Errorf("without its first segment: %v", err)
+	runs[0].Paths, runs[0].Headers = runs[0].Paths[1:], runs[0].Headers[1:]
+	if _, err := Replay(runs[0]); !errors.Is(err, ErrNoStart) {
+		t.Errorf("replay without the first segment: %v", err)
 	}
 }
 
-// countRecords gives how many records are read, and the damages.
+// countRecords reads a file and returns the number of readable records, the time of the last one and the number of
+// damages.
 func countRecords(data []byte) (n int, last int64, damages int, err error) {
 	f, err := Open(bytes.NewReader(data), int64(len(data)))
 	if err != nil {
@@ -262,31 +270,32 @@
 	return n, last, damages, nil
 }
 
-// encodeSmallFile makes a file of a few encodeSmallFile blocks, and gives the ends of its frames.
+// encodeSmallFile encodes a file of four small blocks. It returns the end offsets of the frames before the index, and the
+// number of records up to each of them.
 func encodeSmallFile(t *testing.T) (data []byte, ends []int, records []int) {
 	enc, err := newEncoder()
 	if err != nil {
 		t.Fatal(err)
 	}
-	head, _ := headerFrame(&tracepb.Header{Version: 1, Edge: "e"})
-	data = append(data, head...)
+	header, _ := headerFrame(&tracepb.Header{Version: 1, Edge: "e"})
+	data = append(data, header...)
 	ends, records = append(ends, len(data)), append(records, 0)
 	var index tracepb.Index
-	for b := 0; b < 4; b++ {
-		var body []byte
-		at := int64(b * 1000)
+	for blockIndex := 0; blockIndex < 4; blockIndex++ {
+		var encodedRecords []byte
+		at := int64(blockIndex * 1000)
 		for i := 0; i < 20; i++ {
-			r := Record{Kind: tracepb.Kind_TAKE, At: int64(b*1000 + i), Txn: uint64(i + 1), Serial: uint64(b*20 + i + 1), Key: uint64(b + 1)}
-			body = r.Append(body, at)
+			r := Record{Kind: tracepb.Kind_TAKE, At: int64(blockIndex*1000 + i), Txn: uint64(i + 1), Serial: uint64(blockIndex*20 + i + 1), Key: uint64(blockIndex + 1)}
+			encodedRecords = r.Append(encodedRecords, at)
 			at = r.At
 		}
-		frame, info, err := enc.encodeBlock(int64(b*1000), body)
+		frame, info, err := enc.encodeBlock(int64(blockIndex*1000), encodedRecords)
 		if err != nil {
 			t.Fatal(err)
 		}
 		index.Blocks = append(index.Blocks, enc.indexEntry(uint64(len(data)), info))
 		data = append(data, frame...)
-		ends, records = append(ends, len(data)), append(records, 20*(b+1))
+		ends, records = append(ends, len(data)), append(records, 20*(blockIndex+1))
 	}
 	frame, err := indexFrame(&index)
 	if err != nil {
@@ -295,6 +304,7 @@
 	return append(data, frame...), ends, records
 }
 
+// A file truncated anywhere must yield all records of the frames that are complete.
 func TestTruncationAtEveryByte(t *testing.T) {
 	data, ends, records := encodeSmallFile(t)
 	for cut := 0; cut <= len(data); cut++ {
@@ -317,20 +327,21 @@
 	}
 }
 
+// A flipped byte must be detected by a checksum, and cost the records of its own block only. A damaged index costs none.
 func TestFlippedByteIsDetectedAndOtherBlocksRead(t *testing.T) {
 	data, ends, _ := encodeSmallFile(t)
 	for at := ends[0]; at < len(data); at++ {
-		for _, whole := range []bool{true, false} { // with the index, and without
-			spoilt := append([]byte(nil), data...)
-			if !whole {
-				spoilt = spoilt[:ends[len(ends)-1]]
-				if at >= len(spoilt) {
+		for _, withIndex := range []bool{true, false} {
+			damaged := append([]byte(nil), data...)
+			if !withIndex {
+				damaged = damaged[:ends[len(ends)-1]]
+				if at >= len(damaged) {
 					continue
 				}
 			}
-			spoilt[at] ^= 0x40
-			n, _, damages, err := countRecords(spoilt)
-			if at >= ends[len(ends)-1] { // in the index: made anew from the blocks
+			damaged[at] ^= 0x40
+			n, _, damages, err := countRecords(damaged)
+			if at >= ends[len(ends)-1] { // in the index, which is rebuilt from the blocks
 				if err != nil || n != 80 {
 					t.Fatalf("index flipped at %d: %d records, %v", at, n, err)
 				}
@@ -343,15 +354,15 @@
 	}
 }
 
-func TestNewerVersionIsRefused(t *testing.T) {
+func TestNewerVersionIsRejected(t *testing.T) {
 	head, _ := headerFrame(&tracepb.Header{Version: 2})
 	if _, err := Open(bytes.NewReader(head), int64(len(head))); !errors.Is(err, ErrVersion) {
 		t.Errorf("got %v", err)
 	}
 }
 
-// The file of the first version stays readable for good.
-func TestFirstVersionIsRead(t *testing.T) {
+// Every later version must read files of version 1.
+func TestVersion1FileIsReadable(t *testing.T) {
 	data, err := os.ReadFile("testdata/version-1.dgt")
 	if err != nil {
 		t.Fatal(err)
@@ -362,127 +373,131 @@
 	}
 }
 
-func TestFollow(t *testing.T) {
+// Follow must find a txn by its name, by the trace context that the client sent or the edge gave, and by its key.
+func TestFollowFindsTxnsByNameKeyAndTraceID(t *testing.T) {
 	dir := t.TempDir()
 	recordRun(t, dir, testRetention, 3000)
-	all, err := Lives([]string{dir})
+	runs, err := Lives([]string{dir})
 	if err != nil {
 		t.Fatal(err)
 	}
-	hurt := func(path string, d Damage) { t.Errorf("%s: %v", path, d) }
+	onDamage := func(path string, d Damage) { t.Errorf("%s: %v", path, d) }
 	given := fmt.Sprintf("00-%016x%016x-0000000000000001-01", 77, MixSerial(1234))
-	for q, want := range map[string]uint64{"s1-1234": 1234, given: 1234, "00-00000000000004d30000000000000007-0000000000000001-01": 1235} {
-		got, err := Follow(all, ParseQuery(q), hurt)
+	for query, want := range map[string]uint64{"s1-1234": 1234, given: 1234, "00-00000000000004d30000000000000007-0000000000000001-01": 1235} {
+		got, err := Follow(runs, ParseQuery(query), onDamage)
 		if err != nil || len(got) != 1 || got[0].Serial != want || got[0].End == "cut" || len(got[0].Steps) < 2 {
-			t.Errorf("%s: %+v, %v", q, got, err)
+			t.Errorf("%s: %+v, %v", query, got, err)
 		}
 	}
-	if got, _ := Follow(all, Query{Sentry: -1, Key: 7}, hurt); len(got) < 20 {
-		t.Errorf("%d txns of a key that about 60 had", len(got))
+	if got, _ := Follow(runs, Query{Sentry: -1, Key: 7}, onDamage); len(got) < 20 {
+		t.Errorf("%d txns of a key that about 60 txns have", len(got))
 	}
-	if got, _ := Follow(all, ParseQuery("no such key"), hurt); len(got) != 0 {
+	if got, _ := Follow(runs, ParseQuery("no such key"), onDamage); len(got) != 0 {
 		t.Errorf("found %v", got)
 	}
 }
 
-func TestSummary(t *testing.T) {
+// Each txn must be counted with one ending, and each submission with one outcome, by build and by worker.
+func TestSummaryCountsEveryTxnOnce(t *testing.T) {
 	dir := t.TempDir()
 	recordRun(t, dir, testRetention, 3000)
-	all, err := Lives([]string{dir})
+	runs, err := Lives([]string{dir})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := Summarise(all, func(path string, d Damage) { t.Errorf("%s: %v", path, d) })
+	s, err := Summarise(runs, func(path string, d Damage) { t.Errorf("%s: %v", path, d) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken, ended, sent, ending := 0, 0, 0, 0
+	taken, ended, sent, outcomes := 0, 0, 0, 0
 	for _, p := range s.Products {
 		taken, ended, sent = taken+p.Taken, ended+p.Settled+p.Declined+p.Voided+p.Left+p.Open, sent+p.Submissions
 	}
 	for _, b := range s.Builds {
 		for _, n := range b.Endings {
-			ending += n
+			outcomes += n
 		}
-		// Submissions at the failing build end in errors, others do not.
+		// Only submissions to the failing build end in errors.
 		if (b.Name == "2") != (b.Endings["error"] > 0) {
 			t.Errorf("build %s: %v", b.Name, b.Endings)
 		}
 	}
-	if taken != 3000 || ended != taken || ending != sent || sent < taken || len(s.Workers) != 8 {
-		t.Errorf("%d taken, %d ended, %d sent, %d endings, %d workers", taken, ended, sent, ending, len(s.Workers))
+	if taken != 3000 || ended != taken || outcomes != sent || sent < taken || len(s.Workers) != 8 {
+		t.Errorf("%d txns taken, %d ended, %d submissions, %d outcomes, %d workers", taken, ended, sent, outcomes, len(s.Workers))
 	}
 }
 
-func TestCut(t *testing.T) {
+// A cut must hold exactly the txns that its filter selects, with all their records, and cannot be replayed.
+func TestCutSelectsTxns(t *testing.T) {
 	dir := t.TempDir()
 	recordRun(t, dir, Keep{SegmentBytes: 64 << 10, SegmentAge: time.Hour, TotalBytes: 1 << 30}, 6000)
-	all, err := Lives([]string{dir})
+	runs, err := Lives([]string{dir})
 	if err != nil {
 		t.Fatal(err)
 	}
-	hurt := func(path string, d Damage) { t.Errorf("%s: %v", path, d) }
-	whole, err := Summarise(all, hurt)
+	onDamage := func(path string, d Damage) { t.Errorf("%s: %v", path, d) }
+	full, err := Summarise(runs, onDamage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	q := ParseQuery("s1-1234")
-	for _, c := range []struct {
+	query := ParseQuery("s1-1234")
+	for _, tc := range []struct {
 		name string
 		f    Filter
 		want func(s *Summary, n int) bool
 	}{
-		{"one txn", Filter{Query: &q}, func(s *Summary, n int) bool { return n == 1 }},
+		{"one txn", Filter{Query: &query}, func(s *Summary, n int) bool { return n == 1 }},
 		{"a product", Filter{Product: "pay"}, func(s *Summary, n int) bool {
-			return n == whole.Products[1].Taken && s.Products[0].Taken == 0 && s.Products[1].Taken == n && s.Products[1].P99 == whole.Products[1].P99
+			return n == full.Products[1].Taken && s.Products[0].Taken == 0 && s.Products[1].Taken == n && s.Products[1].P99 == full.Products[1].P99
 		}},
-		{"voided", Filter{End: "voided"}, func(s *Summary, n int) bool { return n == whole.Products[0].Voided+whole.Products[1].Voided && n > 0 }},
+		{"voided", Filter{End: "voided"}, func(s *Summary, n int) bool { return n == full.Products[0].Voided+full.Products[1].Voided && n > 0 }},
 		{"a build", Filter{Build: 2}, func(s *Summary, n int) bool {
-			return n > 0 && n < 6000 && s.Builds[len(s.Builds)-1].Submissions == whole.Builds[1].Submissions
+			return n > 0 && n < 6000 && s.Builds[len(s.Builds)-1].Submissions == full.Builds[1].Submissions
 		}},
-		{"a time", Filter{Till: all[0].Headers[0].Wall + int64(5*time.Second)}, func(s *Summary, n int) bool { return n > 500 && n < 1500 }},
+		{"a time", Filter{Till: runs[0].Headers[0].Wall + int64(5*time.Second)}, func(s *Summary, n int) bool { return n > 500 && n < 1500 }},
 		{"nothing", Filter{Product: "none"}, func(s *Summary, n int) bool { return n == 0 }},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(tc.name, func(t *testing.T) {
 			out := filepath.Join(t.TempDir(), "cut"+Suffix)
 			file, err := os.Create(out)
 			if err != nil {
 				t.Fatal(err)
 			}
-			n, err := Cut(all[0], c.f, file, hurt)
+			n, err := Cut(runs[0], tc.f, file, onDamage)
 			file.Close()
 			if err != nil {
 				t.Fatal(err)
 			}
-			part, err := Lives([]string{out})
-			if err != nil || len(part) != 1 {
-				t.Fatal(part, err)
+			cutRuns, err := Lives([]string{out})
+			if err != nil || len(cutRuns) != 1 {
+				t.Fatal(cutRuns, err)
 			}
-			s, err := Summarise(part, hurt)
-			if err != nil || !c.want(s, n) {
+			s, err := Summarise(cutRuns, onDamage)
+			if err != nil || !tc.want(s, n) {
 				t.Errorf("%d txns, %+v, %v", n, s.Products[0], err)
 			}
-			if _, err := Replay(part[0]); !errors.Is(err, ErrSampled) {
-				t.Errorf("a part replays: %v", err)
+			if _, err := Replay(cutRuns[0]); !errors.Is(err, ErrSampled) {
+				t.Errorf("replay of a cut: %v", err)
 			}
 		})
 	}
 }
 
-// A disk that fails costs traces, never more; the file tells what is missing, and a replay is refused there.
+// A full disk must cost traces only: recording goes on and ends without a leaked goroutine, and what was written is
+// readable.
 func TestFailingDisk(t *testing.T) {
 	before := goleak.IgnoreCurrent()
-	m := newMemoryDir()
-	m.capacity = 20000
-	rec, err := NewRecorder(m, testRetention, &tracepb.Header{Edge: "e", Life: 5}, testSettings, zap.NewNop())
+	dir := newMemoryDir()
+	dir.capacity = 20000
+	rec, err := NewRecorder(dir, testRetention, &tracepb.Header{Edge: "e", Life: 5}, testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	recordTxns(t, rec, 20000, true)
-	if len(m.files) < 1 {
+	if len(dir.files) < 1 {
 		t.Error("nothing was written")
 	}
-	for name, f := range m.files {
+	for name, f := range dir.files {
 		if _, _, _, err := countRecords(f.Bytes()); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -490,41 +505,42 @@
 	goleak.VerifyNone(t, before)
 }
 
-// A disk that stalls makes the recorder leave out whole txns, and say how many.
+// While a disk stalls, the recorder must skip whole txns, without records of them left over, and record how many it
+// skipped.
 func TestStallingDiskLeavesOutWholeTxns(t *testing.T) {
-	m := newMemoryDir()
-	m.gate = make(chan struct{})
-	rec, err := NewRecorder(m, testRetention, &tracepb.Header{Edge: "e", Life: 5}, testSettings, zap.NewNop())
+	dir := newMemoryDir()
+	dir.writeGate = make(chan struct{})
+	rec, err := NewRecorder(dir, testRetention, &tracepb.Header{Edge: "e", Life: 5}, testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { // the disk comes back when txns have been left out
+	go func() { // the disk recovers once txns have been skipped
 		for rec.TotalSkipped.Load() < 1000 {
 			time.Sleep(time.Millisecond)
 		}
-		close(m.gate)
+		close(dir.writeGate)
 	}()
 	const n = 120000
 	got := recordTxns(t, rec, n, false)
 	if got == n {
-		t.Fatal("nothing was left out")
+		t.Fatal("no txn was skipped")
 	}
 	gaps, taken, orphans := uint64(0), 0, 0
 	live := map[uint64]bool{}
-	for _, f := range m.files {
-		r, err := Open(bytes.NewReader(f.Bytes()), int64(f.Len()))
+	for _, f := range dir.files {
+		file, err := Open(bytes.NewReader(f.Bytes()), int64(f.Len()))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for i := range r.Blocks {
-			if err := r.Read(i, func(x *Record, _ []string) bool {
+		for i := range file.Blocks {
+			if err := file.Read(i, func(r *Record, _ []string) bool {
 				switch {
-				case x.Kind == tracepb.Kind_GAP:
-					gaps += x.Token
-				case x.Kind == tracepb.Kind_TAKE:
+				case r.Kind == tracepb.Kind_GAP:
+					gaps += r.Token
+				case r.Kind == tracepb.Kind_TAKE:
 					taken++
-					live[x.Txn] = true
-				case x.Txn != 0 && !live[x.Txn]:
+					live[r.Txn] = true
+				case r.Txn != 0 && !live[r.Txn]:
 					orphans++
 				}
 				return true
@@ -532,56 +548,59 @@
 				t.Fatal(err)
 			}
 		}
-		r.Close()
+		file.Close()
 	}
 	if taken != got || orphans > 0 || gaps+uint64(taken) > n || gaps == 0 {
-		t.Errorf("%d taken of %d recorded, %d in gaps, %d records of txns that were left out", taken, got, gaps, orphans)
+		t.Errorf("%d TAKE records of %d recorded txns, %d txns in gaps, %d records of skipped txns", taken, got, gaps, orphans)
 	}
 }
 
+// Recording an ordinary txn must not allocate on the event loop.
 func TestRecordingAllocatesNothing(t *testing.T) {
 	rec, err := NewRecorder(newMemoryDir(), testRetention, &tracepb.Header{}, testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := logic.Txn{ID: 1 << 33, Key: 9}
-	o := logic.Outcome{Txn: 1 << 33, Elapsed: 1e6, Load: &logic.Load{Util: 0.5}}
+	txn := logic.Txn{ID: 1 << 33, Key: 9}
+	outcome := logic.Outcome{Txn: 1 << 33, Elapsed: 1e6, Load: &logic.Load{Util: 0.5}}
 	now := logic.Nanos(1)
-	one := func() {
+	recordOne := func() {
 		now += 1000
-		rec.Take(now, &x, 1, 1, 2)
-		rec.Submit(now, x.ID, "w1", 0)
-		rec.Outcome(now, &o, 200)
+		rec.Take(now, &txn, 1, 1, 2)
+		rec.Submit(now, txn.ID, "w1", 0)
+		rec.Outcome(now, &outcome, 200)
 	}
-	one()
-	if n := testing.AllocsPerRun(500, one); n > 0 {
+	recordOne()
+	if n := testing.AllocsPerRun(500, recordOne); n > 0 {
 		t.Errorf("%v allocations a txn", n)
 	}
 	rec.Close(now)
 }
 
+// Reading arbitrary bytes must not panic.
 func FuzzOpen(f *testing.F) {
-	head, _ := headerFrame(&tracepb.Header{Version: 1})
-	f.Add(head)
+	header, _ := headerFrame(&tracepb.Header{Version: 1})
+	f.Add(header)
 	if data, err := os.ReadFile("testdata/version-1.dgt"); err == nil {
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) { countRecords(data) })
 }
 
-func BenchmarkRead(b *testing.B) {
-	var body []byte
+// BenchmarkDecode measures decoding of OUTCOME records.
+func BenchmarkDecode(b *testing.B) {
+	var records []byte
 	at := int64(0)
 	for i := 0; i < 5000; i++ {
 		r := Record{Kind: tracepb.Kind_OUTCOME, At: at + 1000, Txn: uint64(i) << 20, Elapsed: uint64(i * 7919), Ending: 1, Over: true}
-		body = r.Append(body, at)
+		records = r.Append(records, at)
 		at = r.At
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		var r Record
 		at := int64(0)
-		for rest := body; len(rest) > 0; {
+		for rest := records; len(rest) > 0; {
 			rest, _ = r.Decode(rest, at)
 			at = r.At
 		}
