--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -94,7 +94,7 @@
 	records   []byte
 	keys      []uint64 // keys and trace ids, for the filter
 	info      tracepb.Block
-	lostTxns  uint64 // txns missing from the trace if this block is lost: those taken in it and those counted in its GAP records
+	lostTxns  uint64 // txns missing from the trace if this block is lost: taken in it or counted in its GAP records
 	lostSince int64  // sentry clock since when they would be missing
 }
 
--- a/trace/store.go
+++ b/trace/store.go
@@ -16,7 +16,7 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Directory holds segments. Disk is the implementation by the operating system; tests use ones that fail.
+// Directory holds segments. OSDirectory is the implementation by the operating system; tests use ones that fail.
 type Directory interface {
 	Create(name string) (io.WriteCloser, error)
 	Remove(name string) error
