--- a/trace/sampler.go
+++ b/trace/sampler.go
@@ -131,7 +131,7 @@
 }
 
 // finish ends a txn: it writes its records or leaves them out.
-func (s *sampler) finish(k *Recorder, now logic.Nanos, t logic.TxnID) {
+func (s *sampler) finish(r *Recorder, now logic.Nanos, t logic.TxnID) {
 	held := s.lookup(t)
 	if held == nil {
 		return
@@ -145,74 +145,74 @@
 		s.omitted++
 		return
 	}
-	s.writeTxn(k, now, held, uint64(t))
+	s.writeTxn(r, now, held, uint64(t))
 }
 
 // writeTxn writes all records of a txn, after a BACK record if it began before the last record written.
-func (s *sampler) writeTxn(k *Recorder, now logic.Nanos, held *heldTxn, id uint64) {
-	if k.freeBuffers() < reservedBuffers || !k.prepare(now) {
-		if k.skippedTxns == 0 && k.skippedSince == 0 {
-			k.skippedSince = int64(now)
+func (s *sampler) writeTxn(r *Recorder, now logic.Nanos, held *heldTxn, id uint64) {
+	if r.freeBuffers() < reservedBuffers || !r.prepare(now) {
+		if r.skippedTxns == 0 && r.skippedSince == 0 {
+			r.skippedSince = int64(now)
 		}
-		k.skippedTxns++
-		k.TotalSkipped.Add(1)
+		r.skippedTxns++
+		r.TotalSkipped.Add(1)
 		return
 	}
-	if back := k.lastAt - held.takenAt; back > 0 {
-		k.rec = Record{Kind: tracepb.Kind_BACK, At: k.lastAt, Span: uint64(back)}
-		k.putRecord()
-		k.lastAt = held.takenAt
-		if held.takenAt < k.cur.info.First && (k.cur.info.Earliest == 0 || held.takenAt < k.cur.info.Earliest) {
-			k.cur.info.Earliest = held.takenAt
+	if back := r.lastAt - held.takenAt; back > 0 {
+		r.rec = Record{Kind: tracepb.Kind_BACK, At: r.lastAt, Span: uint64(back)}
+		r.putRecord()
+		r.lastAt = held.takenAt
+		if held.takenAt < r.cur.info.First && (r.cur.info.Earliest == 0 || held.takenAt < r.cur.info.Earliest) {
+			r.cur.info.Earliest = held.takenAt
 		}
 	}
-	k.rec = Record{Kind: tracepb.Kind_TAKE, At: held.takenAt, Txn: id, Serial: held.serial, Product: uint32(held.txn.Product),
+	r.rec = Record{Kind: tracepb.Kind_TAKE, At: held.takenAt, Txn: id, Serial: held.serial, Product: uint32(held.txn.Product),
 		Customer: uint32(held.txn.Customer),
 		Key:      uint64(held.txn.Key), Cost: uint64(held.txn.Cost), Repeat: held.txn.Repeat,
 		Patience: uint64(int64(held.txn.Expiry) - held.takenAt), TraceID: held.traceID}
-	k.putRecord()
-	k.cur.addTake(held.serial, uint64(held.txn.Key), held.traceID, uint64(held.txn.Product))
+	r.putRecord()
+	r.cur.addTake(held.serial, uint64(held.txn.Key), held.traceID, uint64(held.txn.Product))
 	for i := range held.records {
 		rec := &held.records[i]
 		worker := uint32(0)
 		if rec.worker != "" {
-			worker = k.workerNumber(logic.Nanos(rec.at), rec.worker)
+			worker = r.workerNumber(logic.Nanos(rec.at), rec.worker)
 		}
-		k.rec = Record{Kind: rec.kind, At: rec.at, Txn: id, Worker: worker, Number: uint32(rec.number), Ending: uint32(rec.ending), Over: rec.over,
+		r.rec = Record{Kind: rec.kind, At: rec.at, Txn: id, Worker: worker, Number: uint32(rec.number), Ending: uint32(rec.ending), Over: rec.over,
 			Token: uint64(rec.token)}
 		if rec.kind == tracepb.Kind_OUTCOME {
-			k.rec.Elapsed = uint64(rec.span)
+			r.rec.Elapsed = uint64(rec.span)
 		} else {
-			k.rec.Span = uint64(rec.span)
+			r.rec.Span = uint64(rec.span)
 		}
 		if rec.loaded {
-			k.rec.Loaded, k.rec.Util, k.rec.Queue, k.rec.Busy = true, rec.load.Util, rec.load.Queue, rec.load.Busy
+			r.rec.Loaded, r.rec.Util, r.rec.Queue, r.rec.Busy = true, rec.load.Util, rec.load.Queue, rec.load.Busy
 		}
-		k.putRecord()
+		r.putRecord()
 	}
 }
 
 // putOmitted writes the number of txns left out, at most every flushAgeNanos, so that totals can be computed from the
 // trace.
-func (s *sampler) putOmitted(k *Recorder, now logic.Nanos) {
-	if s.omitted == 0 || int64(now)-s.omittedAt < flushAgeNanos || !k.prepare(now) {
+func (s *sampler) putOmitted(r *Recorder, now logic.Nanos) {
+	if s.omitted == 0 || int64(now)-s.omittedAt < flushAgeNanos || !r.prepare(now) {
 		return
 	}
 	s.omittedAt = int64(now)
-	k.rec = Record{Kind: tracepb.Kind_LEFT_OUT, At: int64(now), Token: s.omitted}
-	k.putRecord()
+	r.rec = Record{Kind: tracepb.Kind_LEFT_OUT, At: int64(now), Token: s.omitted}
+	r.putRecord()
 	s.omitted = 0
 }
 
 // flush writes the records of the txns that are still in progress when the recording ends.
-func (s *sampler) flush(k *Recorder, now logic.Nanos) {
+func (s *sampler) flush(r *Recorder, now logic.Nanos) {
 	for i := range s.txns {
 		if held := &s.txns[i]; held.id != 0 {
 			id := held.id
 			held.id = 0
-			s.writeTxn(k, now, held, id)
+			s.writeTxn(r, now, held, id)
 		}
 	}
 	s.omittedAt = 0
-	s.putOmitted(k, now)
+	s.putOmitted(r, now)
 }
