--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -18,80 +18,100 @@
 )
 
 const (
-	blockBytes      = 128 << 10 // records of a block, before they are packed
-	buffers         = 16        // of a sentry: what is written may lag by so many blocks
-	reservedBuffers = 4         // of them are for what has begun: new txns are not recorded when no more are free
-	flushAge        = int64(time.Second)
-	retryWait       = time.Second
+	// blockBytes is the size of the encoded records, before compression, at which a block is handed to the writer.
+	blockBytes = 128 << 10
+
+	// bufferCount is the number of block buffers of a recorder, and so the number of blocks by which the writer may lag.
+	bufferCount = 16
+
+	// reservedBuffers is the number of buffers kept for the records of txns that were taken already: new txns are not
+	// recorded while fewer are free.
+	reservedBuffers = 4
+
+	// flushAgeNanos is the age at which an incomplete block is handed to the writer, and the least interval between two
+	// LEFT_OUT records.
+	flushAgeNanos = int64(time.Second)
+
+	// tailFlushFactor multiplies flushAgeNanos where a tail file preserves the block in case of a crash.
+	tailFlushFactor = 10
+
+	// writeRetryInterval is the time between two attempts to write while the disk fails.
+	writeRetryInterval = time.Second
+
+	// initialKeys is the initial capacity of a block's list of keys and trace ids.
+	initialKeys = 4096
 )
 
-// Recorder records one sentry. Its methods but Close are for the sentry's event loop, and never wait for a disk: what
-// the writer has not taken yet lies in a bounded number of buffers, and when these run out, whole txns are left out and
-// counted.
+// Recorder records one sentry. Its methods, except Close, are called from the sentry's event loop and never wait for a
+// disk: blocks that the writer has not written yet wait in a fixed number of buffers. When these run out, whole txns are
+// skipped and counted.
 type Recorder struct {
-	cur     *block // nil: no room
-	last    int64
-	serial  uint64 // of the TAKE before in this block
-	workers map[logic.WorkerID]*named
-	number  uint32 // of the block
-	rec     Record
-	begun   begun
-	news    []byte   // as last told
-	hold    *holder  // nil where all is written at once
-	spare   []*block // the loop's own; the last one used is still in the cache
-	tail    *tail    // nil: none
-	blocks  uint64   // begun so far
-	free    chan *block
-	full    chan *block
-	done    chan struct{}
-	log     *zap.Logger
-	store   *store
-
-	skipped   uint64 // txns not recorded since the last gap was noted
-	torn      uint32 // other records that found no room
-	since     int64
-	Skipped   atomic.Uint64 // in all; any goroutine
-	lostBlock atomic.Uint64 // txns taken in blocks that could not be written
-	lostSince atomic.Int64
-}
-
-type named struct {
-	number, block uint32
-	build         uint64
-}
-
-// begun is a TAKE that is not written yet: what the module nearly always does at once goes into the same record.
-type begun struct {
-	open, sent bool
-	txn        logic.Txn
-	serial     uint64
-	trace      [2]uint64
-	worker     uint32
-}
-
-// block is a buffer of records with what is known of them.
+	cur         *block // nil: none begun, or no buffer is free
+	lastAt      int64  // time of the last record in cur
+	lastSerial  uint64 // of the last TAKE in cur, 0 if there is none
+	workers     map[logic.WorkerID]*workerRef
+	generation  uint32 // of cur: worker numbers are valid within one block
+	rec         Record
+	pending     pendingTake
+	lastRelease []byte    // last release update that ended well, as an encoded tracepb.News
+	sampler     *sampler  // nil: every record is written at once
+	spare       []*block  // free buffers of the event loop; the one used last, still in the CPU cache, is at the end
+	tail        *tailFile // nil: none
+	blockCount  uint64    // blocks begun so far
+	returned    chan *block
+	queue       chan *block
+	done        chan struct{}
+	log         *zap.Logger
+	segments    *segmentWriter
+
+	skippedTxns    uint64        // txns not recorded since the last GAP record
+	skippedRecords uint32        // other records not recorded since then
+	skippedSince   int64         // sentry clock at the first of them, 0 if there is none
+	TotalSkipped   atomic.Uint64 // txns not recorded in all; any goroutine may read it
+	lostTxns       atomic.Uint64 // txns in blocks that could not be written, since the last GAP record
+	lostSince      atomic.Int64  // sentry clock at the first of them, 0 if there is none
+}
+
+// workerRef is the number of a worker in the block of the given generation, and the worker's build.
+type workerRef struct {
+	number, generation uint32
+	build              uint64
+}
+
+// pendingTake is a TAKE that is not written yet. The SUBMIT and REMIND that nearly always follow at once are put into the
+// same record.
+type pendingTake struct {
+	open, submitted bool
+	txn             logic.Txn
+	serial          uint64
+	traceID         [2]uint64
+	worker          uint32
+}
+
+// block is a buffer of encoded records and their description.
 type block struct {
-	slot    []byte // of the tail; nil: none
-	records []byte
-	keys    []uint64
-	info    tracepb.Block
-	taken   uint64 // txns that are missing if it is lost: taken in it, or told missing in it
-	since   int64  // from when on they are
+	slot      []byte // memory in the tail file; nil: none
+	records   []byte
+	keys      []uint64 // keys and trace ids, for the filter
+	info      tracepb.Block
+	lostTxns  uint64 // txns missing from the trace if this block is lost: taken in it or counted in its GAP records
+	lostSince int64  // sentry clock since when they would be missing
 }
 
-// NewRecorder starts a recorder with its writer, one goroutine, ended by Close. settings are what the module is given;
-// the header's Wall and Start are the present moment by the wall clock and the sentry's.
-func NewRecorder(folder Folder, keep Keep, header *tracepb.Header, settings map[string]any, log *zap.Logger) (*Recorder, error) {
-	return NewTailed(folder, "", keep, header, settings, log)
+// NewRecorder starts a recorder and its writer goroutine; Close ends both. settings are those that the decision module
+// is given. The header's Wall and Start are the present moment by the wall clock and by the sentry's clock.
+func NewRecorder(dir Directory, retention Keep, header *tracepb.Header, settings map[string]any, logger *zap.Logger) (*Recorder, error) {
+	return NewTailed(dir, "", retention, header, settings, logger)
 }
 
-// NewTailed does the same with a tail in the folder tails, which should be of a file system in memory; "" for none. What
-// dead processes left there of traces in the same folder is put into segments first.
-func NewTailed(folder Folder, tails string, keep Keep, header *tracepb.Header, settings map[string]any, log *zap.Logger) (*Recorder, error) {
+// NewTailed is like NewRecorder, with a tail file in the directory tails, which should be on a file system in
+// memory; "" for none. Blocks that terminated processes recording to the same directory left in their tail files are
+// written to segments first.
+func NewTailed(dir Directory, tails string, retention Keep, header *tracepb.Header, settings map[string]any, logger *zap.Logger) (*Recorder, error) {
 	h := proto.Clone(header).(*tracepb.Header)
 	data, err := json.Marshal(settings)
 	if err != nil {
-		return nil, fmt.Errorf("trace: settings: %w", err)
+		return nil, fmt.Errorf("trace: encoding the settings: %w", err)
 	}
 	sum := sha256.Sum256(data)
 	h.Version, h.Settings, h.SettingsDigest, h.Module = Version, data, hex.EncodeToString(sum[:8]), logic.Version()
@@ -99,390 +119,403 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Recorder{workers: map[logic.WorkerID]*named{}, free: make(chan *block, buffers), full: make(chan *block, buffers),
-		done: make(chan struct{}), log: log, store: &store{folder: folder, keep: keep, header: h, enc: enc}, number: 1}
+	r := &Recorder{workers: map[logic.WorkerID]*workerRef{}, returned: make(chan *block, bufferCount), queue: make(chan *block, bufferCount),
+		done: make(chan struct{}), log: logger, segments: &segmentWriter{dir: dir, retention: retention, header: h, enc: enc}, generation: 1}
 	if h.Level != LevelWhole {
-		k.hold = newHolder(h.Level, h.OneIn)
+		r.sampler = newSampler(h.Level, h.OneIn)
 	}
 	if tails != "" {
-		x := proto.Clone(h).(*tracepb.Header)
-		if dir, ok := folder.(Disk); ok {
-			if x.Folder, err = filepath.Abs(string(dir)); err != nil {
+		tailHeader := proto.Clone(h).(*tracepb.Header)
+		if disk, ok := dir.(Disk); ok {
+			if tailHeader.Folder, err = filepath.Abs(string(disk)); err != nil {
 				return nil, err
 			}
 		}
-		if k.tail, err = newTail(tails, x); err != nil {
-			log.Warn("no tail for traces: a kill loses up to a second of them", zap.Error(err))
+		if r.tail, err = createTail(tails, tailHeader); err != nil {
+			logger.Warn("no tail for traces: a kill loses up to a second of them", zap.Error(err))
 		}
 	}
-	for i := 0; i < buffers; i++ {
-		b := &block{keys: make([]uint64, 0, 4096)}
-		if k.tail != nil {
-			b.slot = k.tail.slot(i)
+	for i := 0; i < bufferCount; i++ {
+		b := &block{keys: make([]uint64, 0, initialKeys)}
+		if r.tail != nil {
+			b.slot = r.tail.slot(i)
 		} else {
 			b.records = make([]byte, 0, blockBytes+blockBytes/4)
 		}
-		k.spare = append(k.spare, b)
+		r.spare = append(r.spare, b)
 	}
-	go k.write(tails)
-	return k, nil
+	go r.runWriter(tails)
+	return r, nil
 }
 
-// write packs blocks and writes them. When that fails it says so once, drops what comes, and tries again each
-// second with a new segment, which begins by telling what is missing.
-func (k *Recorder) write(tails string) {
-	defer close(k.done)
+// runWriter compresses blocks and writes them to segments. When a write fails it logs that once, drops the blocks that
+// follow, and tries again every writeRetryInterval with a new segment. The event loop then records the number of missing
+// txns in a GAP record.
+func (r *Recorder) runWriter(tails string) {
+	defer close(r.done)
 	if tails != "" {
-		if err := rescue(k.store.folder, tails, k.store.header); err != nil {
-			k.log.Warn("traces of a process that died stay in its tail", zap.Error(err))
+		if err := recoverTails(r.segments.dir, tails, r.segments.header); err != nil {
+			r.log.Warn("traces of a process that died stay in its tail", zap.Error(err))
 		}
 	}
 	failing := false
-	var next time.Time
-	for s := range k.full {
+	var retryAt time.Time
+	for b := range r.queue {
 		now := time.Now()
-		if failing && now.Before(next) {
-			k.lose(s)
+		if failing && now.Before(retryAt) {
+			r.dropBlock(b)
 			continue
 		}
-		err := k.store.append(now, s)
+		err := r.segments.appendBlock(now, b)
 		if err != nil {
-			k.lose(s)
-			next = now.Add(retryWait)
+			r.dropBlock(b)
+			retryAt = now.Add(writeRetryInterval)
 			if !failing {
-				k.log.Warn("traces cannot be written, txns go on without", zap.Error(err))
+				r.log.Warn("traces cannot be written, txns go on without", zap.Error(err))
 			}
 			failing = true
 			continue
 		}
 		if failing {
-			k.log.Info("traces are written again", zap.Uint64("txns-not-recorded", k.lostBlock.Load()))
+			r.log.Info("traces are written again", zap.Uint64("txns-not-recorded", r.lostTxns.Load()))
 			failing = false
 		}
-		s.free()
-		k.free <- s
+		b.freeSlot()
+		r.returned <- b
 	}
-	if k.tail != nil {
-		defer k.tail.close()
+	if r.tail != nil {
+		defer r.tail.close()
 	}
-	if err := k.store.close(); err != nil && !failing {
-		k.log.Warn("the last trace segment has no index", zap.Error(err))
+	if err := r.segments.close(); err != nil && !failing {
+		r.log.Warn("cannot write the index of the last trace segment", zap.Error(err))
 	}
 }
 
-func (k *Recorder) lose(s *block) {
-	k.store.abandon()
-	k.lostSince.CompareAndSwap(0, s.since)
-	k.lostBlock.Add(s.taken)
-	s.free()
-	k.free <- s
+// dropBlock counts the txns of a block that cannot be written as lost and frees its buffer.
+func (r *Recorder) dropBlock(b *block) {
+	r.segments.abandon()
+	r.lostSince.CompareAndSwap(0, b.lostSince)
+	r.lostTxns.Add(b.lostTxns)
+	b.freeSlot()
+	r.returned <- b
 }
 
-// Close ends the recording: call it from the loop, or when the loop has ended. It waits for the writer.
-func (k *Recorder) Close(now logic.Nanos) {
-	if k.hold != nil {
-		k.hold.flush(k, now)
+// Close ends the recording and waits for the writer. It is called from the event loop, or after the loop has ended.
+func (r *Recorder) Close(now logic.Nanos) {
+	if r.sampler != nil {
+		r.sampler.flush(r, now)
 	}
-	if !k.ready(now) {
-		close(k.full)
-		<-k.done
+	if !r.prepare(now) {
+		close(r.queue)
+		<-r.done
 		return
 	}
-	k.rec = Record{Kind: tracepb.Kind_END, At: int64(now)}
-	k.put()
-	k.ship()
-	close(k.full)
-	<-k.done
+	r.rec = Record{Kind: tracepb.Kind_END, At: int64(now)}
+	r.putRecord()
+	r.enqueueBlock()
+	close(r.queue)
+	<-r.done
 }
 
-// freeBuffers gives how many buffers are free.
-func (k *Recorder) freeBuffers() int { return len(k.spare) + len(k.free) }
+// freeBuffers returns the number of free buffers.
+func (r *Recorder) freeBuffers() int { return len(r.spare) + len(r.returned) }
 
-// ready makes room for a record and tells whether there is any. What was left out before is told first.
-func (k *Recorder) ready(now logic.Nanos) bool {
-	if k.begun.open {
-		k.settle()
+// prepare makes room for a record and reports whether there is any. A GAP record for skipped or lost txns is written
+// first.
+func (r *Recorder) prepare(now logic.Nanos) bool {
+	if r.pending.open {
+		r.writePending()
 	}
-	if k.cur != nil && len(k.cur.records) >= blockBytes {
-		k.ship()
+	if r.cur != nil && len(r.cur.records) >= blockBytes {
+		r.enqueueBlock()
 	}
-	if k.cur == nil && !k.next(now) {
+	if r.cur == nil && !r.nextBlock(now) {
 		return false
 	}
-	if k.skipped > 0 || k.torn > 0 || k.lostBlock.Load() > 0 {
-		k.gap(now)
+	if r.skippedTxns > 0 || r.skippedRecords > 0 || r.lostTxns.Load() > 0 {
+		r.putGap(now)
 	}
 	return true
 }
 
-// next takes a buffer for the next block, the one that was used last.
-func (k *Recorder) next(now logic.Nanos) bool {
+// nextBlock begins a block in the free buffer that was used last, and reports whether there was one.
+func (r *Recorder) nextBlock(now logic.Nanos) bool {
 	for more := true; more; {
 		select {
-		case b := <-k.free:
-			k.spare = append(k.spare, b)
+		case b := <-r.returned:
+			r.spare = append(r.spare, b)
 		default:
 			more = false
 		}
 	}
-	if len(k.spare) == 0 {
-		if k.since == 0 {
-			k.since = int64(now)
+	if len(r.spare) == 0 {
+		if r.skippedSince == 0 {
+			r.skippedSince = int64(now)
 		}
-		k.torn++
+		r.skippedRecords++
 		return false
 	}
-	b := k.spare[len(k.spare)-1]
-	k.spare = k.spare[:len(k.spare)-1]
-	k.cur, k.last, k.serial = b, int64(now), 0
-	k.number++
-	b.records, b.keys, b.taken, b.since = b.records[:0], b.keys[:0], 0, int64(now)
+	b := r.spare[len(r.spare)-1]
+	r.spare = r.spare[:len(r.spare)-1]
+	r.cur, r.lastAt, r.lastSerial = b, int64(now), 0
+	r.generation++
+	b.records, b.keys, b.lostTxns, b.lostSince = b.records[:0], b.keys[:0], 0, int64(now)
 	names, builds := b.info.Names[:0], b.info.Builds[:0]
 	b.info.Reset()
 	b.info.Names, b.info.Builds = names, builds
-	k.blocks++
-	b.info.First, b.info.Number = int64(now), k.blocks
-	b.begin(k.blocks)
-	if k.news != nil {
-		k.rec = Record{Kind: tracepb.Kind_STANDING, At: int64(now), Body: k.news}
-		k.put()
+	r.blockCount++
+	b.info.First, b.info.Number = int64(now), r.blockCount
+	b.beginSlot(r.blockCount)
+	if r.lastRelease != nil {
+		r.rec = Record{Kind: tracepb.Kind_STANDING, At: int64(now), Body: r.lastRelease}
+		r.putRecord()
 	}
 	return true
 }
 
-// gap tells what is missing, once there is room for txns again.
-func (k *Recorder) gap(now logic.Nanos) {
-	lost := k.lostBlock.Swap(0)
-	if lost > 0 || (k.skipped > 0 || k.torn > 0) && k.freeBuffers() >= reservedBuffers {
-		since := k.since
-		if at := k.lostSince.Swap(0); at != 0 && (since == 0 || at < since) {
+// putGap writes a GAP record with the number of missing txns, once there is room for new txns again.
+func (r *Recorder) putGap(now logic.Nanos) {
+	lost := r.lostTxns.Swap(0)
+	if lost > 0 || (r.skippedTxns > 0 || r.skippedRecords > 0) && r.freeBuffers() >= reservedBuffers {
+		since := r.skippedSince
+		if at := r.lostSince.Swap(0); at != 0 && (since == 0 || at < since) {
 			since = at
 		}
-		k.rec = Record{Kind: tracepb.Kind_GAP, At: int64(now), Number: k.torn, Token: lost + k.skipped, Span: uint64(max(0, int64(now)-since))}
-		k.put()
-		// Danger: this block can be lost as well, and what it tells with it.
-		k.cur.taken += lost + k.skipped
+		r.rec = Record{Kind: tracepb.Kind_GAP, At: int64(now), Number: r.skippedRecords, Token: lost + r.skippedTxns, Span: uint64(max(0, int64(now)-since))}
+		r.putRecord()
+		// If this block is lost too, its GAP record is lost with it, so the txns counted there count as lost again.
+		r.cur.lostTxns += lost + r.skippedTxns
 		if since != 0 {
-			k.cur.since = min(k.cur.since, since)
+			r.cur.lostSince = min(r.cur.lostSince, since)
 		}
-		k.skipped, k.torn, k.since = 0, 0, 0
+		r.skippedTxns, r.skippedRecords, r.skippedSince = 0, 0, 0
 	}
 }
 
-func (k *Recorder) put() {
-	if k.cur == nil {
+// putRecord appends r.rec to the current block.
+func (r *Recorder) putRecord() {
+	if r.cur == nil {
 		return
 	}
-	k.cur.records = k.rec.Append(k.cur.records, k.last)
-	k.cur.grow()
-	k.cur.info.Records++
-	k.cur.info.Kinds |= kindBit(k.rec.Kind)
-	k.last = k.rec.At
+	r.cur.records = r.rec.Append(r.cur.records, r.lastAt)
+	r.cur.updateSlot()
+	r.cur.info.Records++
+	r.cur.info.Kinds |= kindBit(r.rec.Kind)
+	r.lastAt = r.rec.At
 }
 
-// open begins a record of a frequent kind at the buffer's end, and close ends it.
-func (k *Recorder) open(kind Kind, now int64) (b []byte, at int) {
-	at = len(k.cur.records)
-	b = append(k.cur.records, 0, 0, byte(tagKind), byte(kind))
-	return putSpan(b, tagAfter, uint64(now-k.last)), at
+// beginRecord begins a record of a frequent kind at the end of the current block, without going through a Record, and
+// returns the buffer and the record's offset. endRecord completes it.
+func (r *Recorder) beginRecord(kind Kind, now int64) (b []byte, start int) {
+	start = len(r.cur.records)
+	b = append(r.cur.records, 0, 0, byte(tagKind), byte(kind))
+	return putDuration(b, tagAfter, uint64(now-r.lastAt)), start
 }
 
+// kindBit returns the bit of a kind in a block's set of kinds, 0 for kinds above 63.
 func kindBit(k Kind) uint64 { return 1 << (uint64(k) & 63) * (1 - uint64(k)>>6) }
 
-func (k *Recorder) close(b []byte, at int, now int64) {
-	k.cur.records = length(b, at)
-	k.cur.grow()
-	k.cur.info.Records++
-	k.cur.info.Kinds |= kindBit(Kind(k.cur.records[at+3]))
-	k.last = now
+// endRecord completes the record that beginRecord began at offset start.
+func (r *Recorder) endRecord(b []byte, start int, now int64) {
+	r.cur.records = putLength(b, start)
+	r.cur.updateSlot()
+	r.cur.info.Records++
+	r.cur.info.Kinds |= kindBit(Kind(r.cur.records[start+3]))
+	r.lastAt = now
 }
 
-// ship hands the present block to the writer. There is room: there are no more buffers than that.
-func (k *Recorder) ship() {
-	if k.begun.open {
-		k.settle()
+// enqueueBlock hands the current block to the writer. It never blocks: the queue has room for all buffers.
+func (r *Recorder) enqueueBlock() {
+	if r.pending.open {
+		r.writePending()
 	}
-	if k.cur == nil || len(k.cur.records) == 0 {
+	if r.cur == nil || len(r.cur.records) == 0 {
 		return
 	}
-	k.cur.info.Last, k.cur.info.Size = k.last, uint32(len(k.cur.records))
-	k.full <- k.cur
-	k.cur = nil
+	r.cur.info.Last, r.cur.info.Size = r.lastAt, uint32(len(r.cur.records))
+	r.queue <- r.cur
+	r.cur = nil
 }
 
-// Flush ships a block that has waited for a second, so that a crash costs no more, or, where a tail keeps it over a
-// crash, for ten: larger blocks pack better. Call it on each beat.
-func (k *Recorder) Flush(now logic.Nanos) {
-	if k.hold != nil {
-		k.hold.tell(k, now)
+// Flush hands the current block to the writer once it is flushAgeNanos old, so that a crash loses no more than that,
+// or tailFlushFactor times as old where a tail file preserves it: larger blocks compress better. It is called on each
+// tick of the housekeeping timer.
+func (r *Recorder) Flush(now logic.Nanos) {
+	if r.sampler != nil {
+		r.sampler.putOmitted(r, now)
 	}
-	age := flushAge
-	if k.tail != nil {
-		age *= 10
+	age := flushAgeNanos
+	if r.tail != nil {
+		age *= tailFlushFactor
 	}
-	if k.cur != nil && len(k.cur.records) > 0 && int64(now)-k.cur.info.First > age {
-		k.ship()
+	if r.cur != nil && len(r.cur.records) > 0 && int64(now)-r.cur.info.First > age {
+		r.enqueueBlock()
 	}
 }
 
-// worker gives a worker's number in this block, naming it where it is new to it. ready was asked before.
-func (k *Recorder) worker(now logic.Nanos, id logic.WorkerID) uint32 {
-	n := k.workers[id]
-	if n == nil {
-		n = &named{}
-		k.workers[id] = n
+// workerNumber returns the number of a worker in the current block, after writing a WORKER record if the block has none
+// of it yet. prepare must have succeeded before.
+func (r *Recorder) workerNumber(now logic.Nanos, id logic.WorkerID) uint32 {
+	ref := r.workers[id]
+	if ref == nil {
+		ref = &workerRef{}
+		r.workers[id] = ref
 	}
-	if n.block != k.number {
-		k.cur.info.Workers++
-		n.number, n.block = k.cur.info.Workers, k.number
-		k.cur.noteWorker(string(id), int64(n.build))
-		k.rec = Record{Kind: tracepb.Kind_WORKER, At: int64(now), Worker: n.number, Text: string(id), Token: n.build}
-		k.put()
+	if ref.generation != r.generation {
+		r.cur.info.Workers++
+		ref.number, ref.generation = r.cur.info.Workers, r.generation
+		r.cur.addWorker(string(id), int64(ref.build))
+		r.rec = Record{Kind: tracepb.Kind_WORKER, At: int64(now), Worker: ref.number, Text: string(id), Token: ref.build}
+		r.putRecord()
 	}
-	return n.number
+	return ref.number
 }
 
-// Start records that the module begins.
-func (k *Recorder) Start(now logic.Nanos, seed int64) {
-	if k.ready(now) {
-		k.rec = Record{Kind: tracepb.Kind_START, At: int64(now), Token: uint64(seed)}
-		k.put()
+// Start records the start of the decision module.
+func (r *Recorder) Start(now logic.Nanos, seed int64) {
+	if r.prepare(now) {
+		r.rec = Record{Kind: tracepb.Kind_START, At: int64(now), Token: uint64(seed)}
+		r.putRecord()
 	}
 }
 
-// List records a list event.
-func (k *Recorder) List(now logic.Nanos, mode logic.ListMode, list []logic.Worker) {
-	l := &tracepb.List{}
+// List records an update of the worker list.
+func (r *Recorder) List(now logic.Nanos, mode logic.ListMode, list []logic.Worker) {
+	msg := &tracepb.List{}
 	for _, w := range list {
-		n := k.workers[w.ID]
-		if n == nil {
-			n = &named{}
-			k.workers[w.ID] = n
+		ref := r.workers[w.ID]
+		if ref == nil {
+			ref = &workerRef{}
+			r.workers[w.ID] = ref
 		}
-		if n.build != uint64(w.Rel) {
-			n.build, n.block = uint64(w.Rel), 0 // it is named anew
+		if ref.build != uint64(w.Rel) {
+			ref.build, ref.generation = uint64(w.Rel), 0 // forces a new WORKER record with this build
 		}
-		l.Workers = append(l.Workers, &tracepb.List_Worker{Id: string(w.ID), Zone: int64(w.Zone), Kind: int64(w.Kind), Cell: int64(w.Cell),
+		msg.Workers = append(msg.Workers, &tracepb.List_Worker{Id: string(w.ID), Zone: int64(w.Zone), Kind: int64(w.Kind), Cell: int64(w.Cell),
 			State: int64(w.State), Weight: w.Weight, Build: int64(w.Rel), Start: int64(w.Start)})
 	}
-	k.message(now, Record{Kind: tracepb.Kind_LIST, Number: uint32(mode)}, l)
+	r.putMessage(now, Record{Kind: tracepb.Kind_LIST, Number: uint32(mode)}, msg)
 }
 
-// News records news of the newest build.
-func (k *Recorder) News(now logic.Nanos, n logic.ReleaseUpdate) {
-	m := &tracepb.News{Stage: int64(n.Stage), Answer: n.VoteReply, Build: int64(n.Rel), Cap: n.Cap, Phase: int64(n.Phase), Age: int64(n.Age),
-		Ending: int64(n.Ending)}
-	k.message(now, Record{Kind: tracepb.Kind_NEWS}, m)
-	if n.Ending == logic.OK {
-		if data, err := proto.Marshal(m); err == nil {
-			k.news = data
+// News records an update of the state of the newest release.
+func (r *Recorder) News(now logic.Nanos, u logic.ReleaseUpdate) {
+	msg := &tracepb.News{Stage: int64(u.Stage), Answer: u.VoteReply, Build: int64(u.Rel), Cap: u.Cap, Phase: int64(u.Phase), Age: int64(u.Age),
+		Ending: int64(u.Ending)}
+	r.putMessage(now, Record{Kind: tracepb.Kind_NEWS}, msg)
+	if u.Ending == logic.OK {
+		if data, err := proto.Marshal(msg); err == nil {
+			r.lastRelease = data
 		}
 	}
 }
 
-// Tally records the platform's count.
-func (k *Recorder) Tally(now logic.Nanos, t logic.Tally) {
-	k.message(now, Record{Kind: tracepb.Kind_TALLY}, &tracepb.Tally{Build: int64(t.Rel), Product: int64(t.Product), Many: int64(t.Many),
+// Tally records the platform's count of txns of a build.
+func (r *Recorder) Tally(now logic.Nanos, t logic.Tally) {
+	r.putMessage(now, Record{Kind: tracepb.Kind_TALLY}, &tracepb.Tally{Build: int64(t.Rel), Product: int64(t.Product), Many: int64(t.Many),
 		Bad: int64(t.Bad), Mean: int64(t.Mean)})
 }
 
-func (k *Recorder) message(now logic.Nanos, r Record, m proto.Message) {
+// putMessage writes a record whose body is an encoded message.
+func (r *Recorder) putMessage(now logic.Nanos, record Record, m proto.Message) {
 	body, err := proto.Marshal(m)
-	if err != nil || !k.ready(now) {
+	if err != nil || !r.prepare(now) {
 		return
 	}
-	r.At, r.Body = int64(now), body
-	k.rec = r
-	k.put()
+	record.At, record.Body = int64(now), body
+	r.rec = record
+	r.putRecord()
 }
 
-// Contested records that an answer was found wrong.
-func (k *Recorder) Contested(now logic.Nanos, p logic.ProductID, id logic.WorkerID, age logic.Nanos) {
-	if k.ready(now) {
-		n := k.worker(now, id)
-		k.rec = Record{Kind: tracepb.Kind_CONTESTED, At: int64(now), Product: uint32(p), Worker: n, Span: uint64(age)}
-		k.put()
+// Contested records that an answer was reported as wrong.
+func (r *Recorder) Contested(now logic.Nanos, p logic.ProductID, id logic.WorkerID, age logic.Nanos) {
+	if r.prepare(now) {
+		n := r.workerNumber(now, id)
+		r.rec = Record{Kind: tracepb.Kind_CONTESTED, At: int64(now), Product: uint32(p), Worker: n, Span: uint64(age)}
+		r.putRecord()
 	}
 }
 
-// Told records a message of another sentry, Tell one to it.
-func (k *Recorder) Told(now logic.Nanos, from int, data []byte) {
-	k.bytes(now, tracepb.Kind_TOLD, from, data)
+// Told records a message from another sentry.
+func (r *Recorder) Told(now logic.Nanos, from int, data []byte) {
+	r.putBytes(now, tracepb.Kind_TOLD, from, data)
 }
-func (k *Recorder) Tell(now logic.Nanos, to int, data []byte) {
-	k.bytes(now, tracepb.Kind_TELL, to, data)
+
+// Tell records a message to another sentry.
+func (r *Recorder) Tell(now logic.Nanos, to int, data []byte) {
+	r.putBytes(now, tracepb.Kind_TELL, to, data)
 }
 
-func (k *Recorder) bytes(now logic.Nanos, kind Kind, number int, data []byte) {
-	if k.ready(now) {
-		k.rec = Record{Kind: kind, At: int64(now), Number: uint32(number), Body: data}
-		k.put()
+// putBytes writes a record of a message from or to another sentry.
+func (r *Recorder) putBytes(now logic.Nanos, kind Kind, number int, data []byte) {
+	if r.prepare(now) {
+		r.rec = Record{Kind: kind, At: int64(now), Number: uint32(number), Body: data}
+		r.putRecord()
 	}
 }
 
-// Take records a txn by its serial, and tells whether it did: the records that follow of one that was left out must be
-// left out too. high and low are the trace id that the client sent; zeros where it sent none.
-func (k *Recorder) Take(now logic.Nanos, t *logic.Txn, serial, high, low uint64) bool {
-	if len(k.spare) < reservedBuffers && k.freeBuffers() < reservedBuffers || !k.ready(now) {
-		if k.skipped == 0 && k.since == 0 {
-			k.since = int64(now)
+// Take records the arrival of a txn and reports whether it did. If it did not, the caller must not record anything else
+// of that txn. high and low are the halves of the trace id that the client sent, zeros if it sent none.
+func (r *Recorder) Take(now logic.Nanos, t *logic.Txn, serial, high, low uint64) bool {
+	if len(r.spare) < reservedBuffers && r.freeBuffers() < reservedBuffers || !r.prepare(now) {
+		if r.skippedTxns == 0 && r.skippedSince == 0 {
+			r.skippedSince = int64(now)
 		}
-		k.skipped++
-		k.Skipped.Add(1)
+		r.skippedTxns++
+		r.TotalSkipped.Add(1)
 		return false
 	}
-	if k.hold != nil {
-		k.hold.take(now, t, serial, high, low)
+	if r.sampler != nil {
+		r.sampler.take(now, t, serial, high, low)
 		return true
 	}
-	k.begun = begun{open: true, txn: *t, serial: serial, trace: [2]uint64{high, low}}
-	k.begun.txn.Expiry -= now
-	k.rec.At = int64(now)
+	r.pending = pendingTake{open: true, txn: *t, serial: serial, traceID: [2]uint64{high, low}}
+	r.pending.txn.Expiry -= now
+	r.rec.At = int64(now)
 	return true
 }
 
-// Settle writes what waits to be put into one record with what may follow. Call it when the module has nothing more to
-// do, so that a kill finds all of it written.
-func (k *Recorder) Settle() {
-	if k.begun.open {
-		k.settle()
+// Settle writes the pending TAKE record. It is called when the module has handled its events, so that a tail file
+// holds all of their records if the process crashes afterwards.
+func (r *Recorder) Settle() {
+	if r.pending.open {
+		r.writePending()
 	}
 }
 
-// settle writes the TAKE that was begun.
-func (k *Recorder) settle() { k.finish(0, 0) }
+// writePending writes the pending TAKE without a REMIND.
+func (r *Recorder) writePending() { r.writeTake(0, 0) }
 
-// finish writes the TAKE that was begun, with the REMIND that came of it, if any.
-func (k *Recorder) finish(token, span uint64) {
-	t := &k.begun
+// writeTake writes the pending TAKE together with the REMIND that followed it, if token is not 0.
+func (r *Recorder) writeTake(token, span uint64) {
+	t := &r.pending
 	t.open = false
-	now := k.rec.At
-	b, at := k.open(tracepb.Kind_TAKE, now)
+	now := r.rec.At
+	b, start := r.beginRecord(tracepb.Kind_TAKE, now)
 	b = putUint(b, tagTxn, uint64(t.txn.ID))
 	b = putUint(b, tagWorker, uint64(t.worker))
 	b = putUint(b, tagProduct, uint64(t.txn.Product))
 	b = putUint(b, tagCustomer, uint64(t.txn.Customer))
-	b = putFixed(b, 8, uint64(t.txn.Key))
-	b = putSpan(b, tagCost, uint64(t.txn.Cost))
-	b = putUint(b, tagRepeat, flag(t.txn.Repeat))
-	b = putSpan(b, tagPatience, uint64(t.txn.Expiry))
+	b = putFixed64(b, fieldKey, uint64(t.txn.Key))
+	b = putDuration(b, tagCost, uint64(t.txn.Cost))
+	b = putUint(b, tagRepeat, boolToUint64(t.txn.Repeat))
+	b = putDuration(b, tagPatience, uint64(t.txn.Expiry))
 	b = putUint(b, tagToken, token)
-	b = putSpan(b, tagSpan, span)
-	if t.serial != k.serial+1 || k.serial == 0 {
+	b = putDuration(b, tagSpan, span)
+	if t.serial != r.lastSerial+1 || r.lastSerial == 0 {
 		b = putUint(b, tagSerial, t.serial)
 	}
-	if t.trace != [2]uint64{} {
-		b = putFixed(b, 24, t.trace[0])
-		b = putFixed(b, 25, t.trace[1])
+	if t.traceID != [2]uint64{} {
+		b = putFixed64(b, fieldTraceHigh, t.traceID[0])
+		b = putFixed64(b, fieldTraceLow, t.traceID[1])
 	}
-	k.close(b, at, now)
-	k.serial = t.serial
-	k.cur.noteTake(t.serial, uint64(t.txn.Key), t.trace, uint64(t.txn.Product))
+	r.endRecord(b, start, now)
+	r.lastSerial = t.serial
+	r.cur.addTake(t.serial, uint64(t.txn.Key), t.traceID, uint64(t.txn.Product))
 }
 
-// noteTake adds a txn to what the block is known to hold.
-func (b *block) noteTake(serial, key uint64, id [2]uint64, product uint64) {
-	b.taken++
+// addTake adds a txn to the block's description.
+func (b *block) addTake(serial, key uint64, id [2]uint64, product uint64) {
+	b.lostTxns++
 	b.info.Products |= 1 << min(product, 63)
 	if b.info.FirstSerial == 0 || serial < b.info.FirstSerial {
 		b.info.FirstSerial = serial
@@ -496,13 +529,13 @@
 	}
 }
 
-// namesTold is how many workers' names a block's description holds; where there are more, none: it would outgrow the
-// block.
-const namesTold = 64
+// maxBlockNames is the largest number of worker names in a block's description. Blocks with more workers list none, as
+// the description would outgrow the block.
+const maxBlockNames = 64
 
-// noteWorker adds a worker and its build.
-func (b *block) noteWorker(id string, build int64) {
-	if b.info.Workers <= namesTold {
+// addWorker adds a worker and its build to the block's description.
+func (b *block) addWorker(id string, build int64) {
+	if b.info.Workers <= maxBlockNames {
 		b.info.Names = append(b.info.Names, id)
 	} else {
 		b.info.Names = b.info.Names[:0]
@@ -512,89 +545,94 @@
 	}
 }
 
-// Outcome records the end of a submission, with the status that the client was sent, 0 if this did not answer it.
-func (k *Recorder) Outcome(now logic.Nanos, o *logic.Outcome, status int) {
-	if k.hold != nil {
-		k.hold.outcome(now, o, status)
+// Outcome records the end of a submission. status is that of the answer sent to the client, 0 if the client was not
+// answered by this submission.
+func (r *Recorder) Outcome(now logic.Nanos, o *logic.Outcome, status int) {
+	if r.sampler != nil {
+		r.sampler.outcome(now, o, status)
 		return
 	}
-	if !k.ready(now) {
+	if !r.prepare(now) {
 		return
 	}
-	b, at := k.open(tracepb.Kind_OUTCOME, int64(now))
+	b, start := r.beginRecord(tracepb.Kind_OUTCOME, int64(now))
 	b = putUint(b, tagTxn, uint64(o.Txn))
 	b = putUint(b, tagNumber, uint64(o.Number))
 	b = putUint(b, tagEnding, uint64(o.Ending))
-	b = putSpan(b, tagElapsed, uint64(o.Elapsed))
+	b = putDuration(b, tagElapsed, uint64(o.Elapsed))
 	if o.Final {
 		b = append(b, byte(tagOver), 1)
 	}
 	if o.Load != nil {
 		b = putLoads(b, o.Load.Util, o.Load.Queue, o.Load.Busy)
 	}
-	k.close(putUint(b, tagToken, uint64(status)), at, int64(now))
+	r.endRecord(putUint(b, tagToken, uint64(status)), start, int64(now))
 }
 
-// Event records one of the kinds that are no more than numbers.
-func (k *Recorder) Event(now logic.Nanos, kind Kind, txn logic.TxnID, number int, token, span uint64) {
-	if k.begun.open && kind == tracepb.Kind_REMIND && token != 0 && k.begun.sent && int64(now) == k.rec.At {
-		k.begun.sent = false
-		k.finish(token, span)
+// Event records an event or action that consists of numbers only.
+func (r *Recorder) Event(now logic.Nanos, kind Kind, txn logic.TxnID, number int, token, span uint64) {
+	if r.pending.open && kind == tracepb.Kind_REMIND && token != 0 && r.pending.submitted && int64(now) == r.rec.At {
+		r.pending.submitted = false
+		r.writeTake(token, span)
 		return
 	}
-	if k.hold != nil && !k.hold.event(now, kind, txn, number, token, span) || !k.ready(now) {
+	if r.sampler != nil && !r.sampler.event(now, kind, txn, number, token, span) || !r.prepare(now) {
 		return
 	}
-	b, at := k.open(kind, int64(now))
+	b, start := r.beginRecord(kind, int64(now))
 	b = putUint(b, tagTxn, uint64(txn))
 	b = putUint(b, tagNumber, uint64(number))
 	b = putUint(b, tagToken, token)
-	k.close(putSpan(b, tagSpan, span), at, int64(now))
+	r.endRecord(putDuration(b, tagSpan, span), start, int64(now))
 }
 
-// Submit records a submission.
-func (k *Recorder) Submit(now logic.Nanos, t logic.TxnID, w logic.WorkerID, timeout logic.Nanos) {
-	if k.hold != nil {
-		k.hold.submit(now, t, w, timeout)
+// Submit records a submission to a worker.
+func (r *Recorder) Submit(now logic.Nanos, t logic.TxnID, w logic.WorkerID, timeout logic.Nanos) {
+	if r.sampler != nil {
+		r.sampler.submit(now, t, w, timeout)
 		return
 	}
-	if k.begun.open && !k.begun.sent && t == k.begun.txn.ID && timeout == 0 && int64(now) == k.rec.At && k.cur != nil {
-		k.begun.sent = true
-		n := k.workers[w]
-		if n == nil || n.block != k.number {
-			k.begun.open = false // naming writes a record, and must not write this one
-			k.worker(now, w)
-			k.begun.open = true
-			n = k.workers[w]
+	if r.pending.open && !r.pending.submitted && t == r.pending.txn.ID && timeout == 0 && int64(now) == r.rec.At && r.cur != nil {
+		r.pending.submitted = true
+		ref := r.workers[w]
+		if ref == nil || ref.generation != r.generation {
+			r.pending.open = false // workerNumber writes a record, which must not write the pending TAKE
+			r.workerNumber(now, w)
+			r.pending.open = true
+			ref = r.workers[w]
 		}
-		k.begun.worker = n.number
+		r.pending.worker = ref.number
 		return
 	}
-	k.at(now, tracepb.Kind_SUBMIT, t, w, timeout)
+	r.putWorkerAction(now, tracepb.Kind_SUBMIT, t, w, timeout)
 }
 
-// Worker records an action on a worker alone.
-func (k *Recorder) Worker(now logic.Nanos, kind Kind, w logic.WorkerID) { k.at(now, kind, 0, w, 0) }
+// Worker records an action that concerns a worker but no txn.
+func (r *Recorder) Worker(now logic.Nanos, kind Kind, w logic.WorkerID) {
+	r.putWorkerAction(now, kind, 0, w, 0)
+}
 
-func (k *Recorder) at(now logic.Nanos, kind Kind, t logic.TxnID, w logic.WorkerID, span logic.Nanos) {
-	if k.ready(now) {
-		n := k.worker(now, w)
-		k.rec = Record{Kind: kind, At: int64(now), Txn: uint64(t), Worker: n, Span: uint64(span)}
-		k.put()
+// putWorkerAction writes a record that names a worker.
+func (r *Recorder) putWorkerAction(now logic.Nanos, kind Kind, t logic.TxnID, w logic.WorkerID, span logic.Nanos) {
+	if r.prepare(now) {
+		n := r.workerNumber(now, w)
+		r.rec = Record{Kind: kind, At: int64(now), Txn: uint64(t), Worker: n, Span: uint64(span)}
+		r.putRecord()
 	}
 }
 
-// Done tells that nothing more comes of a txn. Where txns are sampled it is decided now whether it is kept.
-func (k *Recorder) Done(now logic.Nanos, t logic.TxnID) {
-	if k.hold != nil {
-		k.hold.done(k, now, t)
+// Done reports that a txn has no further records. Where txns are sampled, this decides whether its records are
+// written.
+func (r *Recorder) Done(now logic.Nanos, t logic.TxnID) {
+	if r.sampler != nil {
+		r.sampler.finish(r, now, t)
 	}
 }
 
-// Log records a line of the module's log.
-func (k *Recorder) Log(now logic.Nanos, text string) {
-	if k.ready(now) {
-		k.rec = Record{Kind: tracepb.Kind_LOG, At: int64(now), Text: text}
-		k.put()
+// Log records a line that the module logged.
+func (r *Recorder) Log(now logic.Nanos, text string) {
+	if r.prepare(now) {
+		r.rec = Record{Kind: tracepb.Kind_LOG, At: int64(now), Text: text}
+		r.putRecord()
 	}
 }
--- a/trace/store.go
+++ b/trace/store.go
@@ -16,26 +16,26 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Folder is where segments lie. The one of the operating system is Disk; tests hand in ones that fail.
-type Folder interface {
+// Directory holds segments. OSDirectory is the implementation by the operating system; tests use ones that fail.
+type Directory interface {
 	Create(name string) (io.WriteCloser, error)
 	Remove(name string) error
 	List() ([]Segment, error)
-	// Replace puts a small file in place of another, so that a crash leaves the one or the other whole.
+	// Replace writes a small file atomically: after a crash either the old or the new content is there in whole.
 	Replace(name string, data []byte) error
 }
 
-// Segment is a file of a folder.
+// Segment is a segment file in a directory.
 type Segment struct {
 	Name string    `json:"name"`
-	Size int64     `json:"size"`
-	Last time.Time `json:"last"`
+	Size int64     `json:"size"` // bytes
+	Last time.Time `json:"last"` // time of the last write
 }
 
-// Disk is a folder of the operating system.
+// Disk is the path of a directory of the operating system.
 type Disk string
 
-// Create makes a file that must not be there yet.
+// Create creates a file, and the directory if need be; it fails if the file exists.
 func (d Disk) Create(name string) (io.WriteCloser, error) {
 	if err := os.MkdirAll(string(d), 0o755); err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 // Remove deletes a file.
 func (d Disk) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
 
-// List gives the folder's segments, the oldest first.
+// List returns the directory's segments, the oldest first.
 func (d Disk) List() ([]Segment, error) {
 	entries, err := os.ReadDir(string(d))
 	if errors.Is(err, os.ErrNotExist) {
@@ -66,7 +66,7 @@
 	return out, nil
 }
 
-// Replace writes beside and renames.
+// Replace writes a temporary file and renames it.
 func (d Disk) Replace(name string, data []byte) error {
 	tmp := filepath.Join(string(d), name+".new")
 	if err := os.WriteFile(tmp, data, 0o644); err != nil {
@@ -75,48 +75,50 @@
 	return os.Rename(tmp, filepath.Join(string(d), name))
 }
 
-// Suffix is what segments' names end in.
+// Suffix is the file name suffix of segments.
 const Suffix = ".dgt"
 
 const manifestName = "manifest.json"
 
-// Keep says how long traces are kept.
+// Keep limits the size and age of segments and the space they take.
 type Keep struct {
 	SegmentBytes int64         // a segment is closed at this size
 	SegmentAge   time.Duration // or at this age
-	TotalBytes   int64         // all segments of the folder together; the oldest go first
+	TotalBytes   int64         // limit for all segments of the directory together; the oldest are deleted first
 }
 
-// store writes the segments of one sentry's life. It is for one goroutine.
-type store struct {
-	folder  Folder
-	keep    Keep
-	header  *tracepb.Header
-	enc     *encoder
-	file    io.WriteCloser
-	name    string
-	size    int64
-	opened  time.Time
-	index   tracepb.Index
-	segment uint32
+// segmentWriter writes the segments of one run of a sentry. It must be used by one goroutine at a time.
+type segmentWriter struct {
+	dir       Directory
+	retention Keep
+	header    *tracepb.Header
+	enc       *encoder
+	file      io.WriteCloser // current segment; nil: none
+	name      string
+	size      int64 // bytes written to the current segment
+	opened    time.Time
+	index     tracepb.Index
+	segment   uint32 // number of the next segment
 }
 
-func (s *store) prefix() string {
+// namePrefix returns the part of the segments' names that is common to the run.
+func (s *segmentWriter) namePrefix() string {
 	return fmt.Sprintf("%s-s%d-%016x-", s.header.Edge, s.header.Sentry, s.header.Life)
 }
 
-// open begins a segment.
-func (s *store) open(now time.Time, clock int64) error {
+// openSegment creates a segment and writes its header. clock is the sentry clock at its start.
+func (s *segmentWriter) openSegment(now time.Time, clock int64) error {
 	h := proto.Clone(s.header).(*tracepb.Header)
-	// The sentry's clock does not step; what the wall clock did since the start is not known of this moment.
+	// The wall time is derived from the sentry clock, which never steps. Steps of the wall clock since the run's start are
+	// not reflected in it.
 	h.Segment, h.Wall, h.Start = s.segment, h.Wall+clock-h.Start, clock
 	frame, err := headerFrame(h)
 	if err != nil {
 		return err
 	}
-	name := fmt.Sprintf("%s%06d%s", s.prefix(), s.segment, Suffix)
-	s.segment++ // a name that failed is not tried again: something of it may stand there
-	file, err := s.folder.Create(name)
+	name := fmt.Sprintf("%s%06d%s", s.namePrefix(), s.segment, Suffix)
+	s.segment++ // the name is not used again after a failure, as a part of the file may exist
+	file, err := s.dir.Create(name)
 	if err != nil {
 		return err
 	}
@@ -125,23 +127,23 @@
 		return err
 	}
 	s.file, s.name, s.size, s.opened, s.index = file, name, int64(len(frame)), now, tracepb.Index{}
-	s.retain()
+	s.enforceRetention()
 	return nil
 }
 
-// append writes a block, in a new segment where the present one is full or old.
-func (s *store) append(now time.Time, b *block) error {
-	frame, info, err := s.enc.pack(proto.Clone(&b.info).(*tracepb.Block), b.keys, b.records)
+// appendBlock writes a block. It begins a new segment if there is none or the current one is full or too old.
+func (s *segmentWriter) appendBlock(now time.Time, b *block) error {
+	frame, info, err := s.enc.encodeBlockWithInfo(proto.Clone(&b.info).(*tracepb.Block), b.keys, b.records)
 	if err != nil {
 		return err
 	}
-	if s.file != nil && (s.size+int64(len(frame)) > s.keep.SegmentBytes || now.Sub(s.opened) > s.keep.SegmentAge) {
+	if s.file != nil && (s.size+int64(len(frame)) > s.retention.SegmentBytes || now.Sub(s.opened) > s.retention.SegmentAge) {
 		if err := s.close(); err != nil {
 			return err
 		}
 	}
 	if s.file == nil {
-		if err := s.open(now, b.info.First); err != nil {
+		if err := s.openSegment(now, b.info.First); err != nil {
 			return err
 		}
 	}
@@ -154,16 +156,16 @@
 	return nil
 }
 
-// abandon leaves a segment as it is; a reader finds its blocks without an index.
-func (s *store) abandon() {
+// abandon closes a segment without writing its index. Readers find its blocks by reading through it.
+func (s *segmentWriter) abandon() {
 	if s.file != nil {
 		s.file.Close()
 		s.file = nil
 	}
 }
 
-// close ends a segment with its index.
-func (s *store) close() error {
+// close writes the index of the current segment and closes it.
+func (s *segmentWriter) close() error {
 	if s.file == nil {
 		return nil
 	}
@@ -178,36 +180,36 @@
 	return err
 }
 
-// manifest lists the folder for people and tools. The folder itself is the truth: a manifest that lags after a
-// crash is made anew from it.
+// manifest is a list of the directory's segments for people and tools. The directory itself is authoritative: a manifest
+// that is out of date after a crash is rewritten from it.
 type manifest struct {
 	Version  int       `json:"version"`
 	Segments []Segment `json:"segments"`
 }
 
-// retain deletes the oldest segments over the bound, never the present one, and renews the manifest. A failure
-// costs no txn its trace; the next segment tries again.
-func (s *store) retain() {
-	list, err := s.folder.List()
+// enforceRetention deletes the oldest segments, except the current one, until a whole new segment fits below TotalBytes,
+// and rewrites the manifest. Failures do not affect recording; the next segment tries again.
+func (s *segmentWriter) enforceRetention() {
+	segments, err := s.dir.List()
 	if err != nil {
 		return
 	}
-	sum := int64(0)
-	for _, x := range list {
-		sum += x.Size
+	total := int64(0)
+	for _, seg := range segments {
+		total += seg.Size
 	}
-	kept := list[:0]
-	for _, x := range list {
-		if sum > s.keep.TotalBytes-s.keep.SegmentBytes && x.Name != s.name {
-			if s.folder.Remove(x.Name) == nil || errors.Is(err, os.ErrNotExist) {
-				sum -= x.Size
+	kept := segments[:0]
+	for _, seg := range segments {
+		if total > s.retention.TotalBytes-s.retention.SegmentBytes && seg.Name != s.name {
+			if s.dir.Remove(seg.Name) == nil || errors.Is(err, os.ErrNotExist) {
+				total -= seg.Size
 				continue
 			}
 		}
-		kept = append(kept, x)
+		kept = append(kept, seg)
 	}
 	data, err := json.MarshalIndent(manifest{1, kept}, "", "  ")
 	if err == nil {
-		s.folder.Replace(manifestName, data)
+		s.dir.Replace(manifestName, data)
 	}
 }
