--- a/lab/bench.go
+++ b/lab/bench.go
@@ -39,7 +39,7 @@
 	case "worker":
 		out := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: text/plain\r\n\r\n%s", size, strings.Repeat("x", size))
 		big := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 1<<20, strings.Repeat("x", 1<<20))
-		return rotate(ctx, &answerer{out: out, big: big}, listen)
+		return serveGnet(ctx, &fixedResponder{response: out, largeResponse: big}, listen)
 	case "gnet":
 		return forward(ctx, listen, worker)
 	case "fasthttp":
@@ -66,13 +66,13 @@
 	return fmt.Errorf("no subject %q", kind)
 }
 
-// answerer answers every request that ends in an empty line with the same bytes, one for /big with 1 MiB.
-type answerer struct {
+// fixedResponder answers every request that ends in an empty line with the same bytes, one for /big with 1 MiB.
+type fixedResponder struct {
 	gnet.BuiltinEventEngine
-	out, big []byte
+	response, largeResponse []byte
 }
 
-func (a *answerer) OnTraffic(c gnet.Conn) gnet.Action {
+func (a *fixedResponder) OnTraffic(c gnet.Conn) gnet.Action {
 	in, _ := c.Peek(-1)
 	took := 0
 	for {
@@ -81,9 +81,9 @@
 			break
 		}
 		if bytes.HasPrefix(in[took:], []byte("GET /big")) {
-			c.Write(a.big)
+			c.Write(a.largeResponse)
 		} else {
-			c.Write(a.out)
+			c.Write(a.response)
 		}
 		took += at + 4
 	}
@@ -93,7 +93,7 @@
 	return gnet.None
 }
 
-func rotate(ctx context.Context, h gnet.EventHandler, listen string) error {
+func serveGnet(ctx context.Context, h gnet.EventHandler, listen string) error {
 	go func() {
 		<-ctx.Done()
 		gnet.Stop(context.Background(), "tcp://"+listen)
@@ -107,31 +107,31 @@
 	gnet.BuiltinEventEngine
 }
 
-type pair struct{ other gnet.Conn }
+type peerConn struct{ peer gnet.Conn }
 
 // OnOpen ties the client's side to the worker's, which was there before, on the loop of both.
 func (*forwarder) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
-	if p := c.Context().(*pair); p.other != nil {
-		p.other.Context().(*pair).other = c
+	if p := c.Context().(*peerConn); p.peer != nil {
+		p.peer.Context().(*peerConn).peer = c
 	}
 	return nil, gnet.None
 }
 
 func (*forwarder) OnTraffic(c gnet.Conn) gnet.Action {
-	p := c.Context().(*pair)
+	p := c.Context().(*peerConn)
 	in, _ := c.Peek(-1)
-	if p.other != nil {
-		p.other.Write(in)
+	if p.peer != nil {
+		p.peer.Write(in)
 		c.Discard(len(in))
 	}
 	return gnet.None
 }
 
 func (*forwarder) OnClose(c gnet.Conn, _ error) gnet.Action {
-	if p := c.Context().(*pair); p.other != nil {
-		other := p.other
-		p.other = nil
-		other.Context().(*pair).other = nil
+	if p := c.Context().(*peerConn); p.peer != nil {
+		other := p.peer
+		p.peer = nil
+		other.Context().(*peerConn).peer = nil
 		other.Close()
 	}
 	return gnet.None
@@ -167,12 +167,12 @@
 			continue
 		}
 		e := engines[n%len(engines)]
-		a, b := &pair{}, &pair{}
+		a, b := &peerConn{}, &peerConn{}
 		back, err := e.EnrollContext(up, a)
 		if err != nil {
 			return err
 		}
-		b.other = back
+		b.peer = back
 		if _, err := e.EnrollContext(c, b); err != nil {
 			return err
 		}
@@ -194,15 +194,15 @@
 
 // BenchRow is what one subject reached: medians over the rounds.
 type BenchRow struct {
-	Subject         string
-	Loops, Size     int
-	PerCoreSecond   float64
-	PerSecond       float64
-	P50, P99        float64 // microseconds, of the open loop
-	AddedP50, Added float64 // the same less the direct way's, round by round
-	OverEdge        float64 // txns a core-second over the edge's of the same round: the median
-	Least, Most     float64 // of the rounds
-	P99OverEdge     float64
+	Subject                        string
+	Loops, AnswerBytes             int
+	PerCoreSecond                  float64
+	PerSecond                      float64
+	P50, P99                       float64 // microseconds, of the open loop
+	AddedP50, AddedP99             float64 // the same less the direct way's, round by round
+	RatioToEdge                    float64 // txns a core-second over the edge's of the same round: the median
+	MinRatioToEdge, MaxRatioToEdge float64 // of the rounds
+	P99RatioToEdge                 float64
 }
 
 // Bench measures all subjects in turn, round by round, so that a noisy machine hits all alike.
@@ -232,7 +232,7 @@
 						keys = append(keys, k)
 					}
 					s := sample{}
-					perCore, perSecond, h, err := plan.one(subject, worker, size, loops)
+					perCore, perSecond, h, err := plan.measure(subject, worker, size, loops)
 					if err != nil {
 						stop()
 						return nil, fmt.Errorf("%s, %d loops: %w", subject, loops, err)
@@ -285,12 +285,12 @@
 	if err != nil {
 		return "", nil, err
 	}
-	stop, _, err := plan.process(nil, address, "lab", "subject", "worker", "--listen", address, "--size", strconv.Itoa(size))
+	stop, _, err := plan.startProcess(nil, address, "lab", "subject", "worker", "--listen", address, "--size", strconv.Itoa(size))
 	return address, stop, err
 }
 
-// process starts this program with arguments and waits until it listens.
-func (plan BenchPlan) process(env []string, address string, args ...string) (stop func(), pid int, err error) {
+// startProcess starts this program with arguments and waits until it listens.
+func (plan BenchPlan) startProcess(env []string, address string, args ...string) (stop func(), pid int, err error) {
 	cmd := exec.Command(plan.Self, args...)
 	cmd.Env = append(os.Environ(), env...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -313,8 +313,8 @@
 	return nil, 0, fmt.Errorf("%v does not listen at %s", args, address)
 }
 
-// one measures a subject: first as much as it can take, by its CPU, then the times at a modest rate.
-func (plan BenchPlan) one(subject, worker string, size, loops int) (perCore, perSecond float64, h *hdrhistogram.Histogram, err error) {
+// measure measures a subject: first as much as it can take, by its CPU, then the times at a modest rate.
+func (plan BenchPlan) measure(subject, worker string, size, loops int) (perCore, perSecond float64, h *hdrhistogram.Histogram, err error) {
 	address, pid := worker, 0
 	if subject != "direct" {
 		if address, err = freeAddress("127.0.0.1"); err != nil {
@@ -322,36 +322,36 @@
 		}
 		args := []string{"lab", "subject", subject, "--listen", address, "--worker", worker}
 		if strings.HasPrefix(subject, "edge") {
-			path, err := plan.edgeFiles(address, worker, loops, strings.TrimPrefix(subject, "edge"))
+			path, err := plan.writeEdgeFiles(address, worker, loops, strings.TrimPrefix(subject, "edge"))
 			if err != nil {
 				return 0, 0, nil, err
 			}
 			args = []string{"edge", path}
 		}
 		var stop func()
-		if stop, pid, err = plan.process([]string{"GOMAXPROCS=" + strconv.Itoa(loops+1), "BENCH_LOOPS=" + strconv.Itoa(loops)}, address, args...); err != nil {
+		if stop, pid, err = plan.startProcess([]string{"GOMAXPROCS=" + strconv.Itoa(loops+1), "BENCH_LOOPS=" + strconv.Itoa(loops)}, address, args...); err != nil {
 			return
 		}
 		defer stop()
 		time.Sleep(300 * time.Millisecond) // the list is read
 	}
-	if _, err = plan.load(address, size, plan.Span/3, 0); err != nil { // to warm up
+	if _, err = plan.generateLoad(address, size, plan.Span/3, 0); err != nil { // to warm up
 		return
 	}
-	cpu, began := cpuOf(pid), time.Now()
-	all, err := plan.load(address, size, plan.Span, 0)
+	cpu, began := cpuTime(pid), time.Now()
+	all, err := plan.generateLoad(address, size, plan.Span, 0)
 	if err != nil {
 		return
 	}
 	perSecond = float64(all.TotalCount()) / time.Since(began).Seconds()
-	if used := cpuOf(pid) - cpu; used > 0 {
+	if used := cpuTime(pid) - cpu; used > 0 {
 		perCore = float64(all.TotalCount()) / used.Seconds()
 	}
-	h, err = plan.load(address, size, plan.Span, plan.Rate)
+	h, err = plan.generateLoad(address, size, plan.Span, plan.Rate)
 	return
 }
 
-func (plan BenchPlan) edgeFiles(listen, worker string, loops int, traced string) (string, error) {
+func (plan BenchPlan) writeEdgeFiles(listen, worker string, loops int, traced string) (string, error) {
 	if err := os.MkdirAll(plan.Out, 0o755); err != nil {
 		return "", err
 	}
@@ -375,8 +375,8 @@
 	return settings, os.WriteFile(settings, []byte(text), 0o644)
 }
 
-// cpuOf is the CPU time that a process has used, by /proc, in ticks of 10 ms.
-func cpuOf(pid int) time.Duration {
+// cpuTime is the CPU time that a process has used, by /proc, in ticks of 10 ms.
+func cpuTime(pid int) time.Duration {
 	if pid == 0 {
 		return 0
 	}
@@ -390,9 +390,9 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// load sends requests on some connections for a span and gives their times in microseconds: one after another on
+// generateLoad sends requests on some connections for a span and gives their times in microseconds: one after another on
 // each where rate is 0, else at times set ahead, from which lateness counts.
-func (plan BenchPlan) load(address string, size int, span time.Duration, rate float64) (*hdrhistogram.Histogram, error) {
+func (plan BenchPlan) generateLoad(address string, size int, span time.Duration, rate float64) (*hdrhistogram.Histogram, error) {
 	all := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
 	var group sync.WaitGroup
@@ -401,7 +401,7 @@
 	for i := 0; i < plan.Conns; i++ {
 		group.Go(func() {
 			h := hdrhistogram.New(1, 60_000_000, 3)
-			err := loadOne(address, size, began, span, rate/float64(plan.Conns), i, plan.Conns, h)
+			err := loadConnection(address, size, began, span, rate/float64(plan.Conns), i, plan.Conns, h)
 			mu.Lock()
 			defer mu.Unlock()
 			all.Merge(h)
@@ -414,7 +414,7 @@
 	return all, first
 }
 
-func loadOne(address string, size int, began time.Time, span time.Duration, rate float64, i, of int, h *hdrhistogram.Histogram) error {
+func loadConnection(address string, size int, began time.Time, span time.Duration, rate float64, i, of int, h *hdrhistogram.Histogram) error {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
@@ -472,7 +472,7 @@
 func BenchTable(w io.Writer, rows []BenchRow) {
 	find := func(subject string, r BenchRow) *BenchRow {
 		for i := range rows {
-			if rows[i].Subject == subject && rows[i].Loops == r.Loops && rows[i].Size == r.Size {
+			if rows[i].Subject == subject && rows[i].Loops == r.Loops && rows[i].AnswerBytes == r.AnswerBytes {
 				return &rows[i]
 			}
 		}
@@ -482,8 +482,8 @@
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, r := range rows {
 		over := "-"
-		if r.OverEdge > 0 {
-			over = fmt.Sprintf("%.3f (%.3f to %.3f)", r.OverEdge, r.Least, r.Most)
+		if r.RatioToEdge > 0 {
+			over = fmt.Sprintf("%.3f (%.3f to %.3f)", r.RatioToEdge, r.MinRatioToEdge, r.MaxRatioToEdge)
 		}
 		ratio := func(to *BenchRow) string {
 			if to == nil || to.PerCoreSecond == 0 || r.PerCoreSecond == 0 {
@@ -491,7 +491,7 @@
 			}
 			return fmt.Sprintf("%.2f", r.PerCoreSecond/to.PerCoreSecond)
 		}
-		fmt.Fprintf(w, "| %s | %d | %d | %.0f | %s | %s | %s | %.0f | %.0f | %.0f | %.2f |\n", r.Subject, r.Loops, r.Size, r.PerCoreSecond,
-			ratio(find("reverse-proxy", r)), ratio(find("gnet", r)), over, r.P50, r.P99, r.Added, r.P99OverEdge)
+		fmt.Fprintf(w, "| %s | %d | %d | %.0f | %s | %s | %s | %.0f | %.0f | %.0f | %.2f |\n", r.Subject, r.Loops, r.AnswerBytes, r.PerCoreSecond,
+			ratio(find("reverse-proxy", r)), ratio(find("gnet", r)), over, r.P50, r.P99, r.AddedP99, r.P99RatioToEdge)
 	}
 }
--- a/lab/day.go
+++ b/lab/day.go
@@ -36,19 +36,19 @@
 	Speed    float64
 }
 
-// Trouble is something that goes wrong for a while.
-type Trouble struct {
-	Kind  string
-	At    time.Duration
-	For   time.Duration
-	On    []int   // machines' places or sentries; empty: Many of them by chance
-	Many  int     // how many, where On is empty
-	Size  float64 // what it means depends on the kind
-	Extra float64
+// Fault is something that goes wrong for a while.
+type Fault struct {
+	Kind      string
+	At        time.Duration
+	Duration  time.Duration
+	Targets   []int   // machines' places or sentries; empty: Many of them by chance
+	Count     int     // how many, where On is empty
+	Magnitude float64 // what it means depends on the kind
+	Extra     float64
 }
 
 // Kinds of troubles, and what they take.
-var troubleKinds = map[string]string{
+var faultKinds = map[string]string{
 	"crash":          "machines die at once, and come back cold after (for ...)",
 	"vanish":         "machines go silent: nothing is answered, nothing accepted",
 	"hang":           "machines take txns and answer none",
@@ -75,7 +75,7 @@
 	Length time.Duration
 	Sentries,
 	Loops int
-	Weights     []float64 // of the sentries' traffic
+	EdgeWeights []float64 // of the sentries' traffic
 	Machines    int
 	MachineKind fleet.Kind
 	MinSpeed, MaxSpeed,
@@ -88,7 +88,7 @@
 	Backoff         time.Duration
 	MinPatience     float64 // least share of the expiry that a client waits
 	StageShares     []float64
-	Slack           float64 // cap = share times slack
+	CapFactor       float64 // cap = share times slack
 	BakeTime        time.Duration
 	VoteRule        string
 	OnVotesNeeded   int
@@ -111,9 +111,9 @@
 	WrongReportDelay time.Duration
 	DrainTime        time.Duration // a drained machine goes after that
 	DrainGrace       time.Duration
-	Messages         bool
+	PeerMessages     bool
 	Offers           []Offer
-	Troubles         []Trouble
+	Faults           []Fault
 }
 
 // ReadDay reads and checks a day's file. The error is config.Faults where the text is at fault.
@@ -134,7 +134,7 @@
 	return readDay(r)
 }
 
-const longest = 24 * time.Hour
+const maxDuration = 24 * time.Hour
 
 func readDay(r *config.Reader) (*Day, error) {
 	f := r.Root().RequireField("day")
@@ -142,13 +142,13 @@
 	d := &Day{Name: f.TakeName("a day's name")}
 	d.Seed = f.Int("seed", 1, 0, math.MaxInt64)
 	f.RequireField("length")
-	d.Length = f.Duration("length", time.Minute, time.Second, longest)
+	d.Length = f.Duration("length", time.Minute, time.Second, maxDuration)
 	s := f.OptionalField("sentries")
 	d.Sentries = int(s.Int("processes", 1, 1, 32))
 	d.Loops = int(s.Int("loops", 1, 1, 8))
-	d.Messages = s.Bool("messages", false)
-	if d.Weights = s.Floats("weights", 0.001, 1000); len(d.Weights) > 0 && len(d.Weights) != d.Sentries {
-		s.AddError(fmt.Sprintf("%d weights", len(d.Weights)), fmt.Sprintf("one for each of %d processes", d.Sentries))
+	d.PeerMessages = s.Bool("messages", false)
+	if d.EdgeWeights = s.Floats("weights", 0.001, 1000); len(d.EdgeWeights) > 0 && len(d.EdgeWeights) != d.Sentries {
+		s.AddError(fmt.Sprintf("%d weights", len(d.EdgeWeights)), fmt.Sprintf("one for each of %d processes", d.Sentries))
 	}
 	s.RejectUnknown()
 	m := f.RequireField("fleet")
@@ -217,7 +217,7 @@
 			p.AddError(fmt.Sprintf("stage %g after %g", d.StageShares[i], d.StageShares[i-1]), "stages that rise")
 		}
 	}
-	d.Slack = p.Float("slack", 1.3, 1, 10)
+	d.CapFactor = p.Float("slack", 1.3, 1, 10)
 	d.BakeTime = p.Duration("bake", 2*time.Second, 0, time.Hour)
 	d.VoteRule = p.OneOf("votes", "single", "single", "majority", "clocked")
 	d.OnVotesNeeded = int(p.Int("need-on", 1, 1, 1000))
@@ -245,7 +245,7 @@
 
 func (d *Day) readScript(f *config.Form) {
 	for _, o := range f.Fields("offer") {
-		x := Offer{At: o.Duration("at", 0, 0, longest), Strength: o.Float("strength", 0, 0, 100), Product: o.Text("product", ""),
+		x := Offer{At: o.Duration("at", 0, 0, maxDuration), Strength: o.Float("strength", 0, 0, 100), Product: o.Text("product", ""),
 			Speed: o.Float("speed", 1, 0.01, 100),
 			Flaw: fleet.Flaw(o.OneOf("flaw", "good", "good", "errors", "slow", "product", "load", "late", "wrong",
 				"slows-all"))}
@@ -257,23 +257,23 @@
 	}
 	sort.SliceStable(d.Offers, func(i, j int) bool { return d.Offers[i].At < d.Offers[j].At })
 	var kinds []string
-	for k := range troubleKinds {
+	for k := range faultKinds {
 		kinds = append(kinds, k)
 	}
 	sort.Strings(kinds)
 	for _, g := range f.Fields("trouble") {
-		x := Trouble{Kind: g.TakeName("a kind of trouble"), At: g.Duration("at", 0, 0, longest), For: g.Duration("for", 5*time.Second, 0, longest),
-			Many: int(g.Int("many", 1, 0, 1000)), Size: g.Float("size", 0, 0, 1000), Extra: g.Float("extra", 0, 0, 1000)}
-		if troubleKinds[x.Kind] == "" {
+		x := Fault{Kind: g.TakeName("a kind of trouble"), At: g.Duration("at", 0, 0, maxDuration), Duration: g.Duration("for", 5*time.Second, 0, maxDuration),
+			Count: int(g.Int("many", 1, 0, 1000)), Magnitude: g.Float("size", 0, 0, 1000), Extra: g.Float("extra", 0, 0, 1000)}
+		if faultKinds[x.Kind] == "" {
 			g.AddError(strconv.Quote(x.Kind), "one of "+strings.Join(kinds, ", "))
 		}
 		for _, n := range g.Floats("on", 0, 1000) {
-			x.On = append(x.On, int(n))
+			x.Targets = append(x.Targets, int(n))
 		}
 		g.RejectUnknown()
-		d.Troubles = append(d.Troubles, x)
+		d.Faults = append(d.Faults, x)
 	}
-	sort.SliceStable(d.Troubles, func(i, j int) bool { return d.Troubles[i].At < d.Troubles[j].At })
+	sort.SliceStable(d.Faults, func(i, j int) bool { return d.Faults[i].At < d.Faults[j].At })
 }
 
 func (d *Day) productIndex(name string) int {
@@ -293,9 +293,9 @@
 	for i := range d.Offers {
 		shrink(&d.Offers[i].At)
 	}
-	for i := range d.Troubles {
-		shrink(&d.Troubles[i].At)
-		shrink(&d.Troubles[i].For)
+	for i := range d.Faults {
+		shrink(&d.Faults[i].At)
+		shrink(&d.Faults[i].Duration)
 	}
 }
 
@@ -303,7 +303,7 @@
 func (d *Day) stageCaps() []float64 {
 	out := make([]float64, len(d.StageShares))
 	for i, s := range d.StageShares {
-		out[i] = min(1, s*d.Slack)
+		out[i] = min(1, s*d.CapFactor)
 	}
 	return out
 }
--- a/lab/days_test.go
+++ b/lab/days_test.go
@@ -35,9 +35,9 @@
   (platform (stages 0.2 0.5 1) (slack 1.3) (bake 800ms) (window 3s) (free 3) (one-way true) (news-late 100ms) (list-late 100ms) (drain 500ms))
   %s)`
 
-// agree holds the rules against the edges' traces, and the verdict against the sockets' one: rules, not counts, as the
+// checkTraces holds the rules against the edges' traces, and the verdict against the sockets' one: rules, not counts, as the
 // checker allows for what lies between a socket and a record.
-func agree(t *testing.T, day *Day, broken []Violation, dir string, settings map[string]any) {
+func checkTraces(t *testing.T, day *Day, broken []Violation, dir string, settings map[string]any) {
 	t.Helper()
 	lives, err := trace.Lives([]string{filepath.Join(dir, "state", "trace")})
 	if err != nil {
@@ -117,7 +117,7 @@
 			if c.rule > 0 && !slices.ContainsFunc(broken, func(v Violation) bool { return v.Rule == c.rule }) {
 				t.Errorf("the sockets do not show rule %d broken", c.rule)
 			}
-			agree(t, day, broken, dir, right)
+			checkTraces(t, day, broken, dir, right)
 		})
 	}
 }
@@ -194,7 +194,7 @@
 			if _, err := WriteReport(dir, f, rec.Marks); err != nil {
 				t.Error(err)
 			}
-			agree(t, day, broken, dir, nil)
+			checkTraces(t, day, broken, dir, nil)
 			// What the edges recorded must lead to the same decisions again, also where one was killed.
 			lives, err := trace.Lives([]string{filepath.Join(dir, "state", "trace")})
 			if err != nil || len(lives) < day.Sentries {
--- a/lab/embed.go
+++ b/lab/embed.go
@@ -8,11 +8,11 @@
 )
 
 //go:embed days/*.sexp
-var days embed.FS
+var embeddedDays embed.FS
 
 // Embedded gives a day that comes with the program, by its name.
 func Embedded(name string) (*Day, error) {
-	text, err := days.ReadFile("days/" + name + ".sexp")
+	text, err := embeddedDays.ReadFile("days/" + name + ".sexp")
 	if err != nil {
 		return nil, fmt.Errorf("no day %q comes with the program; there are %s", name, strings.Join(EmbeddedNames(), ", "))
 	}
@@ -21,7 +21,7 @@
 
 // EmbeddedNames lists the days that come with the program.
 func EmbeddedNames() []string {
-	list, _ := days.ReadDir("days")
+	list, _ := embeddedDays.ReadDir("days")
 	var out []string
 	for _, e := range list {
 		out = append(out, strings.TrimSuffix(e.Name(), ".sexp"))
--- a/lab/hostile.go
+++ b/lab/hostile.go
@@ -19,25 +19,25 @@
 
 // HostileRow is how an edge stood one kind of hostile client, while honest ones went on.
 type HostileRow struct {
-	Attack      string
-	Clients     int
-	Honest      int // txns
-	HonestFine  int
-	P50, P99    float64 // ms, of the honest
-	RSS, MaxRSS float64 // MiB, before and at the most
-	After       float64 // MiB, when the attackers have gone
-	Closed      int     // attackers whose connection the edge ended
+	Attack         string
+	Clients        int
+	RegularTxns    int // txns
+	RegularSettled int
+	P50, P99       float64 // ms, of the honest
+	RSS, MaxRSS    float64 // MiB, before and at the most
+	RSSAfter       float64 // MiB, when the attackers have gone
+	ClosedByEdge   int     // attackers whose connection the edge ended
 }
 
 // attack keeps clients busy until ctx ends; it counts connections that the edge ends.
 type attack struct {
 	name    string
 	clients int
-	client  func(ctx context.Context, address string, closed *atomic.Int64)
+	run     func(ctx context.Context, address string, closed *atomic.Int64)
 }
 
-// hold keeps a connection open and reads until the edge ends it, sending more now and then.
-func hold(ctx context.Context, address, first, more string, every time.Duration, read bool, closed *atomic.Int64) {
+// holdConnection keeps a connection open and reads until the edge ends it, sending more now and then.
+func holdConnection(ctx context.Context, address, first, more string, every time.Duration, read bool, closed *atomic.Int64) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return
@@ -74,8 +74,8 @@
 	<-ended
 }
 
-// again does something over and over on new connections, for as long as ctx lasts.
-func again(ctx context.Context, address string, do func(c net.Conn)) {
+// reconnectLoop does something over and over on new connections, for as long as ctx lasts.
+func reconnectLoop(ctx context.Context, address string, do func(c net.Conn)) {
 	for ctx.Err() == nil {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
@@ -88,30 +88,30 @@
 	}
 }
 
-const plainGet = "GET /ask HTTP/1.1\r\nHost: h\r\n\r\n"
+const getRequest = "GET /ask HTTP/1.1\r\nHost: h\r\n\r\n"
 
 var attacks = []attack{
 	{"nobody", 0, nil},
-	{"idle connections", 10000, func(ctx context.Context, a string, n *atomic.Int64) { hold(ctx, a, "", "", 0, true, n) }},
+	{"idle connections", 10000, func(ctx context.Context, a string, n *atomic.Int64) { holdConnection(ctx, a, "", "", 0, true, n) }},
 	{"slow heads, a byte each 100 ms", 2000, func(ctx context.Context, a string, n *atomic.Int64) {
-		hold(ctx, a, "GET /ask HTTP/1.1\r\nHost: h\r\nA: ", "a", 100*time.Millisecond, true, n)
+		holdConnection(ctx, a, "GET /ask HTTP/1.1\r\nHost: h\r\nA: ", "a", 100*time.Millisecond, true, n)
 	}},
 	{"slow bodies, a byte each 100 ms", 2000, func(ctx context.Context, a string, n *atomic.Int64) {
-		hold(ctx, a, "POST /ask HTTP/1.1\r\nHost: h\r\nContent-Length: 100000\r\n\r\n", "a", 100*time.Millisecond, true, n)
+		holdConnection(ctx, a, "POST /ask HTTP/1.1\r\nHost: h\r\nContent-Length: 100000\r\n\r\n", "a", 100*time.Millisecond, true, n)
 	}},
 	{"slow readers of 1 MiB answers", 300, func(ctx context.Context, a string, n *atomic.Int64) {
-		hold(ctx, a, "GET /big HTTP/1.1\r\nHost: h\r\n\r\n", "", 0, false, n)
+		holdConnection(ctx, a, "GET /big HTTP/1.1\r\nHost: h\r\n\r\n", "", 0, false, n)
 	}},
 	{"half-closed", 20, func(ctx context.Context, a string, n *atomic.Int64) {
-		again(ctx, a, func(c net.Conn) {
-			io.WriteString(c, plainGet)
+		reconnectLoop(ctx, a, func(c net.Conn) {
+			io.WriteString(c, getRequest)
 			c.(*net.TCPConn).CloseWrite()
 			io.Copy(io.Discard, c)
 			n.Add(1)
 		})
 	}},
 	{"resets in the middle of a request", 20, func(ctx context.Context, a string, n *atomic.Int64) {
-		again(ctx, a, func(c net.Conn) {
+		reconnectLoop(ctx, a, func(c net.Conn) {
 			io.WriteString(c, "POST /ask HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\nabc")
 			c.(*net.TCPConn).SetLinger(0)
 		})
@@ -120,7 +120,7 @@
 		bad := []string{"GET / HTTP/1.1\nHost: h\r\n\r\n", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
 			"GET /ask HTTP/1.1\r\nHost: h\r\nA: " + strings.Repeat("a", 40000), "\x16\x03\x01\x02\x00\r\n\r\n"}
 		k := 0
-		again(ctx, a, func(c net.Conn) {
+		reconnectLoop(ctx, a, func(c net.Conn) {
 			k++
 			io.WriteString(c, bad[k%len(bad)])
 			io.Copy(io.Discard, c)
@@ -128,8 +128,8 @@
 		})
 	}},
 	{"pipelined floods without reading", 50, func(ctx context.Context, a string, n *atomic.Int64) {
-		flood := strings.Repeat(plainGet, 500)
-		hold(ctx, a, flood, flood, time.Millisecond, false, n)
+		flood := strings.Repeat(getRequest, 500)
+		holdConnection(ctx, a, flood, flood, time.Millisecond, false, n)
 	}},
 }
 
@@ -142,12 +142,12 @@
 	defer stopWorker()
 	var rows []HostileRow
 	for _, a := range attacks {
-		row, err := plan.hostile(ctx, a, worker)
+		row, err := plan.runAttack(ctx, a, worker)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", a.name, err)
 		}
-		fmt.Fprintf(say, "%-35s honest %d of %d, p99 %.1f ms, memory %.0f to %.0f MiB, then %.0f\n", a.name, row.HonestFine, row.Honest, row.P99,
-			row.RSS, row.MaxRSS, row.After)
+		fmt.Fprintf(say, "%-35s honest %d of %d, p99 %.1f ms, memory %.0f to %.0f MiB, then %.0f\n", a.name, row.RegularSettled, row.RegularTxns, row.P99,
+			row.RSS, row.MaxRSS, row.RSSAfter)
 		rows = append(rows, row)
 	}
 	return rows, nil
@@ -158,21 +158,21 @@
 	fmt.Fprintln(w, "| attack | clients | honest txns | of them settled | p50 ms | p99 ms | memory before, MiB | at the most | when they have gone | connections the edge ended |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, r := range rows {
-		fmt.Fprintf(w, "| %s | %d | %d | %d | %.2f | %.2f | %.0f | %.0f | %.0f | %d |\n", r.Attack, r.Clients, r.Honest, r.HonestFine, r.P50, r.P99, r.RSS,
-			r.MaxRSS, r.After, r.Closed)
+		fmt.Fprintf(w, "| %s | %d | %d | %d | %.2f | %.2f | %.0f | %.0f | %.0f | %d |\n", r.Attack, r.Clients, r.RegularTxns, r.RegularSettled, r.P50, r.P99, r.RSS,
+			r.MaxRSS, r.RSSAfter, r.ClosedByEdge)
 	}
 }
 
-func (plan BenchPlan) hostile(ctx context.Context, a attack, worker string) (row HostileRow, err error) {
+func (plan BenchPlan) runAttack(ctx context.Context, a attack, worker string) (row HostileRow, err error) {
 	address, err := freeAddress("127.0.0.1")
 	if err != nil {
 		return row, err
 	}
-	path, err := plan.hostileFiles(address, worker)
+	path, err := plan.writeHostileFiles(address, worker)
 	if err != nil {
 		return row, err
 	}
-	stop, pid, err := plan.process(nil, address, "edge", path)
+	stop, pid, err := plan.startProcess(nil, address, "edge", path)
 	if err != nil {
 		return row, err
 	}
@@ -180,18 +180,18 @@
 	time.Sleep(300 * time.Millisecond)
 	row = HostileRow{Attack: a.name, Clients: a.clients}
 	honest := func(span time.Duration) {
-		h, fine, all := plan.honest(address, span)
-		row.Honest, row.HonestFine = all, fine
+		h, fine, all := plan.sendRegularTxns(address, span)
+		row.RegularTxns, row.RegularSettled = all, fine
 		row.P50, row.P99 = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000
 	}
 	honest(time.Second) // to warm up
-	row.RSS = rss(pid)
+	row.RSS = residentMiB(pid)
 	under, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var group sync.WaitGroup
 	var closed atomic.Int64
 	for i := 0; i < a.clients; i++ {
-		group.Go(func() { a.client(under, address, &closed) })
+		group.Go(func() { a.run(under, address, &closed) })
 		if i%200 == 199 {
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -199,7 +199,7 @@
 	watch := make(chan struct{})
 	group.Go(func() {
 		for {
-			row.MaxRSS = max(row.MaxRSS, rss(pid))
+			row.MaxRSS = max(row.MaxRSS, residentMiB(pid))
 			select {
 			case <-watch:
 				return
@@ -208,16 +208,16 @@
 		}
 	})
 	honest(plan.Span)
-	row.Closed = int(closed.Load())
+	row.ClosedByEdge = int(closed.Load())
 	cancel()
 	close(watch)
 	group.Wait()
 	time.Sleep(500 * time.Millisecond)
-	row.After = rss(pid)
+	row.RSSAfter = residentMiB(pid)
 	return row, nil
 }
 
-func (plan BenchPlan) hostileFiles(listen, worker string) (string, error) {
+func (plan BenchPlan) writeHostileFiles(listen, worker string) (string, error) {
 	if err := os.MkdirAll(plan.Out, 0o755); err != nil {
 		return "", err
 	}
@@ -236,8 +236,8 @@
 	return settings, os.WriteFile(settings, []byte(text), 0o644)
 }
 
-// honest sends 500 txns a second on 20 connections, at times set ahead.
-func (plan BenchPlan) honest(address string, span time.Duration) (all *hdrhistogram.Histogram, fine, asked int) {
+// sendRegularTxns sends 500 txns a second on 20 connections, at times set ahead.
+func (plan BenchPlan) sendRegularTxns(address string, span time.Duration) (all *hdrhistogram.Histogram, fine, asked int) {
 	const conns, rate = 20, 500.0
 	all = hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
@@ -284,7 +284,7 @@
 
 // roundTrip sends one request and reads its whole answer.
 func roundTrip(c net.Conn, buf []byte) bool {
-	if _, err := io.WriteString(c, plainGet); err != nil {
+	if _, err := io.WriteString(c, getRequest); err != nil {
 		return false
 	}
 	n, need := 0, -1
@@ -304,8 +304,8 @@
 	return bytes.HasPrefix(buf, []byte("HTTP/1.1 200"))
 }
 
-// rss is the memory that a process holds, in MiB.
-func rss(pid int) float64 {
+// residentMiB is the memory that a process holds, in MiB.
+func residentMiB(pid int) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
--- a/lab/importer.go
+++ b/lab/importer.go
@@ -12,15 +12,15 @@
 
 // benchDay is what is read of a day drawn by the bench; its other fields have no counterpart here.
 type benchDay struct {
-	Site      string   `json:"site"`
-	Kind      string   `json:"kind"`
-	Length    float64  `json:"length"`
-	Zones     []string `json:"zones"`
-	Grace     float64  `json:"drain_grace"`
-	Multiple  float64  `json:"fall_multiple"`
-	FallFor   float64  `json:"fall_for"`
-	Balancers []any    `json:"balancers"`
-	Servers   []struct {
+	Site             string   `json:"site"`
+	Kind             string   `json:"kind"`
+	Length           float64  `json:"length"`
+	Zones            []string `json:"zones"`
+	DrainGrace       float64  `json:"drain_grace"`
+	OverloadMultiple float64  `json:"fall_multiple"`
+	OverloadWindow   float64  `json:"fall_for"`
+	Balancers        []any    `json:"balancers"`
+	Servers          []struct {
 		Kind  int     `json:"kind"`
 		Speed float64 `json:"speed"`
 	} `json:"servers"`
@@ -75,7 +75,7 @@
 		On    []int   `json:"on"`
 		How   string  `json:"how"`
 	} `json:"troubles"`
-	Fam struct {
+	Rollout struct {
 		Places   int       `json:"places"`
 		Bake     float64   `json:"bake"`
 		Beside   bool      `json:"beside"`
@@ -117,7 +117,7 @@
 	TimeScale float64
 }
 
-func micros(v float64) time.Duration {
+func fromMicros(v float64) time.Duration {
 	return (time.Duration(v) * time.Microsecond).Round(10 * time.Microsecond)
 }
 
@@ -139,11 +139,11 @@
 	if err := json.Unmarshal(data, &d); err != nil {
 		return "", nil, fmt.Errorf("import %s: %w", path, err)
 	}
-	if d.Fam.Places == 0 || len(d.Classes) == 0 || len(d.Tiers) == 0 || len(d.Tiers[0].Kinds) == 0 || len(d.Servers) == 0 {
+	if d.Rollout.Places == 0 || len(d.Classes) == 0 || len(d.Tiers) == 0 || len(d.Tiers[0].Kinds) == 0 || len(d.Servers) == 0 {
 		return "", nil, fmt.Errorf("import %s: no rollout day: places, classes, tiers or servers are missing", path)
 	}
 	drop := func(format string, args ...any) { left = append(left, fmt.Sprintf(format, args...)) }
-	machines, sentries := min(d.Fam.Places, sc.Machines), min(len(d.Balancers), sc.Sentries)
+	machines, sentries := min(d.Rollout.Places, sc.Machines), min(len(d.Balancers), sc.Sentries)
 	if len(d.Zones) > 1 {
 		drop("%d zones: all machines stand in one", len(d.Zones))
 	}
@@ -168,12 +168,12 @@
 	rate := perMachine * float64(machines)
 	var b strings.Builder
 	w := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	w("(day %q (length %v)", d.Site+"-"+d.Kind, micros(d.Length).Round(time.Millisecond))
+	w("(day %q (length %v)", d.Site+"-"+d.Kind, fromMicros(d.Length).Round(time.Millisecond))
 	w("  (sentries (processes %d))", sentries)
 	w("  (fleet (machines %d) (cores %d) (slots %d) (cold %v) (cold-from %.3f) (fall-multiple %g) (fall-after %v)", machines, kind.Cores, kind.Slots+kind.Queue,
-		micros(kind.Cold), kind.ColdFrom, d.Multiple, micros(d.FallFor))
+		fromMicros(kind.Cold), kind.ColdFrom, d.OverloadMultiple, fromMicros(d.OverloadWindow))
 	w("    (speed-low %.3f) (speed-high %.3f) (boot %v) (cancel-stops %t) (base-errors %.5f) (report-every %v) (report-noise %.3f) (work-cv 0.8))", low, high,
-		micros(d.Fam.Boot), kind.Cancel == "all", kind.ErrorRate, max(10*time.Millisecond, micros(d.Tiers[0].ReportPeriod)), d.Tiers[0].ReportNoise)
+		fromMicros(d.Rollout.Boot), kind.Cancel == "all", kind.ErrorRate, max(10*time.Millisecond, fromMicros(d.Tiers[0].ReportPeriod)), d.Tiers[0].ReportNoise)
 	rest := 1.0
 	for i, c := range d.Classes {
 		part := min(rest, math.Round(c.Share/shares*1000)/1000)
@@ -184,51 +184,51 @@
 		effect := map[string]string{"safe": "inquiry-like", "keyed": "referenced", "unsafe": "once-only"}[c.Effect]
 		memory := ""
 		if effect == "referenced" {
-			memory = fmt.Sprintf(" (memory %v)", micros(c.Window))
+			memory = fmt.Sprintf(" (memory %v)", fromMicros(c.Window))
 			if c.Group != "all" {
 				drop("%s: repeats are dropped by %s: by all", c.Name, c.Group)
 			}
 		}
 		w("  (product %q (share %.3f) (work %v) (sla %v) (expiry %v) (effect %s)%s (revenue %g) (late-revenue %g))", c.Name, part,
-			micros(c.Work), micros(c.Aim), micros(c.Deadline), effect, memory, c.Worth, c.LateWorth)
+			fromMicros(c.Work), fromMicros(c.Aim), fromMicros(c.Deadline), effect, memory, c.Worth, c.LateWorth)
 	}
 	w("  (traffic (rate %.1f) (keys %d) (retries %d) (backoff %v) (patience %.2f))", rate, max(1, int(d.Traffic.Keys)), d.Clients.Retries,
-		micros(max(1000, d.Clients.Backoff)), max(0.05, d.Clients.TryShare))
+		fromMicros(max(1000, d.Clients.Backoff)), max(0.05, d.Clients.TryShare))
 	votes, needOn, needBack := "single", 1, 1
-	switch d.Fam.Control {
+	switch d.Rollout.Control {
 	case "share":
 		votes = "majority"
-		needOn = max(1, int(math.Ceil(d.Fam.Votes[0]*float64(sentries))))
-		needBack = max(1, int(math.Ceil(d.Fam.Votes[2]*float64(sentries))))
+		needOn = max(1, int(math.Ceil(d.Rollout.Votes[0]*float64(sentries))))
+		needBack = max(1, int(math.Ceil(d.Rollout.Votes[2]*float64(sentries))))
 	case "timer":
 		votes = "clocked"
-		needOn = max(1, int(math.Ceil(d.Fam.Votes[1]*float64(sentries))))
-		needBack = max(1, int(math.Ceil(d.Fam.Votes[2]*float64(sentries))))
+		needOn = max(1, int(math.Ceil(d.Rollout.Votes[1]*float64(sentries))))
+		needBack = max(1, int(math.Ceil(d.Rollout.Votes[2]*float64(sentries))))
 	}
 	var stages []string
-	for _, s := range d.Fam.Stages {
+	for _, s := range d.Rollout.Stages {
 		stages = append(stages, fmt.Sprintf("%g", s))
 	}
 	style, counts := "in-place", "all"
-	if d.Fam.Beside {
+	if d.Rollout.Beside {
 		style = "beside"
 	}
-	if d.Fam.ByClass {
+	if d.Rollout.ByClass {
 		counts = "product"
 	}
 	w("  (platform (stages %s) (slack %.3f) (bake %v) (votes %s) (need-on %d) (need-back %d) (style %s) (counts %s) (window %v) (free %g)",
-		strings.Join(stages, " "), max(1, d.Fam.Caps[0]/d.Fam.Stages[0]), micros(d.Fam.Bake), votes, needOn, needBack, style, counts, micros(d.Fam.Window), d.Fam.Free)
+		strings.Join(stages, " "), max(1, d.Rollout.Caps[0]/d.Rollout.Stages[0]), fromMicros(d.Rollout.Bake), votes, needOn, needBack, style, counts, fromMicros(d.Rollout.Window), d.Rollout.Free)
 	w("    (one-way %t) (guarded-stages %d) (push %v) (news-late %v) (list-late %v) (votes-per-second %g) (flags %g) (flags-late %v) (drain %v) (grace %v)",
-		d.Fam.OneWay, d.Fam.Guarded, micros(d.Fam.Push), micros(d.Fam.ToldLate), micros(d.Discovery.Add), d.Fam.Calls, d.Fam.Flags, micros(d.Fam.FlagLate),
-		micros(d.Fam.Drain), micros(d.Grace))
+		d.Rollout.OneWay, d.Rollout.Guarded, fromMicros(d.Rollout.Push), fromMicros(d.Rollout.ToldLate), fromMicros(d.Discovery.Add), d.Rollout.Calls, d.Rollout.Flags, fromMicros(d.Rollout.FlagLate),
+		fromMicros(d.Rollout.Drain), fromMicros(d.DrainGrace))
 	if votes == "clocked" {
-		w("    (need-hold %d) (stage-time %v)", needOn, micros(d.Fam.Step))
+		w("    (need-hold %d) (stage-time %v)", needOn, fromMicros(d.Rollout.Step))
 	}
-	if d.Fam.Tally > 0 {
-		w("    (tally-every %v) (tally-sample %g)", micros(d.Fam.Tally), d.Fam.TallySample)
+	if d.Rollout.Tally > 0 {
+		w("    (tally-every %v) (tally-sample %g)", fromMicros(d.Rollout.Tally), d.Rollout.TallySample)
 	}
 	w("  )")
-	for _, r := range d.Fam.Releases {
+	for _, r := range d.Rollout.Releases {
 		f, known := importedFlaws[r.Bad]
 		if !known {
 			drop("a build that is bad by %q: a good one", r.Bad)
@@ -238,10 +238,10 @@
 		if f.flaw == "product" {
 			product = fmt.Sprintf(" (product %q)", d.Classes[r.Class].Name)
 		}
-		w("  (offer (at %v) (flaw %s) (strength %.3f) (speed %.3f)%s)", micros(r.At).Round(time.Millisecond), f.flaw, f.low+(f.top-f.low)*r.Strength, r.Speed, product)
+		w("  (offer (at %v) (flaw %s) (strength %.3f) (speed %.3f)%s)", fromMicros(r.At).Round(time.Millisecond), f.flaw, f.low+(f.top-f.low)*r.Strength, r.Speed, product)
 	}
 	for _, t := range d.Troubles {
-		when := fmt.Sprintf("(at %v) (for %v)", micros(t.At).Round(time.Millisecond), micros(t.Len).Round(time.Millisecond))
+		when := fmt.Sprintf("(at %v) (for %v)", fromMicros(t.At).Round(time.Millisecond), fromMicros(t.Len).Round(time.Millisecond))
 		n := len(t.On)
 		many := min(machines, max(1, int(math.Round(float64(n)/float64(len(d.Servers))*float64(machines)))))
 		some := min(sentries, max(1, int(math.Round(float64(n)/float64(len(d.Balancers))*float64(sentries)))))
@@ -281,11 +281,11 @@
 		case "balancer_roll":
 			w("  (trouble sentry-roll %s (many %d))", when, sentries)
 		default:
-			drop("trouble %s at %v: there is no counterpart", t.Kind, micros(t.At).Round(time.Millisecond))
+			drop("trouble %s at %v: there is no counterpart", t.Kind, fromMicros(t.At).Round(time.Millisecond))
 		}
 	}
 	w(")")
-	head := fmt.Sprintf("; imported from a day of %s (%s): %d of %d places, %d of %d sentries\n", d.Site, d.Kind, machines, d.Fam.Places, sentries,
+	head := fmt.Sprintf("; imported from a day of %s (%s): %d of %d places, %d of %d sentries\n", d.Site, d.Kind, machines, d.Rollout.Places, sentries,
 		len(d.Balancers))
 	sort.Strings(left)
 	for _, l := range left {
--- a/lab/load.go
+++ b/lab/load.go
@@ -34,29 +34,29 @@
 
 // LoadSlice is what a stretch of load came to.
 type LoadSlice struct {
-	Target  int
-	Step    int
-	Rate    float64 // asked for, mean
-	Sent    int
-	Fine    int                     // answered below 400
-	Refused int                     // answered with 429 or 503
-	Bad     int                     // any other answer, or none
-	Times   *hdrhistogram.Histogram `json:"-"` // microseconds from when due, of those that were fine
-	Served  *hdrhistogram.Histogram `json:"-"` // from when sent
-	took    time.Duration
+	Target       int
+	Step         int
+	Rate         float64 // asked for, mean
+	Sent         int
+	Succeeded    int                     // answered below 400
+	Refused      int                     // answered with 429 or 503
+	Bad          int                     // any other answer, or none
+	Times        *hdrhistogram.Histogram `json:"-"` // microseconds from when due, of those that were fine
+	ServiceTimes *hdrhistogram.Histogram `json:"-"` // from when sent
+	elapsed      time.Duration
 }
 
-func (s *LoadSlice) add(o *LoadSlice) {
-	s.Sent, s.Fine, s.Refused, s.Bad, s.took = s.Sent+o.Sent, s.Fine+o.Fine, s.Refused+o.Refused, s.Bad+o.Bad, s.took+o.took
+func (s *LoadSlice) merge(o *LoadSlice) {
+	s.Sent, s.Succeeded, s.Refused, s.Bad, s.elapsed = s.Sent+o.Sent, s.Succeeded+o.Succeeded, s.Refused+o.Refused, s.Bad+o.Bad, s.elapsed+o.elapsed
 	s.Times.Merge(o.Times)
-	s.Served.Merge(o.Served)
+	s.ServiceTimes.Merge(o.ServiceTimes)
 }
 
 // PerSecond is how many were fine in each second.
-func (s *LoadSlice) PerSecond() float64 { return float64(s.Fine) / max(1e-9, s.took.Seconds()) }
+func (s *LoadSlice) PerSecond() float64 { return float64(s.Succeeded) / max(1e-9, s.elapsed.Seconds()) }
 
-func newSlice(target, step int, rate float64) *LoadSlice {
-	return &LoadSlice{Target: target, Step: step, Rate: rate, Times: hdrhistogram.New(1, 60_000_000, 3), Served: hdrhistogram.New(1, 60_000_000, 3)}
+func newLoadSlice(target, step int, rate float64) *LoadSlice {
+	return &LoadSlice{Target: target, Step: step, Rate: rate, Times: hdrhistogram.New(1, 60_000_000, 3), ServiceTimes: hdrhistogram.New(1, 60_000_000, 3)}
 }
 
 // Check tells what is wrong with a plan.
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// rate is what is asked for at a moment of step i, and due the times of its txns.
-func (p *LoadPlan) due(i int, from, till time.Duration) (due []time.Duration) {
+// rate is what is asked for at a moment of step i, and dueTimes the times of its txns.
+func (p *LoadPlan) dueTimes(i int, from, till time.Duration) (due []time.Duration) {
 	first, last := p.Rates[i], p.Rates[i]
 	if p.Ramp && i+1 < len(p.Rates) {
 		last = p.Rates[i+1]
@@ -120,10 +120,10 @@
 				}
 				// Danger: who always comes second meets what the first has left behind; so they take turns at that.
 				target := (k + turn) % len(p.Targets)
-				due := p.due(i, from, till)
-				s := newSlice(target, i, float64(len(due))/(till-from).Seconds())
-				p.slice(ctx, clients[target], due, s)
-				s.took = max(s.took, till-from)
+				due := p.dueTimes(i, from, till)
+				s := newLoadSlice(target, i, float64(len(due))/(till-from).Seconds())
+				p.runSlice(ctx, clients[target], due, s)
+				s.elapsed = max(s.elapsed, till-from)
 				out = append(out, s)
 				if say != nil {
 					say(s)
@@ -135,8 +135,8 @@
 	return out, nil
 }
 
-// slice sends what is due over all connections: whichever is free takes the next.
-func (p *LoadPlan) slice(ctx context.Context, c *http.Client, due []time.Duration, s *LoadSlice) {
+// runSlice sends what is due over all connections: whichever is free takes the next.
+func (p *LoadPlan) runSlice(ctx context.Context, c *http.Client, due []time.Duration, s *LoadSlice) {
 	began := time.Now()
 	next := make(chan time.Duration, len(due))
 	for _, d := range due {
@@ -147,7 +147,7 @@
 	var group sync.WaitGroup
 	for range p.Conns {
 		group.Go(func() {
-			part := newSlice(0, 0, 0)
+			part := newLoadSlice(0, 0, 0)
 			body := make([]byte, p.Body)
 			for d := range next {
 				if wait := d - time.Since(began); wait > 0 {
@@ -172,18 +172,18 @@
 				case code >= 400:
 					part.Bad++
 				default:
-					part.Fine++
+					part.Succeeded++
 					part.Times.RecordValue(min(60_000_000, max(1, (now-d).Microseconds())))
-					part.Served.RecordValue(min(60_000_000, max(1, (now-sent).Microseconds())))
+					part.ServiceTimes.RecordValue(min(60_000_000, max(1, (now-sent).Microseconds())))
 				}
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			s.add(part)
+			s.merge(part)
 		})
 	}
 	group.Wait()
-	s.took = time.Since(began)
+	s.elapsed = time.Since(began)
 }
 
 // fetch sends one request and reads its answer to the end.
@@ -223,17 +223,17 @@
 	for i := range p.Rates {
 		pairs := make([][]*LoadSlice, len(p.Targets))
 		for k := range p.Targets {
-			sum := newSlice(k, i, 0)
+			sum := newLoadSlice(k, i, 0)
 			for _, s := range slices {
 				if s.Step == i && s.Target == k {
-					sum.add(s)
-					sum.Rate += s.Rate * s.took.Seconds()
+					sum.merge(s)
+					sum.Rate += s.Rate * s.elapsed.Seconds()
 					pairs[k] = append(pairs[k], s)
 				}
 			}
 			q := func(h *hdrhistogram.Histogram, at float64) float64 { return float64(h.ValueAtQuantile(at)) }
-			rows = append(rows, LoadRow{p.Targets[k], sum.Rate / max(1e-9, sum.took.Seconds()), sum.PerSecond(), sum.Fine, sum.Refused, sum.Bad, q(sum.Times, 50), q(sum.Times, 99),
-				q(sum.Times, 99.9), q(sum.Served, 50), q(sum.Served, 99)})
+			rows = append(rows, LoadRow{p.Targets[k], sum.Rate / max(1e-9, sum.elapsed.Seconds()), sum.PerSecond(), sum.Succeeded, sum.Refused, sum.Bad, q(sum.Times, 50), q(sum.Times, 99),
+				q(sum.Times, 99.9), q(sum.ServiceTimes, 50), q(sum.ServiceTimes, 99)})
 		}
 		if len(p.Targets) < 2 {
 			continue
@@ -293,7 +293,7 @@
 				for _, x := range all {
 					if x.Target == k {
 						s.X, s.Y = append(s.X, at), append(s.Y, max(1, of(x)))
-						at += x.took.Seconds()
+						at += x.elapsed.Seconds()
 					}
 				}
 				list = append(list, s)
--- a/lab/load_test.go
+++ b/lab/load_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/goleak"
 )
 
-func answering(t *testing.T, do func(n int64, w http.ResponseWriter)) string {
+func startTarget(t *testing.T, do func(n int64, w http.ResponseWriter)) string {
 	var n atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { do(n.Add(1), w) }))
 	t.Cleanup(s.Close)
@@ -21,17 +21,17 @@
 
 // A target that stalls once is charged for every txn that was due meanwhile, not for the one that it was working at.
 func TestLoadCountsFromWhenTxnsWereDue(t *testing.T) {
-	url := answering(t, func(n int64, w http.ResponseWriter) {
+	url := startTarget(t, func(n int64, w http.ResponseWriter) {
 		if n == 20 {
 			time.Sleep(400 * time.Millisecond) // the stall that is measured
 		}
 	})
 	p := LoadPlan{Targets: []string{url}, Rates: []float64{200}, Span: time.Second, Slice: time.Second, Conns: 1, Method: "GET", Timeout: 5 * time.Second}
 	all, err := Load(context.Background(), p, nil)
-	if err != nil || len(all) != 1 || all[0].Sent != 200 || all[0].Fine != 200 {
+	if err != nil || len(all) != 1 || all[0].Sent != 200 || all[0].Succeeded != 200 {
 		t.Fatalf("%+v, %v", all, err)
 	}
-	due, sent := all[0].Times.ValueAtQuantile(85), all[0].Served.ValueAtQuantile(85)
+	due, sent := all[0].Times.ValueAtQuantile(85), all[0].ServiceTimes.ValueAtQuantile(85)
 	if due < 100_000 || sent > due/2 {
 		t.Errorf("p85 is %d us from when due, %d from when sent", due, sent)
 	}
@@ -40,8 +40,8 @@
 func TestLoadTellsTwoTargetsApart(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // behind the servers' end
-	quick := answering(t, func(int64, http.ResponseWriter) {})
-	slow := answering(t, func(n int64, w http.ResponseWriter) {
+	quick := startTarget(t, func(int64, http.ResponseWriter) {})
+	slow := startTarget(t, func(n int64, w http.ResponseWriter) {
 		time.Sleep(20 * time.Millisecond) // what is to be found
 		if n%4 == 0 {
 			w.WriteHeader(503)
@@ -77,10 +77,10 @@
 }
 
 func TestLoadGivesUpWhatCannotBeServed(t *testing.T) {
-	url := answering(t, func(int64, http.ResponseWriter) { time.Sleep(50 * time.Millisecond) })
+	url := startTarget(t, func(int64, http.ResponseWriter) { time.Sleep(50 * time.Millisecond) })
 	p := LoadPlan{Targets: []string{url}, Rates: []float64{500}, Span: 500 * time.Millisecond, Slice: time.Second, Conns: 2, Method: "GET", Timeout: 200 * time.Millisecond}
 	all, err := Load(context.Background(), p, nil)
-	if err != nil || all[0].Sent != 250 || all[0].Bad < 100 || all[0].took > 3*time.Second {
+	if err != nil || all[0].Sent != 250 || all[0].Bad < 100 || all[0].elapsed > 3*time.Second {
 		t.Errorf("%+v, %v", all, err)
 	}
 	for _, bad := range []LoadPlan{{}, {Targets: []string{url}, Rates: []float64{-1}, Span: 1, Slice: 1, Conns: 1}, {Targets: []string{url}, Span: 1, Slice: 1, Conns: 1}} {
--- a/lab/run.go
+++ b/lab/run.go
@@ -18,100 +18,104 @@
 	"dunegrade/fleet"
 )
 
-// Runner plays a day. Its edges are processes of their own, started by a command that it is given.
+// Runner runs a day against edges in separate processes, which it starts with the given command.
 type Runner struct {
 	Day  *Day
-	Out  string                              // folder of settings, state and logs of the edges
-	Edge func(settingsPath string) *exec.Cmd // the command of one edge
-	Live func(Snapshot)                      // told once a second, if not nil
+	Out  string                              // directory for the edges' settings, state and logs
+	Edge func(settingsPath string) *exec.Cmd // returns the command that runs one edge
+	Live func(Snapshot)                      // called once a second; may be nil
 
-	begins  func(r *run)               // called when the platform serves and no edge runs, if not nil
-	entered func(r *run, state string) // played in each state of the platform from the day's begin on, if not nil
+	// beforeEdges, if set, is called once the platform serves and before the first edge starts.
+	beforeEdges func(r *run)
+	// stateHook, if set, is called in each state of the platform from the start of the day on.
+	stateHook func(r *run, state string)
 }
 
-// Snapshot is what a run looks like at a moment.
+// Snapshot is the state of a run at one moment, with the counts and events since the previous snapshot.
 type Snapshot struct {
-	At      time.Duration
+	At      time.Duration // since the start of the day
 	Length  time.Duration
 	Phase   string
 	Build   int
 	Stage   int
-	Asked   int // txns of the last second
+	Asked   int // txns that ended since the previous snapshot; the next five fields divide them by result
 	InTime  int
 	Late    int
 	Decline int
 	Voided  int
 	Lost    int
-	Trial   int // submissions at the newest build
-	Marks   []string
+	Trial   int      // submissions to the newest build
+	Marks   []string // events of the run
 }
 
-// proc is one edge process.
-type proc struct {
-	n        int
-	settings string
-	admin    string
-	cmd      *exec.Cmd
-	log      *os.File
-	life     int
-	target   *edgeEndpoint
-	down     bool
+// edgeProcess is the process of one edge.
+type edgeProcess struct {
+	index        int
+	settingsPath string
+	adminAddress string
+	cmd          *exec.Cmd
+	logFile      *os.File
+	incarnation  int // index of the current incarnation in Record.Incarnations
+	endpoint     *edgeEndpoint
+	stopped      bool
 }
 
+// run is one run of a day.
 type run struct {
 	*Runner
-	began    time.Time
-	offset   atomic.Int64 // of the day's moment 0 from began
-	rec      *Record
-	park     *workerFleet
-	platform *platform
-	clients  *clients
-	procs    []*proc
-	group    sync.WaitGroup
-	quit     chan struct{}
-	rng      *rand.Rand
-	hand     sync.Mutex // of whoever writes a list file
+	startTime  time.Time
+	dayOffset  atomic.Int64 // from startTime to the start of the day, in nanoseconds
+	rec        *Record
+	fleet      *workerFleet
+	platform   *platform
+	clients    *clients
+	edges      []*edgeProcess
+	group      sync.WaitGroup
+	quit       chan struct{}
+	rng        *rand.Rand
+	listFileMu sync.Mutex // guards the list file
 }
 
-var runs atomic.Int64 // of this process, for addresses that differ
+var runCount atomic.Int64 // runs started by this process; gives each run its own address
 
-func (r *run) now() runTime { return time.Since(r.began) - time.Duration(r.offset.Load()) }
+// now returns the time since the start of the day.
+func (r *run) now() runTime { return time.Since(r.startTime) - time.Duration(r.dayOffset.Load()) }
 
-// Run plays the day and gives its record. An error means that the run could not be made, not that a rule broke.
+// Run runs the day and returns its record. An error means that the run failed, not that a rule was violated.
 func (q *Runner) Run(ctx context.Context) (*Record, error) {
 	if err := os.MkdirAll(q.Out, 0o755); err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	r := &run{Runner: q, began: time.Now(), rec: &Record{}, quit: make(chan struct{}), rng: rand.New(rand.NewSource(q.Day.Seed + 7))}
-	// An address of the loopback range of this run's own: no other run's connections take its ports.
-	id := os.Getpid() + int(runs.Add(1))<<12
+	r := &run{Runner: q, startTime: time.Now(), rec: &Record{}, quit: make(chan struct{}), rng: rand.New(rand.NewSource(q.Day.Seed + 7))}
+	// Each run uses its own loopback address, so that connections of other runs do not occupy its ports.
+	id := os.Getpid() + int(runCount.Add(1))<<12
 	host := fmt.Sprintf("127.%d.%d.%d", 32+id>>14&63, id>>7&127, 1+id&127)
-	r.park = newWorkerFleet(q.Day, r.rec, r.now, host)
-	r.platform = newPlatform(q.Day, r.rec, r.park, r.now)
+	r.fleet = newWorkerFleet(q.Day, r.rec, r.now, host)
+	r.platform = newPlatform(q.Day, r.rec, r.fleet, r.now)
 	r.clients = newClients(q.Day, r.rec, r.now, r.platform.reportWrongAnswer)
-	defer r.park.close()
+	defer r.fleet.close()
 	if err := r.platform.start(host); err != nil {
 		return nil, err
 	}
 	defer r.platform.close()
-	if q.begins != nil {
-		q.begins(r)
+	if q.beforeEdges != nil {
+		q.beforeEdges(r)
 	}
 	defer r.stopEdges()
 	if err := r.startEdges(ctx, host); err != nil {
 		return nil, err
 	}
-	// The day begins when all edges serve.
-	r.rebase()
-	if q.entered != nil {
+	// The day starts when all edges serve.
+	r.beginDay()
+	if q.stateHook != nil {
 		r.platform.mu.Lock()
-		r.platform.stateHook = func(state string) { q.entered(r, state) }
+		r.platform.stateHook = func(state string) { q.stateHook(r, state) }
 		r.platform.runStateHook()
 		r.platform.mu.Unlock()
 	}
-	r.group.Go(r.troubles)
+	r.group.Go(r.scheduleFaults)
 	if q.Live != nil {
-		r.group.Go(r.live)
+		r.group.Go(r.reportProgress)
 	}
 	done := make(chan struct{})
 	go func() { r.clients.run(r.quit); close(done) }()
@@ -130,13 +134,13 @@
 	return r.rec, err
 }
 
-// rebase sets all that the start-up has noted to moment 0: it was all there when the day began.
-func (r *run) rebase() {
+// beginDay makes the current moment the start of the day, and moves everything recorded during start-up to it.
+func (r *run) beginDay() {
 	r.platform.mu.Lock()
 	defer r.platform.mu.Unlock()
 	r.rec.mu.Lock()
 	defer r.rec.mu.Unlock()
-	r.offset.Store(int64(r.now()))
+	r.dayOffset.Store(int64(r.now()))
 	for i := range r.platform.workerChanges {
 		r.platform.workerChanges[i].at = 0
 	}
@@ -151,6 +155,7 @@
 	}
 }
 
+// freeAddress returns an address of the host with a port that is unused at present.
 func freeAddress(host string) (string, error) {
 	ln, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -160,10 +165,11 @@
 	return ln.Addr().String(), nil
 }
 
+// startEdges writes the edges' settings, starts all edges and waits until they are ready.
 func (r *run) startEdges(ctx context.Context, host string) error {
 	d := r.Day
 	var peers []string
-	if d.Messages {
+	if d.PeerMessages {
 		for i := 0; i < d.Sentries; i++ {
 			a, err := freeAddress(host)
 			if err != nil {
@@ -183,28 +189,28 @@
 		if err != nil {
 			return err
 		}
-		p := &proc{n: i, admin: admin, settings: filepath.Join(r.Out, fmt.Sprintf("edge-%d.sexp", i))}
+		p := &edgeProcess{index: i, adminAddress: admin, settingsPath: filepath.Join(r.Out, fmt.Sprintf("edge-%d.sexp", i))}
 		text := d.EdgeSettings(i, listen, admin, r.platform.url, filepath.Join(r.Out, "state"), peers)
-		if err := os.WriteFile(p.settings, []byte(text), 0o644); err != nil {
+		if err := os.WriteFile(p.settingsPath, []byte(text), 0o644); err != nil {
 			return err
 		}
-		if p.log, err = os.Create(filepath.Join(r.Out, fmt.Sprintf("edge-%d.log", i))); err != nil {
+		if p.logFile, err = os.Create(filepath.Join(r.Out, fmt.Sprintf("edge-%d.log", i))); err != nil {
 			return err
 		}
 		weight := 1.0
-		if len(d.Weights) > 0 {
-			weight = d.Weights[i]
+		if len(d.EdgeWeights) > 0 {
+			weight = d.EdgeWeights[i]
 		}
-		p.target = &edgeEndpoint{index: i, address: listen, weight: weight}
-		r.clients.edges = append(r.clients.edges, p.target)
-		r.procs = append(r.procs, p)
+		p.endpoint = &edgeEndpoint{index: i, address: listen, weight: weight}
+		r.clients.edges = append(r.clients.edges, p.endpoint)
+		r.edges = append(r.edges, p)
 	}
-	for _, p := range r.procs {
+	for _, p := range r.edges {
 		if err := r.startEdge(p); err != nil {
 			return err
 		}
 	}
-	for _, p := range r.procs {
+	for _, p := range r.edges {
 		if err := r.awaitReady(ctx, p, 10*time.Second); err != nil {
 			return err
 		}
@@ -212,30 +218,31 @@
 	return nil
 }
 
-// startEdge starts a process; its life counts from here.
-func (r *run) startEdge(p *proc) error {
-	p.cmd = r.Edge(p.settings)
-	p.cmd.Stderr, p.cmd.Stdout = p.log, p.log
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive us
+// startEdge starts an edge's process and records its incarnation.
+func (r *run) startEdge(p *edgeProcess) error {
+	p.cmd = r.Edge(p.settingsPath)
+	p.cmd.Stderr, p.cmd.Stdout = p.logFile, p.logFile
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the edge must not outlive the lab
 	if err := p.cmd.Start(); err != nil {
-		return fmt.Errorf("edge %d: %w", p.n, err)
+		return fmt.Errorf("edge %d: %w", p.index, err)
 	}
 	r.rec.mu.Lock()
-	p.life = len(r.rec.Incarnations)
-	r.rec.Incarnations = append(r.rec.Incarnations, Incarnation{Edge: p.n, Number: p.life, StartedAt: r.now()})
+	p.incarnation = len(r.rec.Incarnations)
+	r.rec.Incarnations = append(r.rec.Incarnations, Incarnation{Edge: p.index, Number: p.incarnation, StartedAt: r.now()})
 	r.rec.mu.Unlock()
-	p.target.incarnation.Store(int64(p.life))
-	p.down = false
+	p.endpoint.incarnation.Store(int64(p.incarnation))
+	p.stopped = false
 	return nil
 }
 
-func (r *run) awaitReady(ctx context.Context, p *proc, limit time.Duration) error {
-	until := time.Now().Add(limit)
+// awaitReady waits until an edge reports that it is ready.
+func (r *run) awaitReady(ctx context.Context, p *edgeProcess, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
 	c := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	t := time.NewTicker(20 * time.Millisecond)
 	defer t.Stop()
-	for time.Now().Before(until) {
-		resp, err := c.Get("http://" + p.admin + "/readyz")
+	for time.Now().Before(deadline) {
+		resp, err := c.Get("http://" + p.adminAddress + "/readyz")
 		if err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -248,29 +255,29 @@
 		case <-t.C:
 		}
 	}
-	text, _ := os.ReadFile(p.log.Name()) // a test's folder is gone when somebody would look
-	return fmt.Errorf("edge %d was not ready within %v; its log %s ends: %s", p.n, limit, p.log.Name(), text[max(0, len(text)-600):])
+	text, _ := os.ReadFile(p.logFile.Name()) // quoted in the error, since a test's directory is removed with the log
+	return fmt.Errorf("edge %d was not ready within %v; its log %s ends: %s", p.index, timeout, p.logFile.Name(), text[max(0, len(text)-600):])
 }
 
-// endEdge kills an edge, or asks it to stop, and waits for its end.
-func (r *run) endEdge(p *proc, sig syscall.Signal) error {
-	if p.down {
+// stopEdge sends a signal to an edge, SIGKILL or SIGTERM, and waits for its exit.
+func (r *run) stopEdge(p *edgeProcess, sig syscall.Signal) error {
+	if p.stopped {
 		return nil
 	}
-	p.down = true
-	asked := r.now()
+	p.stopped = true
+	requestedAt := r.now()
 	r.rec.mu.Lock()
-	r.rec.Incarnations[p.life].StopRequestedAt = asked
-	r.rec.Incarnations[p.life].Killed = sig == syscall.SIGKILL
+	r.rec.Incarnations[p.incarnation].StopRequestedAt = requestedAt
+	r.rec.Incarnations[p.incarnation].Killed = sig == syscall.SIGKILL
 	r.rec.mu.Unlock()
 	if err := p.cmd.Process.Signal(sig); err != nil {
 		return err
 	}
 	err := p.cmd.Wait()
 	r.rec.mu.Lock()
-	r.rec.Incarnations[p.life].EndedAt = r.now()
+	r.rec.Incarnations[p.incarnation].EndedAt = r.now()
 	r.rec.mu.Unlock()
-	p.target.closeIdle()
+	p.endpoint.closeIdle()
 	var exit *exec.ExitError
 	if sig == syscall.SIGKILL && errors.As(err, &exit) {
 		return nil
@@ -278,21 +285,22 @@
 	return err
 }
 
+// stopEdges stops all edges that still run, with SIGTERM.
 func (r *run) stopEdges() {
-	for _, p := range r.procs {
+	for _, p := range r.edges {
 		if p.cmd != nil && p.cmd.Process != nil {
-			if err := r.endEdge(p, syscall.SIGTERM); err != nil {
-				r.platform.logEvent("edge %d did not stop cleanly: %v", p.n, err)
+			if err := r.stopEdge(p, syscall.SIGTERM); err != nil {
+				r.platform.logEvent("edge %d did not stop cleanly: %v", p.index, err)
 			}
 		}
-		if p.log != nil {
-			p.log.Close()
+		if p.logFile != nil {
+			p.logFile.Close()
 		}
 	}
 }
 
-// sleep waits till a moment of the day; false: the day is over.
-func (r *run) sleep(until runTime) bool {
+// sleepUntil waits until a moment of the day. It returns false if the run ends first.
+func (r *run) sleepUntil(until runTime) bool {
 	t := time.NewTimer(max(0, until-r.now()))
 	defer t.Stop()
 	select {
@@ -303,34 +311,34 @@
 	}
 }
 
-// troubles plays what goes wrong, each trouble beside the others.
-func (r *run) troubles() {
-	for _, t := range r.Day.Troubles {
-		t := t
-		var on []int
-		count := r.Day.Machines
-		if t.Kind == "sentry-kill" || t.Kind == "sentry-roll" {
-			count = r.Day.Sentries
-		}
-		if on = t.On; len(on) == 0 {
-			on = r.rng.Perm(count)[:min(t.Many, count)]
+// scheduleFaults starts a goroutine for each fault of the day, which injects it at its time.
+func (r *run) scheduleFaults() {
+	for _, f := range r.Day.Faults {
+		f := f
+		var targets []int
+		candidates := r.Day.Machines
+		if f.Kind == "sentry-kill" || f.Kind == "sentry-roll" {
+			candidates = r.Day.Sentries
+		}
+		if targets = f.Targets; len(targets) == 0 {
+			targets = r.rng.Perm(candidates)[:min(f.Count, candidates)]
 		}
 		r.group.Go(func() {
-			if r.sleep(t.At) {
-				r.platform.logEvent("%s begins: %v for %v, size %g", t.Kind, on, t.For, t.Size)
-				r.trouble(t, on)
-				r.platform.logEvent("%s ends", t.Kind)
+			if r.sleepUntil(f.At) {
+				r.platform.logEvent("%s begins: %v for %v, size %g", f.Kind, targets, f.Duration, f.Magnitude)
+				r.injectFault(f, targets)
+				r.platform.logEvent("%s ends", f.Kind)
 			}
 		})
 	}
 }
 
-// at what runs at places now.
-func (r *run) workers(places []int) []*worker {
+// workersAt returns the workers that currently serve the given replicas, the newer one where a replica has two.
+func (r *run) workersAt(replicas []int) []*worker {
 	r.platform.mu.Lock()
 	defer r.platform.mu.Unlock()
 	var out []*worker
-	for _, n := range places {
+	for _, n := range replicas {
 		if n < 0 || n >= len(r.platform.replicas) {
 			continue
 		}
@@ -344,89 +352,89 @@
 	return out
 }
 
-// trouble plays one, to its end.
-func (r *run) trouble(t Trouble, on []int) {
-	end := t.At + t.For
-	ill := func(set, unset func(*fleet.MachineFault)) {
-		ws := r.workers(on)
+// injectFault injects a fault into the given targets and removes it at its end.
+func (r *run) injectFault(f Fault, targets []int) {
+	end := f.At + f.Duration
+	withMachineFault := func(set, unset func(*fleet.MachineFault)) {
+		ws := r.workersAt(targets)
 		for _, w := range ws {
 			w.changeFault(set)
 		}
-		r.sleep(end)
+		r.sleepUntil(end)
 		for _, w := range ws {
 			w.changeFault(unset)
 		}
 	}
-	switch t.Kind {
+	switch f.Kind {
 	case "crash":
-		r.crash(r.workers(on), end)
+		r.crashWorkers(r.workersAt(targets), end)
 	case "vanish":
-		ws := r.workers(on)
+		ws := r.workersAt(targets)
 		for _, w := range ws {
 			w.setSilent(true)
 		}
-		r.sleep(end)
+		r.sleepUntil(end)
 		for _, w := range ws {
 			w.setSilent(false)
 		}
 	case "hang":
-		ill(func(a *fleet.MachineFault) { a.Hangs = true }, func(a *fleet.MachineFault) { a.Hangs = false })
-		for _, w := range r.workers(on) { // what hung is restarted by whoever looks after it
+		withMachineFault(func(m *fleet.MachineFault) { m.Hangs = true }, func(m *fleet.MachineFault) { m.Hangs = false })
+		for _, w := range r.workersAt(targets) { // as a supervisor would restart them
 			w.setSilent(false)
 		}
 	case "slow":
-		ill(func(a *fleet.MachineFault) { a.Slow = t.Size }, func(a *fleet.MachineFault) { a.Slow = 0 })
+		withMachineFault(func(m *fleet.MachineFault) { m.Slow = f.Magnitude }, func(m *fleet.MachineFault) { m.Slow = 0 })
 	case "fast-errors":
-		ill(func(a *fleet.MachineFault) { a.FailureRate = t.Size }, func(a *fleet.MachineFault) { a.FailureRate = 0 })
+		withMachineFault(func(m *fleet.MachineFault) { m.FailureRate = f.Magnitude }, func(m *fleet.MachineFault) { m.FailureRate = 0 })
 	case "neighbour":
-		ill(func(a *fleet.MachineFault) { a.NeighbourShare = min(0.95, t.Size) }, func(a *fleet.MachineFault) { a.NeighbourShare = 0 })
+		withMachineFault(func(m *fleet.MachineFault) { m.NeighbourShare = min(0.95, f.Magnitude) }, func(m *fleet.MachineFault) { m.NeighbourShare = 0 })
 	case "late-reports":
-		ill(func(a *fleet.MachineFault) { a.ReportsStale = true }, func(a *fleet.MachineFault) { a.ReportsStale = false })
+		withMachineFault(func(m *fleet.MachineFault) { m.ReportsStale = true }, func(m *fleet.MachineFault) { m.ReportsStale = false })
 	case "false-reports":
-		ill(func(a *fleet.MachineFault) { a.ReportsIdle = true }, func(a *fleet.MachineFault) { a.ReportsIdle = false })
+		withMachineFault(func(m *fleet.MachineFault) { m.ReportsIdle = true }, func(m *fleet.MachineFault) { m.ReportsIdle = false })
 	case "costly-connect", "garbage":
-		set := func(ws []*worker, cost time.Duration, share float64) {
-			r.park.mu.Lock()
-			defer r.park.mu.Unlock()
+		set := func(ws []*worker, connectDelay time.Duration, garbageRate float64) {
+			r.fleet.mu.Lock()
+			defer r.fleet.mu.Unlock()
 			for _, w := range ws {
-				w.connectDelay, w.garbageRate = cost, share
+				w.connectDelay, w.garbageRate = connectDelay, garbageRate
 			}
 		}
-		ws := r.workers(on)
-		if t.Kind == "garbage" {
-			set(ws, 0, t.Size)
+		ws := r.workersAt(targets)
+		if f.Kind == "garbage" {
+			set(ws, 0, f.Magnitude)
 		} else {
-			set(ws, time.Duration(t.Size*float64(time.Millisecond)), 0)
+			set(ws, time.Duration(f.Magnitude*float64(time.Millisecond)), 0)
 		}
-		r.sleep(end)
+		r.sleepUntil(end)
 		set(ws, 0, 0)
 	case "burst":
-		storeFloat(&r.clients.rateFactor, max(0.01, t.Size))
-		r.sleep(end)
+		storeFloat(&r.clients.rateFactor, max(0.01, f.Magnitude))
+		r.sleepUntil(end)
 		storeFloat(&r.clients.rateFactor, 1)
 	case "give-up":
-		storeFloat(&r.clients.giveUpShare, t.Size)
-		r.sleep(end)
+		storeFloat(&r.clients.giveUpShare, f.Magnitude)
+		r.sleepUntil(end)
 		storeFloat(&r.clients.giveUpShare, 0)
 	case "bad-requests":
-		storeFloat(&r.clients.badKeyShare, t.Size)
-		r.sleep(end)
+		storeFloat(&r.clients.badKeyShare, f.Magnitude)
+		r.sleepUntil(end)
 		storeFloat(&r.clients.badKeyShare, 0)
 	case "sentry-kill", "sentry-roll":
 		sig := syscall.SIGKILL
-		if t.Kind == "sentry-roll" {
+		if f.Kind == "sentry-roll" {
 			sig = syscall.SIGTERM
 		}
-		for _, n := range on {
-			if n < 0 || n >= len(r.procs) {
+		for _, i := range targets {
+			if i < 0 || i >= len(r.edges) {
 				continue
 			}
-			p := r.procs[n]
-			if err := r.endEdge(p, sig); err != nil {
-				r.platform.logEvent("edge %d did not stop cleanly: %v", n, err)
+			p := r.edges[i]
+			if err := r.stopEdge(p, sig); err != nil {
+				r.platform.logEvent("edge %d did not stop cleanly: %v", i, err)
 			}
 			if sig == syscall.SIGKILL {
-				r.sleep(end)
+				r.sleepUntil(end)
 			}
 			if err := r.startEdge(p); err != nil {
 				r.platform.logEvent("%v", err)
@@ -438,15 +446,15 @@
 		}
 	case "stalled", "late-news":
 		r.platform.mu.Lock()
-		if t.Kind == "stalled" {
+		if f.Kind == "stalled" {
 			r.platform.stalled = true
 		} else {
-			r.platform.extraUpdateDelay = time.Duration(t.Size * float64(time.Second))
+			r.platform.extraUpdateDelay = time.Duration(f.Magnitude * float64(time.Second))
 		}
 		r.platform.mu.Unlock()
-		r.sleep(end)
+		r.sleepUntil(end)
 		r.platform.mu.Lock()
-		if t.Kind == "stalled" {
+		if f.Kind == "stalled" {
 			r.platform.stalled = false
 		} else {
 			r.platform.extraUpdateDelay = 0
@@ -455,8 +463,8 @@
 	}
 }
 
-// crash ends machines at once; the list hears of it a while later, and of their cold start.
-func (r *run) crash(ws []*worker, end runTime) {
+// crashWorkers stops workers abruptly and restarts them cold at end. The worker list shows both with a delay.
+func (r *run) crashWorkers(ws []*worker, end runTime) {
 	p := r.platform
 	for _, w := range ws {
 		w.stop()
@@ -466,13 +474,13 @@
 		p.addWorkerChange(p.day.WorkerListDelay+500*time.Millisecond, w, "gone")
 	}
 	p.mu.Unlock()
-	r.sleep(end)
+	r.sleepUntil(end)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, w := range ws {
 		s := p.replicas[w.replica]
 		if s.newWorker != w && s.oldWorker != w {
-			continue // replaced meanwhile
+			continue // replaced in the meantime
 		}
 		if err := w.start(true); err != nil {
 			p.logEvent("%v", err)
@@ -482,11 +490,11 @@
 	}
 }
 
-// live tells once a second how the day goes.
-func (r *run) live() {
+// reportProgress calls OnProgress once a second.
+func (r *run) reportProgress() {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
-	marks, txns, arrivals := 0, 0, 0
+	events, txns, submissions := 0, 0, 0
 	for {
 		select {
 		case <-r.quit:
@@ -513,14 +521,14 @@
 			}
 		}
 		txns = len(r.rec.Txns)
-		for _, a := range r.rec.Submissions[arrivals:] {
+		for _, a := range r.rec.Submissions[submissions:] {
 			if a.Build == s.Build {
 				s.Trial++
 			}
 		}
-		arrivals = len(r.rec.Submissions)
-		s.Marks = append(s.Marks, r.rec.Marks[marks:]...)
-		marks = len(r.rec.Marks)
+		submissions = len(r.rec.Submissions)
+		s.Marks = append(s.Marks, r.rec.Marks[events:]...)
+		events = len(r.rec.Marks)
 		r.rec.mu.Unlock()
 		r.Live(s)
 	}
--- a/lab/sockets_test.go
+++ b/lab/sockets_test.go
@@ -22,9 +22,9 @@
 	"dunegrade/api"
 )
 
-// onSocketsRows are troubles of what an edge reads and writes besides txns. Each strikes in every state that a release
+// socketFaults are troubles of what an edge reads and writes besides txns. Each strikes in every state that a release
 // goes through; does tells whether it happened.
-var onSocketsRows = []struct {
+var socketFaults = []struct {
 	name string
 	does func(r *run, state string) bool
 	logs string // what an edge must have said of it
@@ -32,7 +32,7 @@
 	file bool   // the edges read list and news from a file
 }{
 	{"news and lines malformed", func(r *run, state string) bool {
-		return r.spoils(func(w http.ResponseWriter, line any, done func()) {
+		return r.corruptLines(func(w http.ResponseWriter, line any, done func()) {
 			switch e := line.(type) {
 			case api.ReleaseEvent:
 				bad := e
@@ -53,7 +53,7 @@
 	}, "not heeded", false, false},
 	{"watches cut in the middle of a line", func(r *run, state string) bool {
 		var once sync.Once
-		return r.spoils(func(w http.ResponseWriter, line any, done func()) {
+		return r.corruptLines(func(w http.ResponseWriter, line any, done func()) {
 			if _, ok := line.(api.ReleaseEvent); ok {
 				once.Do(func() {
 					fmt.Fprint(w, `{"type":"whole","revision":99,"release":{"build":2,"phase":"released","cap":1`)
@@ -65,34 +65,34 @@
 		})
 	}, "watch broken", false, false},
 	{"killed, its kept list half written", func(r *run, state string) bool {
-		p := r.procs[1]
+		p := r.edges[1]
 		path := filepath.Join(r.Out, "state", "edge-1.list.json")
 		text, err := os.ReadFile(path)
-		for err != nil && r.sleep(r.now()+10*ms) { // it is first kept a moment after it is first told
+		for err != nil && r.sleepUntil(r.now()+10*ms) { // it is first kept a moment after it is first told
 			text, err = os.ReadFile(path)
 		}
-		if err != nil || r.endEdge(p, syscall.SIGKILL) != nil {
+		if err != nil || r.stopEdge(p, syscall.SIGKILL) != nil {
 			return false
 		}
 		err = os.WriteFile(path, text[:len(text)/2], 0o644)
-		return r.comesUp(p) && err == nil
+		return r.restartEdge(p) && err == nil
 	}, "the kept list is refused", true, false},
 	{"killed, its kept list whole", func(r *run, state string) bool {
-		return r.endEdge(r.procs[1], syscall.SIGKILL) == nil && r.comesUp(r.procs[1])
+		return r.stopEdge(r.edges[1], syscall.SIGKILL) == nil && r.restartEdge(r.edges[1])
 	}, "last list restored", true, false},
 	{"rolled", func(r *run, state string) bool {
-		return r.endEdge(r.procs[1], syscall.SIGTERM) == nil && r.comesUp(r.procs[1])
+		return r.stopEdge(r.edges[1], syscall.SIGTERM) == nil && r.restartEdge(r.edges[1])
 	}, "stopped", true, false},
 	{"settings half written, wrong, then whole and changed", func(r *run, state string) bool {
-		p := r.procs[1]
-		text, err := os.ReadFile(p.settings)
-		if err != nil || r.endEdge(p, syscall.SIGTERM) != nil {
+		p := r.edges[1]
+		text, err := os.ReadFile(p.settingsPath)
+		if err != nil || r.stopEdge(p, syscall.SIGTERM) != nil {
 			return false
 		}
 		refused := true
 		for _, wrong := range []string{string(text[:len(text)*2/3]), strings.Replace(string(text), "(window ", "(window x", 1)} {
-			os.WriteFile(p.settings, []byte(wrong), 0o644)
-			said, err := r.Edge(p.settings).CombinedOutput()
+			os.WriteFile(p.settingsPath, []byte(wrong), 0o644)
+			said, err := r.Edge(p.settingsPath).CombinedOutput()
 			var exit *exec.ExitError
 			refused = refused && errors.As(err, &exit) && exit.ExitCode() == 2 && strings.Contains(string(said), "edge-1.sexp:")
 		}
@@ -100,8 +100,8 @@
 		if changed == string(text) {
 			changed = strings.Replace(changed, "(free 2)", "(free 3)", 1)
 		}
-		os.WriteFile(p.settings, []byte(changed), 0o644)
-		return r.comesUp(p) && refused && changed != string(text)
+		os.WriteFile(p.settingsPath, []byte(changed), 0o644)
+		return r.restartEdge(p) && refused && changed != string(text)
 	}, "serving", true, false},
 	{"the folder of state takes nothing", func(r *run, state string) bool {
 		path := filepath.Join(r.Out, "state", "edge-1.list.json.new")
@@ -114,7 +114,7 @@
 		}
 		before := said()
 		err := os.Mkdir(path, 0o755)
-		for errors.Is(err, fs.ErrExist) && r.sleep(r.now()+ms) { // the edge is writing there just now
+		for errors.Is(err, fs.ErrExist) && r.sleepUntil(r.now()+ms) { // the edge is writing there just now
 			err = os.Mkdir(path, 0o755)
 		}
 		if err != nil {
@@ -129,7 +129,7 @@
 			}
 		}
 		r.platform.mu.Unlock()
-		for said() == before && r.sleep(r.now()+10*ms) {
+		for said() == before && r.sleepUntil(r.now()+10*ms) {
 		}
 		kept := func() (at time.Time) { // zero: nothing yet
 			if info, err := os.Stat(strings.TrimSuffix(path, ".new")); err == nil {
@@ -142,7 +142,7 @@
 			return false
 		}
 		for kept().Equal(old) { // what could not be kept is kept now, by itself
-			if !r.sleep(r.now() + 10*ms) {
+			if !r.sleepUntil(r.now() + 10*ms) {
 				return false
 			}
 		}
@@ -160,7 +160,7 @@
 				break
 			}
 		}
-		r.sleep(r.now() + 400*ms)
+		r.sleepUntil(r.now() + 400*ms)
 		os.RemoveAll(path) // a recorder makes it anew
 		os.RemoveAll(path + ".away")
 		if err != nil {
@@ -169,8 +169,8 @@
 		return err == nil
 	}, "", false, false},
 	{"list file cut between forms, then wrong", func(r *run, state string) bool {
-		r.hand.Lock() // it writes nothing else meanwhile
-		defer r.hand.Unlock()
+		r.listFileMu.Lock() // it writes nothing else meanwhile
+		defer r.listFileMu.Unlock()
 		path := filepath.Join(r.Out, "list.sexp")
 		text, err := os.ReadFile(path)
 		half := string(text[:strings.LastIndex(string(text), "(worker")])
@@ -178,21 +178,21 @@
 			if err == nil {
 				err = os.WriteFile(path, []byte(bad), 0o644)
 			}
-			r.sleep(r.now() + 1200*ms) // an edge looks once a second
+			r.sleepUntil(r.now() + 1200*ms) // an edge looks once a second
 		}
 		return err == nil && strings.Contains(half, "(worker")
 	}, "list file refused", false, true},
 	{"answers that are no HTTP", func(r *run, state string) bool {
-		ws := r.workers([]int{0, 4})
+		ws := r.workersAt([]int{0, 4})
 		set := func(share float64) {
-			r.park.mu.Lock()
+			r.fleet.mu.Lock()
 			for _, w := range ws {
 				w.garbageRate = share
 			}
-			r.park.mu.Unlock()
+			r.fleet.mu.Unlock()
 		}
 		set(0.5)
-		r.sleep(r.now() + 400*ms)
+		r.sleepUntil(r.now() + 400*ms)
 		set(0)
 		return len(ws) > 0
 	}, "", false, false},
@@ -200,18 +200,18 @@
 
 var apiSource = regexp.MustCompile(`\(source \(api "[^"]*"\)\)`)
 
-// writeList writes list and news to a file for all edges as a hand does that knows what the platform would tell, some
+// writeListLoop writes list and news to a file for all edges as a hand does that knows what the platform would tell, some
 // times a second, and notes it as told.
-func (r *run) writeList() {
+func (r *run) writeListLoop() {
 	p := r.platform
-	for r.sleep(r.now() + 100*ms) {
-		r.listOnce(p)
+	for r.sleepUntil(r.now() + 100*ms) {
+		r.writeListFile(p)
 	}
 }
 
-func (r *run) listOnce(p *platform) {
-	r.hand.Lock()
-	defer r.hand.Unlock()
+func (r *run) writeListFile(p *platform) {
+	r.listFileMu.Lock()
+	defer r.listFileMu.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -238,7 +238,7 @@
 		}
 		started := ""
 		if w.StartedAt > 0 {
-			started = fmt.Sprintf(" (started %s)", r.began.Add(runTime(r.offset.Load())+runTime(w.StartedAt)).UTC().Format(time.RFC3339Nano))
+			started = fmt.Sprintf(" (started %s)", r.startTime.Add(runTime(r.dayOffset.Load())+runTime(w.StartedAt)).UTC().Format(time.RFC3339Nano))
 		}
 		fmt.Fprintf(&text, "(worker %s (address %q) (zone lab) (kind std) (state %s) (build %d)%s)\n", id, w.Address, w.State, w.Build, started)
 		for i := range p.day.Sentries {
@@ -255,15 +255,15 @@
 	}
 }
 
-// comesUp starts an edge, and tells whether it serves before long. An edge that is stopped before would not drain.
-func (r *run) comesUp(p *proc) bool {
+// restartEdge starts an edge, and tells whether it serves before long. An edge that is stopped before would not drain.
+func (r *run) restartEdge(p *edgeProcess) bool {
 	return r.startEdge(p) == nil && r.awaitReady(context.Background(), p, 20*time.Second) == nil
 }
 
 func writeLine(w http.ResponseWriter, line any) { json.NewEncoder(w).Encode(line) }
 
-// spoils lets something happen to the lines of watches for a while, and till it is done; false: it was not.
-func (r *run) spoils(how func(w http.ResponseWriter, line any, done func())) bool {
+// corruptLines lets something happen to the lines of watches for a while, and till it is done; false: it was not.
+func (r *run) corruptLines(how func(w http.ResponseWriter, line any, done func())) bool {
 	var done atomic.Bool // watches are written beside us
 	set := func(how func(http.ResponseWriter, any)) {
 		r.platform.mu.Lock()
@@ -271,8 +271,8 @@
 		r.platform.mu.Unlock()
 	}
 	set(func(w http.ResponseWriter, line any) { how(w, line, func() { done.Store(true) }) })
-	r.sleep(r.now() + 400*ms)
-	for !done.Load() && r.sleep(r.now()+10*ms) {
+	r.sleepUntil(r.now() + 400*ms)
+	for !done.Load() && r.sleepUntil(r.now()+10*ms) {
 	}
 	set(nil)
 	return done.Load()
@@ -284,7 +284,7 @@
 	if testing.Short() {
 		t.Skip("plays days for seconds each")
 	}
-	for _, row := range onSocketsRows {
+	for _, row := range socketFaults {
 		for _, c := range []struct {
 			build, length, script string
 			states                []string
@@ -316,20 +316,20 @@
 					return cmd
 				}}
 				if row.file {
-					r.begins = func(r *run) {
-						r.listOnce(r.platform)
-						r.group.Go(r.writeList)
+					r.beforeEdges = func(r *run) {
+						r.writeListFile(r.platform)
+						r.group.Go(r.writeListLoop)
 					}
 				}
-				r.entered = func(r *run, state string) {
-					if !r.sleep(r.now() + 100*ms) { // the state is under way
+				r.stateHook = func(r *run, state string) {
+					if !r.sleepUntil(r.now() + 100*ms) { // the state is under way
 						return
 					}
 					var beside sync.WaitGroup
 					drained := false
 					if state == "stage change" && !row.ends { // an edge drains and starts anew meanwhile
 						beside.Go(func() {
-							drained = r.endEdge(r.procs[1], syscall.SIGTERM) == nil && r.comesUp(r.procs[1])
+							drained = r.stopEdge(r.edges[1], syscall.SIGTERM) == nil && r.restartEdge(r.edges[1])
 						})
 					}
 					did := row.does(r, state)
