--- a/lab/day.go
+++ b/lab/day.go
@@ -1,5 +1,5 @@
-// Package lab plays days against real edges on loopback sockets: workers, a release platform and clients of its own,
-// a checker of the rules that trusts only what went over the sockets, and reports.
+// Package lab runs scripted days against real edges over loopback sockets. It simulates the workers, the release platform
+// and the clients, checks the routing rules by the recorded socket traffic alone, and writes reports.
 package lab
 
 import (
@@ -17,106 +17,112 @@
 // Product is a kind of txn of a day.
 type Product struct {
 	Name             string
-	Share            float64
-	MeanWork         time.Duration // mean, on a core of speed 1
-	SLA, Expiry      time.Duration
-	Effect           string
-	DedupMemory      time.Duration
-	Revenue          float64
-	LateRevenueShare float64
-	BodyBytes        int // bytes of a request's body
+	Share            float64       // of the txns
+	MeanWork         time.Duration // on a core of speed 1
+	SLA              time.Duration
+	Expiry           time.Duration
+	Effect           string        // inquiry-like, referenced or once-only
+	DedupMemory      time.Duration // how long workers remember a referenced txn's key
+	Revenue          float64       // of a txn that settles within its SLA time
+	LateRevenueShare float64       // share of Revenue that a later answer earns
+	BodyBytes        int           // size of a request's body
 }
 
-// Offer is a new build, offered at some time.
+// Offer is a new build and the time at which the platform starts to roll it out.
 type Offer struct {
 	At       time.Duration
 	Flaw     fleet.Flaw
-	Strength float64
-	Product  string
-	Speed    float64
+	Strength float64 // of the flaw; see fleet.Build
+	Product  string  // affected product, if the flaw affects only one
+	Speed    float64 // relative to a normal build
 }
 
-// Fault is something that goes wrong for a while.
+// Fault is a fault or disturbance that is injected for a limited time.
 type Fault struct {
-	Kind      string
+	Kind      string // a key of faultKinds
 	At        time.Duration
 	Duration  time.Duration
-	Targets   []int   // machines' places or sentries; empty: Many of them by chance
-	Count     int     // how many, where On is empty
-	Magnitude float64 // what it means depends on the kind
-	Extra     float64
+	Targets   []int   // indexes of replicas or edges; if empty, Count random ones are chosen
+	Count     int     // number of random targets
+	Magnitude float64 // the (size ...) of the fault; its meaning depends on Kind
+	Extra     float64 // accepted in a day's file and unused
 }
 
-// Kinds of troubles, and what they take.
+// faultKinds describes each kind of fault in terms of its settings.
 var faultKinds = map[string]string{
-	"crash":          "machines die at once, and come back cold after (for ...)",
-	"vanish":         "machines go silent: nothing is answered, nothing accepted",
-	"hang":           "machines take txns and answer none",
+	"crash":          "machines crash together and restart cold after (for ...)",
+	"vanish":         "machines become unresponsive: they neither process nor answer anything",
+	"hang":           "machines accept txns and answer none",
 	"slow":           "machines take (size ...) times as long",
-	"fast-errors":    "machines fail a share (size ...) of their txns at once",
-	"neighbour":      "another program takes a share (size ...) of the machines",
-	"late-reports":   "the machines' load reports stand still",
-	"false-reports":  "the machines report to be idle",
-	"costly-connect": "a connection takes (size ...) milliseconds to be served",
+	"fast-errors":    "machines fail a share (size ...) of their txns immediately",
+	"neighbour":      "another program uses a share (size ...) of the machines",
+	"late-reports":   "the machines' load reports are not updated",
+	"false-reports":  "the machines report that they are idle",
+	"costly-connect": "machines delay each new connection by (size ...) milliseconds",
 	"burst":          "(size ...) times the traffic",
-	"give-up":        "a share (size ...) of clients leave before their time",
+	"give-up":        "a share (size ...) of clients leave before their patience ends",
 	"bad-requests":   "the txns of a share (size ...) of keys are malformed and fail at any worker",
-	"sentry-kill":    "edges are killed outright, and started after (for ...)",
-	"sentry-roll":    "edges are stopped by SIGTERM, one after another, and started anew",
-	"stalled":        "the platform stands still and answers no vote",
-	"late-news":      "the platform's news is (size ...) seconds later than usual",
-	"garbage":        "machines answer with bytes that are no HTTP for a share (size ...) of txns",
+	"sentry-kill":    "edges are killed with SIGKILL and restarted after (for ...)",
+	"sentry-roll":    "edges are stopped with SIGTERM and restarted, one after another",
+	"stalled":        "the platform makes no progress and answers no vote",
+	"late-news":      "the platform's release updates are delayed by (size ...) seconds more than usual",
+	"garbage":        "machines answer a share (size ...) of txns with bytes that are not HTTP",
 }
 
-// Day is a script: a fleet, its traffic, the builds offered and the troubles.
+// Day is the script of a run: a fleet, its traffic, the builds that are rolled out and the faults.
 type Day struct {
-	Name   string
-	Seed   int64
-	Length time.Duration
-	Sentries,
-	Loops int
-	EdgeWeights []float64 // of the sentries' traffic
+	Name        string
+	Seed        int64
+	Length      time.Duration
+	Sentries    int       // number of edge processes
+	Loops       int       // event loops of each edge
+	EdgeWeights []float64 // relative traffic of each edge; empty means equal
 	Machines    int
 	MachineKind fleet.Kind
-	MinSpeed, MaxSpeed,
-	WorkCV float64
-	BootTime        time.Duration // until a new machine runs
-	Products        []Product
-	Rate            float64 // txns a second
-	Keys            int
-	Retries         int
-	Backoff         time.Duration
-	MinPatience     float64 // least share of the expiry that a client waits
-	StageShares     []float64
-	CapFactor       float64 // cap = share times slack
-	BakeTime        time.Duration
-	VoteRule        string
+	MinSpeed    float64 // speeds of machines are uniform between MinSpeed and MaxSpeed
+	MaxSpeed    float64
+	WorkCV      float64       // coefficient of variation of a txn's work
+	BootTime    time.Duration // from the decision to start a machine until it serves
+	Products    []Product
+	Rate        float64 // txns a second
+	Keys        int     // number of distinct keys
+	Retries     int     // maximum retries of a txn by its client
+	Backoff     time.Duration
+	MinPatience float64 // minimum share of the expiry that a client waits
+
+	// Settings of the platform and the rollout.
+
+	StageShares     []float64     // share of the machines that run the new build, by stage
+	CapFactor       float64       // ratio of a stage's cap to its share
+	BakeTime        time.Duration // minimum length of a stage once its machines run
+	VoteRule        string        // single, majority or clocked
 	OnVotesNeeded   int
-	HoldVotesNeeded int           // sentries that stop the clock, under clocked
+	HoldVotesNeeded int           // sentries voting hold that stop the stage's clock, under clocked
 	StageTime       time.Duration // of a stage, under clocked
 	BackVotesNeeded int
-	RolloutStyle    string
-	ExposureScope   string
-	ExposureWindow  time.Duration
-	FreeSubmissions float64
-	OneWayKeys      bool
-	GuardedStages   int
-	PushInterval    time.Duration
-	ReleaseUpdateDelay,
-	WorkerListDelay time.Duration
-	VotesPerSecond   float64
-	TallyInterval    time.Duration // 0: the platform counts nothing
-	TallySampleShare float64
-	WrongReportShare float64 // share of wrong answers that are reported
-	WrongReportDelay time.Duration
-	DrainTime        time.Duration // a drained machine goes after that
-	DrainGrace       time.Duration
-	PeerMessages     bool
-	Offers           []Offer
-	Faults           []Fault
+	RolloutStyle    string        // in-place replaces machines; beside keeps the old ones until the release
+	ExposureScope   string        // whether the cap counts the txns of all products together, or each product's
+	ExposureWindow  time.Duration // the cap applies to txns within this time
+	FreeSubmissions float64       // submissions within ExposureWindow that are allowed beyond the cap
+	OneWayKeys      bool          // once the new build has answered a key, older builds may not receive that key
+	GuardedStages   int           // first stages in which the new build receives inquiry-like txns only
+	PushInterval    time.Duration // between repeats of an unchanged release state
+
+	ReleaseUpdateDelay time.Duration // until edges receive a change of the release
+	WorkerListDelay    time.Duration // until edges receive a change of the worker list
+	VotesPerSecond     float64       // limit on the votes of all edges
+	TallyInterval      time.Duration // between tallies of the workers; 0 disables them
+	TallySampleShare   float64       // share of the txns that tallies count
+	WrongReportShare   float64       // share of wrong answers that clients report
+	WrongReportDelay   time.Duration
+	DrainTime          time.Duration // from the start of a machine's drain until it stops
+	DrainGrace         time.Duration // after an edge receives a drain, in which it may still send to the machine
+	PeerMessages       bool          // whether sentries exchange messages
+	Offers             []Offer       // in order of time
+	Faults             []Fault       // in order of time
 }
 
-// ReadDay reads and checks a day's file. The error is config.Faults where the text is at fault.
+// ReadDay reads and validates a day's file. Errors in the text are returned as config.FileErrors.
 func ReadDay(path string) (*Day, error) {
 	r, err := config.ReadFile(path)
 	if err != nil {
@@ -125,7 +131,7 @@
 	return readDay(r)
 }
 
-// ParseDay is ReadDay for a text in hand.
+// ParseDay is like ReadDay, for text that is already in memory. Errors name the given file.
 func ParseDay(file, text string) (*Day, error) {
 	r, err := config.Read(file, text)
 	if err != nil {
@@ -134,8 +140,10 @@
 	return readDay(r)
 }
 
+// maxDuration is the maximum length of a day, and of times within it.
 const maxDuration = 24 * time.Hour
 
+// readDay reads and validates a day.
 func readDay(r *config.Reader) (*Day, error) {
 	f := r.Root().RequireField("day")
 	r.Root().RejectUnknown()
@@ -183,6 +191,7 @@
 	return d, nil
 }
 
+// readProducts reads the (product ...) forms, whose shares must sum to 1.
 func (d *Day) readProducts(f *config.Form) {
 	sum := 0.0
 	for _, p := range f.Fields("product") {
@@ -208,6 +217,7 @@
 	}
 }
 
+// readPlatform reads the settings of the platform and the rollout.
 func (d *Day) readPlatform(f *config.Form) {
 	p := f.RequireField("platform")
 	d.StageShares = p.Floats("stages", 0.001, 1)
@@ -243,6 +253,7 @@
 	p.RejectUnknown()
 }
 
+// readScript reads the offers and faults and sorts them by time.
 func (d *Day) readScript(f *config.Form) {
 	for _, o := range f.Fields("offer") {
 		x := Offer{At: o.Duration("at", 0, 0, maxDuration), Strength: o.Float("strength", 0, 0, 100), Product: o.Text("product", ""),
@@ -276,6 +287,7 @@
 	sort.SliceStable(d.Faults, func(i, j int) bool { return d.Faults[i].At < d.Faults[j].At })
 }
 
+// productIndex returns the index of the named product, or -1.
 func (d *Day) productIndex(name string) int {
 	for i := range d.Products {
 		if d.Products[i].Name == name {
@@ -285,21 +297,21 @@
 	return -1
 }
 
-// Scale plays the script so many times as fast: lengths and times of the script shrink, while txns, builds, stages
-// and workers keep their own times.
-func (d *Day) Scale(by float64) {
-	shrink := func(t *time.Duration) { *t = time.Duration(float64(*t) / by) }
-	shrink(&d.Length)
+// Scale speeds up the script by a factor: the day's length and the times of offers and faults shrink, while the timing of
+// txns, builds, stages and workers does not change.
+func (d *Day) Scale(factor float64) {
+	scale := func(t *time.Duration) { *t = time.Duration(float64(*t) / factor) }
+	scale(&d.Length)
 	for i := range d.Offers {
-		shrink(&d.Offers[i].At)
+		scale(&d.Offers[i].At)
 	}
 	for i := range d.Faults {
-		shrink(&d.Faults[i].At)
-		shrink(&d.Faults[i].Duration)
+		scale(&d.Faults[i].At)
+		scale(&d.Faults[i].Duration)
 	}
 }
 
-// stageCaps gives each stage's cap.
+// stageCaps returns the cap of each stage.
 func (d *Day) stageCaps() []float64 {
 	out := make([]float64, len(d.StageShares))
 	for i, s := range d.StageShares {
@@ -308,40 +320,40 @@
 	return out
 }
 
-// EdgeSettings is the settings file of edge number i, as an operator would write it for this day.
+// EdgeSettings returns the text of the settings file of edge i, as an operator would write it for this day.
 func (d *Day) EdgeSettings(i int, listen, admin, api, state string, peers []string) string {
 	var b strings.Builder
-	w := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	w("; written by the lab for the day %q", d.Name)
-	w("(edge")
-	w("  (name \"edge-%d\") (listen %q) (admin %q) (state %q)", i, listen, admin, state)
-	w("  (loops %d) (index %d) (sentries %d) (seed %d)", d.Loops, i*d.Loops, d.Sentries*d.Loops, d.Seed)
-	w("  (zones \"lab\") (zone \"lab\") (kinds \"std\")")
+	addLine := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
+	addLine("; written by the lab for the day %q", d.Name)
+	addLine("(edge")
+	addLine("  (name \"edge-%d\") (listen %q) (admin %q) (state %q)", i, listen, admin, state)
+	addLine("  (loops %d) (index %d) (sentries %d) (seed %d)", d.Loops, i*d.Loops, d.Sentries*d.Loops, d.Seed)
+	addLine("  (zones \"lab\") (zone \"lab\") (kinds \"std\")")
 	if len(peers) > 0 {
-		w("  (peers %s)", strings.Join(peers, " "))
+		addLine("  (peers %s)", strings.Join(peers, " "))
 	}
-	w("  (source (api %q)) (drain-within 8s)", api)
+	addLine("  (source (api %q)) (drain-within 8s)", api)
 	for _, p := range d.Products {
 		memory := ""
 		if p.Effect == "referenced" {
 			memory = fmt.Sprintf(" (group all) (memory %v)", p.DedupMemory)
 		}
-		w("  (product %q (sla %v) (expiry %v) (effect %s)%s (revenue %g) (late-revenue %g))", p.Name, p.SLA, p.Expiry, p.Effect,
+		addLine("  (product %q (sla %v) (expiry %v) (effect %s)%s (revenue %g) (late-revenue %g))", p.Name, p.SLA, p.Expiry, p.Effect,
 			memory, p.Revenue, p.LateRevenueShare)
-		w("  (route (prefix %q) (product %q) (key \"Lab-Key\") (cost \"Lab-Cost-Ms\"))", "/"+p.Name, p.Name)
+		addLine("  (route (prefix %q) (product %q) (key \"Lab-Key\") (cost \"Lab-Cost-Ms\"))", "/"+p.Name, p.Name)
 	}
-	w("  (allow (submissions 5) (copies true) (cancel true) (longest-retry-after 500ms))")
-	nums := func(v []float64) string {
+	addLine("  (allow (submissions 5) (copies true) (cancel true) (longest-retry-after 500ms))")
+	formatFloats := func(v []float64) string {
 		var s []string
 		for _, x := range v {
 			s = append(s, strconv.FormatFloat(x, 'g', 6, 64))
 		}
 		return strings.Join(s, " ")
 	}
-	w("  (release (votes %s) (style %s) (counts %s) (caps %s) (shares %s)", d.VoteRule, d.RolloutStyle, d.ExposureScope, nums(d.stageCaps()), nums(d.StageShares))
-	w("    (window %v) (free %g) (bake %v) (votes-back %d) (votes-per-second %g) (guarded-stages %d) (one-way %t))", d.ExposureWindow, d.FreeSubmissions,
+	addLine("  (release (votes %s) (style %s) (counts %s) (caps %s) (shares %s)", d.VoteRule, d.RolloutStyle, d.ExposureScope, formatFloats(d.stageCaps()), formatFloats(d.StageShares))
+	addLine("    (window %v) (free %g) (bake %v) (votes-back %d) (votes-per-second %g) (guarded-stages %d) (one-way %t))", d.ExposureWindow, d.FreeSubmissions,
 		d.BakeTime, d.BackVotesNeeded, d.VotesPerSecond, d.GuardedStages, d.OneWayKeys)
-	w("  (rules (cold %v) (cold-from %g) (fall-multiple %g) (fall-after %v) (drain-grace %v)))", time.Duration(d.MachineKind.WarmUp),
+	addLine("  (rules (cold %v) (cold-from %g) (fall-multiple %g) (fall-after %v) (drain-grace %v)))", time.Duration(d.MachineKind.WarmUp),
 		d.MachineKind.ColdStartCapacity, d.MachineKind.OverloadMultiple, time.Duration(d.MachineKind.OverloadWindow), d.DrainGrace)
 	return b.String()
 }
