--- a/lab/bench.go
+++ b/lab/bench.go
@@ -27,19 +27,19 @@
 	"net/url"
 )
 
-// Subjects are what the throughput bench measures, each as a process of its own. direct has no process: the load goes
-// to the worker.
+// Subjects are the forwarders that the throughput bench measures, each in its own process. The subject direct has no
+// process: the load goes straight to the worker.
 var Subjects = []string{"direct", "gnet", "edge", "edge-traced", "edge-sampled", "fasthttp", "reverse-proxy"}
 
-// ServeSubject runs a forwarder, or the bench's worker, until SIGTERM.
+// ServeSubject runs a forwarder or the bench's worker until SIGTERM or SIGINT. size is the worker's answer size in bytes.
 func ServeSubject(kind, listen, worker string, size int) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	switch kind {
 	case "worker":
-		out := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: text/plain\r\n\r\n%s", size, strings.Repeat("x", size))
-		big := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 1<<20, strings.Repeat("x", 1<<20))
-		return serveGnet(ctx, &fixedResponder{response: out, largeResponse: big}, listen)
+		response := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nContent-Type: text/plain\r\n\r\n%s", size, strings.Repeat("x", size))
+		largeResponse := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 1<<20, strings.Repeat("x", 1<<20))
+		return serveGnet(ctx, &fixedResponder{response: response, largeResponse: largeResponse}, listen)
 	case "gnet":
 		return forward(ctx, listen, worker)
 	case "fasthttp":
@@ -53,10 +53,10 @@
 		go func() { <-ctx.Done(); s.Shutdown() }()
 		return s.ListenAndServe(listen)
 	case "reverse-proxy":
-		to := &url.URL{Scheme: "http", Host: worker}
-		p := httputil.NewSingleHostReverseProxy(to)
-		p.Transport = &http.Transport{MaxIdleConnsPerHost: 4096}
-		s := &http.Server{Addr: listen, Handler: p}
+		target := &url.URL{Scheme: "http", Host: worker}
+		proxy := httputil.NewSingleHostReverseProxy(target)
+		proxy.Transport = &http.Transport{MaxIdleConnsPerHost: 4096}
+		s := &http.Server{Addr: listen, Handler: proxy}
 		go func() { <-ctx.Done(); s.Close() }()
 		if err := s.ListenAndServe(); err != http.ErrServerClosed {
 			return err
@@ -66,7 +66,8 @@
 	return fmt.Errorf("no subject %q", kind)
 }
 
-// fixedResponder answers every request that ends in an empty line with the same bytes, one for /big with 1 MiB.
+// fixedResponder answers each request with a fixed response, and those for /big with a larger one. It takes the first empty
+// line as the end of a request.
 type fixedResponder struct {
 	gnet.BuiltinEventEngine
 	response, largeResponse []byte
@@ -74,25 +75,26 @@
 
 func (a *fixedResponder) OnTraffic(c gnet.Conn) gnet.Action {
 	in, _ := c.Peek(-1)
-	took := 0
+	consumed := 0
 	for {
-		at := bytes.Index(in[took:], []byte("\r\n\r\n"))
-		if at < 0 {
+		end := bytes.Index(in[consumed:], []byte("\r\n\r\n"))
+		if end < 0 {
 			break
 		}
-		if bytes.HasPrefix(in[took:], []byte("GET /big")) {
+		if bytes.HasPrefix(in[consumed:], []byte("GET /big")) {
 			c.Write(a.largeResponse)
 		} else {
 			c.Write(a.response)
 		}
-		took += at + 4
+		consumed += end + 4
 	}
-	if took > 0 {
-		c.Discard(took)
+	if consumed > 0 {
+		c.Discard(consumed)
 	}
 	return gnet.None
 }
 
+// serveGnet runs an event handler on one event loop until ctx ends.
 func serveGnet(ctx context.Context, h gnet.EventHandler, listen string) error {
 	go func() {
 		<-ctx.Done()
@@ -101,15 +103,16 @@
 	return gnet.Run(h, "tcp://"+listen, gnet.WithNumEventLoop(1), gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReusePort(true))
 }
 
-// forwarder copies bytes between a client's connection and one of its own to the worker, and knows nothing of HTTP:
-// what an event loop can do at the most.
+// forwarder copies bytes between a client's connection and a connection to the worker without parsing HTTP. It is the upper
+// bound of what an edge on an event loop can reach.
 type forwarder struct {
 	gnet.BuiltinEventEngine
 }
 
+// peerConn is the context of a connection: it holds the connection that the bytes are copied to.
 type peerConn struct{ peer gnet.Conn }
 
-// OnOpen ties the client's side to the worker's, which was there before, on the loop of both.
+// OnOpen links a client's connection to the worker's, which was opened before on the same loop.
 func (*forwarder) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	if p := c.Context().(*peerConn); p.peer != nil {
 		p.peer.Context().(*peerConn).peer = c
@@ -137,7 +140,7 @@
 	return gnet.None
 }
 
-// forward runs forwarders on as many loops as the process has cores to itself.
+// forward runs forwarders on as many event loops as BENCH_LOOPS names, which is the number of cores for the subject.
 func forward(ctx context.Context, listen, worker string) error {
 	loops, _ := strconv.Atoi(os.Getenv("BENCH_LOOPS"))
 	var engines []*gnet.Client
@@ -161,58 +164,63 @@
 		if err != nil {
 			return nil
 		}
-		up, err := net.Dial("tcp", worker)
+		upstream, err := net.Dial("tcp", worker)
 		if err != nil {
 			c.Close()
 			continue
 		}
 		e := engines[n%len(engines)]
-		a, b := &peerConn{}, &peerConn{}
-		back, err := e.EnrollContext(up, a)
+		workerContext, clientContext := &peerConn{}, &peerConn{}
+		workerConn, err := e.EnrollContext(upstream, workerContext)
 		if err != nil {
 			return err
 		}
-		b.peer = back
-		if _, err := e.EnrollContext(c, b); err != nil {
+		clientContext.peer = workerConn
+		if _, err := e.EnrollContext(c, clientContext); err != nil {
 			return err
 		}
 	}
 }
 
-// BenchPlan is what a bench measures.
+// BenchPlan holds the parameters of a bench.
 type BenchPlan struct {
-	Self     string // this program
-	Out      string
+	Self     string // path of this program
+	Out      string // directory of the edges' settings and traces
 	Rounds   int
 	Span     time.Duration // of each measurement
 	Conns    int
-	Rate     float64 // of the open loop
-	Sizes    []int
-	Loops    []int
+	Rate     float64 // txns a second of the open-loop measurement
+	Sizes    []int   // of answers, in bytes
+	Loops    []int   // event loops of a subject
 	Subjects []string
 }
 
-// BenchRow is what one subject reached: medians over the rounds.
+// BenchRow holds the results of one subject: medians over the rounds, except where noted.
 type BenchRow struct {
-	Subject                        string
-	Loops, AnswerBytes             int
-	PerCoreSecond                  float64
-	PerSecond                      float64
-	P50, P99                       float64 // microseconds, of the open loop
-	AddedP50, AddedP99             float64 // the same less the direct way's, round by round
-	RatioToEdge                    float64 // txns a core-second over the edge's of the same round: the median
-	MinRatioToEdge, MaxRatioToEdge float64 // of the rounds
-	P99RatioToEdge                 float64
+	Subject        string
+	Loops          int
+	AnswerBytes    int
+	PerCoreSecond  float64 // txns per second of CPU time, at full load
+	PerSecond      float64 // txns per second, at full load
+	P50            float64 // latency of the open loop, in microseconds
+	P99            float64 // in microseconds
+	AddedP50       float64 // P50 minus that of direct in the same round
+	AddedP99       float64 // P99 minus that of direct in the same round
+	RatioToEdge    float64 // of PerCoreSecond to the edge's in the same round
+	MinRatioToEdge float64 // minimum over the rounds
+	MaxRatioToEdge float64 // maximum over the rounds
+	P99RatioToEdge float64 // of P99 to the edge's in the same round
 }
 
-// Bench measures all subjects in turn, round by round, so that a noisy machine hits all alike.
-func Bench(ctx context.Context, plan BenchPlan, say io.Writer) ([]BenchRow, error) {
+// Bench measures all subjects in turn, round by round, so that noise of the machine affects all of them alike. It writes a
+// line for each measurement to progress.
+func Bench(ctx context.Context, plan BenchPlan, progress io.Writer) ([]BenchRow, error) {
 	type key struct {
 		subject     string
 		loops, size int
 	}
-	type sample struct{ perCore, perSecond, p50, p99, added50, added, overEdge, p99OverEdge float64 }
-	got := map[key][]sample{}
+	type sample struct{ perCore, perSecond, p50, p99, addedP50, addedP99, ratioToEdge, p99RatioToEdge float64 }
+	samples := map[key][]sample{}
 	var keys []key
 	for round := 0; round < plan.Rounds; round++ {
 		for _, size := range plan.Sizes {
@@ -245,12 +253,12 @@
 					if subject == "edge" {
 						edge = s
 					}
-					s.added50, s.added = s.p50-direct.p50, s.p99-direct.p99
+					s.addedP50, s.addedP99 = s.p50-direct.p50, s.p99-direct.p99
 					if edge.perCore > 0 {
-						s.overEdge, s.p99OverEdge = s.perCore/edge.perCore, s.p99/edge.p99
+						s.ratioToEdge, s.p99RatioToEdge = s.perCore/edge.perCore, s.p99/edge.p99
 					}
-					got[k] = append(got[k], s)
-					fmt.Fprintf(say, "round %d: %-13s %d loops, %5d bytes: %7.0f a core-second, %7.0f a second, p50 %5.0f us, p99 %5.0f us\n", round+1,
+					samples[k] = append(samples[k], s)
+					fmt.Fprintf(progress, "round %d: %-13s %d loops, %5d bytes: %7.0f per core-second, %7.0f per second, p50 %5.0f us, p99 %5.0f us\n", round+1,
 						subject, loops, size, s.perCore, s.perSecond, s.p50, s.p99)
 				}
 			}
@@ -259,27 +267,28 @@
 	}
 	var rows []BenchRow
 	for _, k := range keys {
-		mid := func(of func(sample) float64) float64 {
-			var v []float64
-			for _, s := range got[k] {
-				v = append(v, of(s))
+		median := func(value func(sample) float64) float64 {
+			var values []float64
+			for _, s := range samples[k] {
+				values = append(values, value(s))
 			}
-			sort.Float64s(v)
-			return v[len(v)/2]
+			sort.Float64s(values)
+			return values[len(values)/2]
 		}
-		least, most := math.Inf(1), 0.0
-		for _, s := range got[k] {
-			least, most = min(least, s.overEdge), max(most, s.overEdge)
+		lowest, highest := math.Inf(1), 0.0
+		for _, s := range samples[k] {
+			lowest, highest = min(lowest, s.ratioToEdge), max(highest, s.ratioToEdge)
 		}
-		rows = append(rows, BenchRow{k.subject, k.loops, k.size, mid(func(s sample) float64 { return s.perCore }),
-			mid(func(s sample) float64 { return s.perSecond }), mid(func(s sample) float64 { return s.p50 }),
-			mid(func(s sample) float64 { return s.p99 }), mid(func(s sample) float64 { return s.added50 }),
-			mid(func(s sample) float64 { return s.added }), mid(func(s sample) float64 { return s.overEdge }), least, most,
-			mid(func(s sample) float64 { return s.p99OverEdge })})
+		rows = append(rows, BenchRow{k.subject, k.loops, k.size, median(func(s sample) float64 { return s.perCore }),
+			median(func(s sample) float64 { return s.perSecond }), median(func(s sample) float64 { return s.p50 }),
+			median(func(s sample) float64 { return s.p99 }), median(func(s sample) float64 { return s.addedP50 }),
+			median(func(s sample) float64 { return s.addedP99 }), median(func(s sample) float64 { return s.ratioToEdge }), lowest, highest,
+			median(func(s sample) float64 { return s.p99RatioToEdge })})
 	}
 	return rows, nil
 }
 
+// startWorker starts the bench's worker and returns its address and a function that stops it.
 func (plan BenchPlan) startWorker(size int) (string, func(), error) {
 	address, err := freeAddress("127.0.0.1")
 	if err != nil {
@@ -289,7 +298,7 @@
 	return address, stop, err
 }
 
-// startProcess starts this program with arguments and waits until it listens.
+// startProcess starts this program with the given arguments and waits until it listens.
 func (plan BenchPlan) startProcess(env []string, address string, args ...string) (stop func(), pid int, err error) {
 	cmd := exec.Command(plan.Self, args...)
 	cmd.Env = append(os.Environ(), env...)
@@ -299,11 +308,11 @@
 	}
 	stop = func() {
 		cmd.Process.Signal(syscall.SIGTERM)
-		done := time.AfterFunc(3*time.Second, func() { cmd.Process.Kill() })
+		killTimer := time.AfterFunc(3*time.Second, func() { cmd.Process.Kill() })
 		cmd.Wait()
-		done.Stop()
+		killTimer.Stop()
 	}
-	for until := time.Now().Add(5 * time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		if c, err := net.Dial("tcp", address); err == nil {
 			c.Close()
 			return stop, cmd.Process.Pid, nil
@@ -313,7 +322,7 @@
 	return nil, 0, fmt.Errorf("%v does not listen at %s", args, address)
 }
 
-// measure measures a subject: first as much as it can take, by its CPU, then the times at a modest rate.
+// measure runs one subject: first at full load, for the throughput and CPU time, then at plan.Rate, for the latencies.
 func (plan BenchPlan) measure(subject, worker string, size, loops int) (perCore, perSecond float64, h *hdrhistogram.Histogram, err error) {
 	address, pid := worker, 0
 	if subject != "direct" {
@@ -333,49 +342,51 @@
 			return
 		}
 		defer stop()
-		time.Sleep(300 * time.Millisecond) // the list is read
+		time.Sleep(300 * time.Millisecond) // the edge reads its worker list
 	}
-	if _, err = plan.generateLoad(address, size, plan.Span/3, 0); err != nil { // to warm up
+	if _, err = plan.generateLoad(address, size, plan.Span/3, 0); err != nil { // warm-up
 		return
 	}
-	cpu, began := cpuTime(pid), time.Now()
-	all, err := plan.generateLoad(address, size, plan.Span, 0)
+	cpuBefore, startTime := cpuTime(pid), time.Now()
+	latencies, err := plan.generateLoad(address, size, plan.Span, 0)
 	if err != nil {
 		return
 	}
-	perSecond = float64(all.TotalCount()) / time.Since(began).Seconds()
-	if used := cpuTime(pid) - cpu; used > 0 {
-		perCore = float64(all.TotalCount()) / used.Seconds()
+	perSecond = float64(latencies.TotalCount()) / time.Since(startTime).Seconds()
+	if used := cpuTime(pid) - cpuBefore; used > 0 {
+		perCore = float64(latencies.TotalCount()) / used.Seconds()
 	}
 	h, err = plan.generateLoad(address, size, plan.Span, plan.Rate)
 	return
 }
 
+// writeEdgeFiles writes the settings and the worker list of the edge that is measured, and returns the settings' path. traced is
+// the subject's name without its prefix edge, and selects the trace level.
 func (plan BenchPlan) writeEdgeFiles(listen, worker string, loops int, traced string) (string, error) {
 	if err := os.MkdirAll(plan.Out, 0o755); err != nil {
 		return "", err
 	}
-	list, settings := filepath.Join(plan.Out, "bench-list.sexp"), filepath.Join(plan.Out, "bench-edge.sexp")
-	// A fleet of twelve, all served by the one process: a single worker would be held to few txns at once.
+	listPath, settingsPath := filepath.Join(plan.Out, "bench-list.sexp"), filepath.Join(plan.Out, "bench-edge.sexp")
+	// Twelve workers, all served by one process: the edge would limit a single worker to few concurrent txns.
 	text := "(release (build 1))\n"
 	for i := 0; i < 12; i++ {
 		text += fmt.Sprintf("(worker w%02d (address %q))\n", i, worker)
 	}
-	if err := os.WriteFile(list, []byte(text), 0o644); err != nil {
+	if err := os.WriteFile(listPath, []byte(text), 0o644); err != nil {
 		return "", err
 	}
-	record := "(trace (on false))"
+	traceForm := "(trace (on false))"
 	level := map[string]string{"-traced": "(level whole)", "-tailless": "(level whole) (tail none)", "-sampled": "(level sampled) (one-in 100)", "-decisions": "(level decisions)"}[traced]
 	if level != "" {
-		record = fmt.Sprintf("(trace (folder %q) (segment 64MiB) (total 256MiB) %s)", filepath.Join(plan.Out, "trace"+traced), level)
+		traceForm = fmt.Sprintf("(trace (folder %q) (segment 64MiB) (total 256MiB) %s)", filepath.Join(plan.Out, "trace"+traced), level)
 	}
 	text = fmt.Sprintf(`(edge %s (name "bench") (listen %q) (admin "127.0.0.1:18089") (loops %d) (log warn) (source (file %q)) (workers (connections 4096))
   (product "read" (sla 1s) (expiry 3s) (effect inquiry-like)) (route (product "read"))
-  (release (caps 0.1 1) (shares 0.1 1) (window 6s)))`, record, listen, loops, list)
-	return settings, os.WriteFile(settings, []byte(text), 0o644)
+  (release (caps 0.1 1) (shares 0.1 1) (window 6s)))`, traceForm, listen, loops, listPath)
+	return settingsPath, os.WriteFile(settingsPath, []byte(text), 0o644)
 }
 
-// cpuTime is the CPU time that a process has used, by /proc, in ticks of 10 ms.
+// cpuTime returns the CPU time that a process has used, from /proc, in steps of 10 ms.
 func cpuTime(pid int) time.Duration {
 	if pid == 0 {
 		return 0
@@ -390,70 +401,72 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// generateLoad sends requests on some connections for a span and gives their times in microseconds: one after another on
-// each where rate is 0, else at times set ahead, from which lateness counts.
+// generateLoad sends requests for a span on plan.Conns connections and returns their latencies in microseconds. If rate is 0,
+// each connection sends one request after another; otherwise requests are scheduled ahead, and latency counts from the
+// scheduled time.
 func (plan BenchPlan) generateLoad(address string, size int, span time.Duration, rate float64) (*hdrhistogram.Histogram, error) {
 	all := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	var first error
-	began := time.Now()
+	var firstErr error
+	startTime := time.Now()
 	for i := 0; i < plan.Conns; i++ {
 		group.Go(func() {
 			h := hdrhistogram.New(1, 60_000_000, 3)
-			err := loadConnection(address, size, began, span, rate/float64(plan.Conns), i, plan.Conns, h)
+			err := loadConnection(address, size, startTime, span, rate/float64(plan.Conns), i, plan.Conns, h)
 			mu.Lock()
 			defer mu.Unlock()
 			all.Merge(h)
-			if err != nil && first == nil {
-				first = err
+			if err != nil && firstErr == nil {
+				firstErr = err
 			}
 		})
 	}
 	group.Wait()
-	return all, first
+	return all, firstErr
 }
 
-func loadConnection(address string, size int, began time.Time, span time.Duration, rate float64, i, of int, h *hdrhistogram.Histogram) error {
+// loadConnection generates the load of one connection, number i of conns, and records the latencies in h.
+func loadConnection(address string, size int, startTime time.Time, span time.Duration, rate float64, i, conns int, h *hdrhistogram.Histogram) error {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
 	}
 	defer func() { c.Close() }()
-	c.SetDeadline(began.Add(span + 20*time.Second))
+	c.SetDeadline(startTime.Add(span + 20*time.Second))
 	request := []byte("GET /calendar/17 HTTP/1.1\r\nHost: bench\r\nUser-Agent: bench/1\r\nAccept: */*\r\nX-Key: 17\r\n\r\n")
 	buf := make([]byte, 64<<10)
-	due := began
+	dueAt := startTime
 	if rate > 0 {
-		due = began.Add(time.Duration(float64(i) / float64(of) / rate * float64(time.Second)))
+		dueAt = startTime.Add(time.Duration(float64(i) / float64(conns) / rate * float64(time.Second)))
 	}
 	for {
-		sent := time.Now()
+		latencyStart := time.Now()
 		if rate > 0 {
-			if wait := time.Until(due); wait > 0 {
+			if wait := time.Until(dueAt); wait > 0 {
 				time.Sleep(wait)
 			}
-			sent = due
-			due = due.Add(time.Duration(float64(time.Second) / rate))
+			latencyStart = dueAt
+			dueAt = dueAt.Add(time.Duration(float64(time.Second) / rate))
 		}
-		if time.Since(began) > span {
+		if time.Since(startTime) > span {
 			return nil
 		}
 		if _, err := c.Write(request); err != nil {
 			return err
 		}
-		n, head := 0, -1
-		for head < 0 || n < head+4+size {
-			k, err := c.Read(buf[n:])
+		n, headEnd := 0, -1
+		for headEnd < 0 || n < headEnd+4+size {
+			received, err := c.Read(buf[n:])
 			if err != nil {
 				return fmt.Errorf("after %d bytes of an answer: %w", n, err)
 			}
-			n += k
-			if head < 0 {
-				head = bytes.Index(buf[:n], []byte("\r\n\r\n"))
+			n += received
+			if headEnd < 0 {
+				headEnd = bytes.Index(buf[:n], []byte("\r\n\r\n"))
 			}
 			if !bytes.HasPrefix(buf, []byte("HTTP/1.1 200")) {
-				break // a decline: it counts for nothing, and its connection is not used again
+				break // a declined txn is not counted, and its connection is not reused
 			}
 		}
 		if !bytes.HasPrefix(buf, []byte("HTTP/1.1 200")) {
@@ -461,14 +474,14 @@
 			if c, err = net.Dial("tcp", address); err != nil {
 				return err
 			}
-			c.SetDeadline(began.Add(span + 20*time.Second))
+			c.SetDeadline(startTime.Add(span + 20*time.Second))
 			continue
 		}
-		h.RecordValue(max(1, int64(time.Since(sent)/time.Microsecond)))
+		h.RecordValue(max(1, int64(time.Since(latencyStart)/time.Microsecond)))
 	}
 }
 
-// BenchTable prints rows in Markdown, with each figure as a ratio to the reverse proxy's and the bare forwarder's.
+// WriteBenchTable writes rows as a Markdown table, with ratios to the reverse proxy, the bare forwarder and the edge.
 func BenchTable(w io.Writer, rows []BenchRow) {
 	find := func(subject string, r BenchRow) *BenchRow {
 		for i := range rows {
@@ -478,12 +491,12 @@
 		}
 		return nil
 	}
-	fmt.Fprintln(w, "| subject | loops | answer bytes | txns a core-second | over ReverseProxy | over the bare forwarder | over the edge, by round | p50 us | p99 us | added p99 us | p99 over the edge |")
+	fmt.Fprintln(w, "| subject | loops | answer bytes | txns per core-second | relative to ReverseProxy | relative to the bare forwarder | relative to the edge, by round | p50 us | p99 us | added p99 us | p99 relative to the edge |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, r := range rows {
-		over := "-"
+		ratioToEdge := "-"
 		if r.RatioToEdge > 0 {
-			over = fmt.Sprintf("%.3f (%.3f to %.3f)", r.RatioToEdge, r.MinRatioToEdge, r.MaxRatioToEdge)
+			ratioToEdge = fmt.Sprintf("%.3f (%.3f to %.3f)", r.RatioToEdge, r.MinRatioToEdge, r.MaxRatioToEdge)
 		}
 		ratio := func(to *BenchRow) string {
 			if to == nil || to.PerCoreSecond == 0 || r.PerCoreSecond == 0 {
@@ -492,6 +505,6 @@
 			return fmt.Sprintf("%.2f", r.PerCoreSecond/to.PerCoreSecond)
 		}
 		fmt.Fprintf(w, "| %s | %d | %d | %.0f | %s | %s | %s | %.0f | %.0f | %.0f | %.2f |\n", r.Subject, r.Loops, r.AnswerBytes, r.PerCoreSecond,
-			ratio(find("reverse-proxy", r)), ratio(find("gnet", r)), over, r.P50, r.P99, r.AddedP99, r.P99RatioToEdge)
+			ratio(find("reverse-proxy", r)), ratio(find("gnet", r)), ratioToEdge, r.P50, r.P99, r.AddedP99, r.P99RatioToEdge)
 	}
 }
