--- a/lab/load.go
+++ b/lab/load.go
@@ -18,88 +18,90 @@
 	"dunegrade/chart"
 )
 
-// LoadPlan is an open-loop load on one HTTP target, or on two in turn. Txns are due at times set ahead, and count from
-// when they were due: a target that stalls is charged for all that it kept waiting (no coordinated omission).
+// LoadPlan describes an open-loop load on one HTTP target, or on two in turn. Txns are scheduled ahead, and their latency
+// counts from the scheduled time, so that a stall of the target counts for every txn that it delays (no coordinated omission).
 type LoadPlan struct {
-	Targets []string  // URLs, one or two
-	Rates   []float64 // txns a second, a step each
-	Ramp    bool      // go from one rate to the next evenly, rather than in steps
-	Span    time.Duration
-	Slice   time.Duration // with two targets: how long each has its turn
-	Conns   int
+	Targets []string      // URLs, one or two
+	Rates   []float64     // txns a second, one for each step
+	Ramp    bool          // whether the rate changes linearly to the next step's, rather than at the end of the step
+	Span    time.Duration // of a step
+	Slice   time.Duration // length of a measured slice; two targets alternate by slices
+	Conns   int           // maximum connections to a target
 	Method  string
-	Body    int
-	Timeout time.Duration
+	Body    int           // bytes of a request's body
+	Timeout time.Duration // after which a txn is given up
 }
 
-// LoadSlice is what a stretch of load came to.
+// LoadSlice holds the results of one slice of the load on one target.
 type LoadSlice struct {
-	Target       int
-	Step         int
-	Rate         float64 // asked for, mean
+	Target       int     // index in LoadPlan.Targets
+	Step         int     // index in LoadPlan.Rates
+	Rate         float64 // mean of the scheduled txns a second
 	Sent         int
-	Succeeded    int                     // answered below 400
+	Succeeded    int                     // answered with a status below 400
 	Refused      int                     // answered with 429 or 503
-	Bad          int                     // any other answer, or none
-	Times        *hdrhistogram.Histogram `json:"-"` // microseconds from when due, of those that were fine
-	ServiceTimes *hdrhistogram.Histogram `json:"-"` // from when sent
+	Bad          int                     // answered with another status, or not answered
+	Times        *hdrhistogram.Histogram `json:"-"` // microseconds from the scheduled time, of txns that succeeded
+	ServiceTimes *hdrhistogram.Histogram `json:"-"` // microseconds from sending, of txns that succeeded
 	elapsed      time.Duration
 }
 
+// merge adds the counts, latencies and time of another slice.
 func (s *LoadSlice) merge(o *LoadSlice) {
 	s.Sent, s.Succeeded, s.Refused, s.Bad, s.elapsed = s.Sent+o.Sent, s.Succeeded+o.Succeeded, s.Refused+o.Refused, s.Bad+o.Bad, s.elapsed+o.elapsed
 	s.Times.Merge(o.Times)
 	s.ServiceTimes.Merge(o.ServiceTimes)
 }
 
-// PerSecond is how many were fine in each second.
+// PerSecond returns the txns that succeeded per second.
 func (s *LoadSlice) PerSecond() float64 { return float64(s.Succeeded) / max(1e-9, s.elapsed.Seconds()) }
 
+// newLoadSlice returns an empty slice.
 func newLoadSlice(target, step int, rate float64) *LoadSlice {
 	return &LoadSlice{Target: target, Step: step, Rate: rate, Times: hdrhistogram.New(1, 60_000_000, 3), ServiceTimes: hdrhistogram.New(1, 60_000_000, 3)}
 }
 
-// Check tells what is wrong with a plan.
+// Validate returns an error that describes what is wrong with the plan, if anything.
 func (p *LoadPlan) Check() error {
 	switch {
 	case len(p.Targets) < 1 || len(p.Targets) > 2:
-		return errors.New("load: one target or two are wanted")
+		return errors.New("load: want one or two targets")
 	case len(p.Rates) == 0 || p.Span <= 0 || p.Conns < 1 || p.Slice <= 0:
-		return errors.New("load: rates, a span, a slice and connections are wanted")
+		return errors.New("load: want at least one rate, a positive span and slice, and at least one connection")
 	}
 	for _, r := range p.Rates {
 		if !(r > 0) || r > 1e6 {
-			return fmt.Errorf("load: a rate of %g; from 0 to a million a second are wanted", r)
+			return fmt.Errorf("load: rate %g: want more than 0 and at most a million a second", r)
 		}
 	}
 	return nil
 }
 
-// rate is what is asked for at a moment of step i, and dueTimes the times of its txns.
-func (p *LoadPlan) dueTimes(i int, from, till time.Duration) (due []time.Duration) {
+// dueTimes returns the scheduled times of the txns of step i between from and to, relative to from.
+func (p *LoadPlan) dueTimes(i int, from, to time.Duration) (due []time.Duration) {
 	first, last := p.Rates[i], p.Rates[i]
 	if p.Ramp && i+1 < len(p.Rates) {
 		last = p.Rates[i+1]
 	}
-	// The number due by t is the integral of the rate: first t + (last-first) t²/2 span.
+	// The number of txns scheduled until t is the integral of the rate: first t + (last-first) t²/(2 span).
 	slope := (last - first) / p.Span.Seconds()
-	count := func(t float64) float64 { return first*t + slope*t*t/2 }
-	begin := count(from.Seconds())
-	for n := math.Ceil(begin); ; n++ {
+	scheduledBy := func(t float64) float64 { return first*t + slope*t*t/2 }
+	scheduledBefore := scheduledBy(from.Seconds())
+	for n := math.Ceil(scheduledBefore); ; n++ {
 		t := n / first
 		if slope != 0 {
 			t = (math.Sqrt(first*first+2*slope*n) - first) / slope
 		}
-		at := time.Duration(t * float64(time.Second))
-		if at >= till || math.IsNaN(t) {
+		scheduled := time.Duration(t * float64(time.Second))
+		if scheduled >= to || math.IsNaN(t) {
 			return due
 		}
-		due = append(due, at-from)
+		due = append(due, scheduled-from)
 	}
 }
 
-// Load plays a plan, slice by slice.
-func Load(ctx context.Context, p LoadPlan, say func(*LoadSlice)) ([]*LoadSlice, error) {
+// RunLoad runs a plan, slice by slice. It calls report, if not nil, after each slice.
+func Load(ctx context.Context, p LoadPlan, report func(*LoadSlice)) ([]*LoadSlice, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
@@ -110,83 +112,84 @@
 		clients[i] = &http.Client{Transport: t, Timeout: p.Timeout, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	}
 	var out []*LoadSlice
-	turn := 0
+	sliceNumber := 0
 	for i := range p.Rates {
 		for from := time.Duration(0); from < p.Span; from += p.Slice {
-			till := min(p.Span, from+p.Slice)
+			to := min(p.Span, from+p.Slice)
 			for k := range p.Targets {
 				if ctx.Err() != nil {
 					return out, ctx.Err()
 				}
-				// Danger: who always comes second meets what the first has left behind; so they take turns at that.
-				target := (k + turn) % len(p.Targets)
-				due := p.dueTimes(i, from, till)
-				s := newLoadSlice(target, i, float64(len(due))/(till-from).Seconds())
-				p.runSlice(ctx, clients[target], due, s)
-				s.elapsed = max(s.elapsed, till-from)
+				// The targets alternate in going first: a target that always went second would be measured with the load that
+				// the first has left on the machine.
+				target := (k + sliceNumber) % len(p.Targets)
+				dueTimes := p.dueTimes(i, from, to)
+				s := newLoadSlice(target, i, float64(len(dueTimes))/(to-from).Seconds())
+				p.runSlice(ctx, clients[target], dueTimes, s)
+				s.elapsed = max(s.elapsed, to-from)
 				out = append(out, s)
-				if say != nil {
-					say(s)
+				if report != nil {
+					report(s)
 				}
 			}
-			turn++
+			sliceNumber++
 		}
 	}
 	return out, nil
 }
 
-// runSlice sends what is due over all connections: whichever is free takes the next.
-func (p *LoadPlan) runSlice(ctx context.Context, c *http.Client, due []time.Duration, s *LoadSlice) {
-	began := time.Now()
-	next := make(chan time.Duration, len(due))
-	for _, d := range due {
-		next <- d
+// runSlice sends the scheduled txns over all connections; each free connection takes the next txn.
+func (p *LoadPlan) runSlice(ctx context.Context, c *http.Client, dueTimes []time.Duration, s *LoadSlice) {
+	startTime := time.Now()
+	queue := make(chan time.Duration, len(dueTimes))
+	for _, due := range dueTimes {
+		queue <- due
 	}
-	close(next)
+	close(queue)
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	for range p.Conns {
 		group.Go(func() {
-			part := newLoadSlice(0, 0, 0)
+			result := newLoadSlice(0, 0, 0)
 			body := make([]byte, p.Body)
-			for d := range next {
-				if wait := d - time.Since(began); wait > 0 {
+			for due := range queue {
+				if wait := due - time.Since(startTime); wait > 0 {
 					time.Sleep(wait)
 				}
 				if ctx.Err() != nil {
 					break
 				}
-				sent := time.Since(began)
-				if sent-d > p.Timeout { // its client has gone
-					part.Sent, part.Bad = part.Sent+1, part.Bad+1
+				sentAt := time.Since(startTime)
+				if sentAt-due > p.Timeout { // its client would have given up
+					result.Sent, result.Bad = result.Sent+1, result.Bad+1
 					continue
 				}
-				code, err := fetch(ctx, c, p.Method, p.Targets[s.Target], body)
-				now := time.Since(began)
-				part.Sent++
+				status, err := fetch(ctx, c, p.Method, p.Targets[s.Target], body)
+				now := time.Since(startTime)
+				result.Sent++
 				switch {
 				case err != nil:
-					part.Bad++
-				case code == 429 || code == 503:
-					part.Refused++
-				case code >= 400:
-					part.Bad++
+					result.Bad++
+				case status == 429 || status == 503:
+					result.Refused++
+				case status >= 400:
+					result.Bad++
 				default:
-					part.Succeeded++
-					part.Times.RecordValue(min(60_000_000, max(1, (now-d).Microseconds())))
-					part.ServiceTimes.RecordValue(min(60_000_000, max(1, (now-sent).Microseconds())))
+					result.Succeeded++
+					result.Times.RecordValue(min(60_000_000, max(1, (now-due).Microseconds())))
+					result.ServiceTimes.RecordValue(min(60_000_000, max(1, (now-sentAt).Microseconds())))
 				}
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			s.merge(part)
+			s.merge(result)
 		})
 	}
 	group.Wait()
-	s.elapsed = time.Since(began)
+	s.elapsed = time.Since(startTime)
 }
 
-// fetch sends one request and reads its answer to the end.
+// fetch sends one request, reads the whole answer and returns its status.
 func fetch(ctx context.Context, c *http.Client, method, url string, body []byte) (int, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -201,24 +204,33 @@
 	return resp.StatusCode, err
 }
 
-// LoadRow is a step of the load at one target, in sum.
+// LoadRow holds the totals of one step at one target. Its fields are part of the JSON output.
 type LoadRow struct {
-	Target                     string
-	Rate, PerSecond            float64
-	Fine, Refused, Bad         int
-	P50, P99, P999, P50S, P99S float64 // microseconds; S: from when sent
+	Target    string
+	Rate      float64 // scheduled txns a second
+	PerSecond float64 // txns that succeeded per second
+	Fine      int     // txns that succeeded
+	Refused   int
+	Bad       int     // txns that failed in another way
+	P50       float64 // latency from the scheduled time, in microseconds
+	P99       float64
+	P999      float64
+	P50S      float64 // latency from sending, in microseconds
+	P99S      float64
 }
 
-// LoadDifference is the second target less the first at a step, as ratios of slices side by side.
+// LoadDifference compares the second target with the first at one step, by the ratios of paired slices. Its fields are part of
+// the JSON output.
 type LoadDifference struct {
-	Rate      float64
-	What      string
-	Ratio     float64 // geometric mean
-	Low, High float64 // its 95% interval
-	Pairs     int
+	Rate  float64 // of the step, in txns a second
+	What  string  // name of the compared figure
+	Ratio float64 // geometric mean of second over first
+	Low   float64 // lower bound of the 95% confidence interval of Ratio
+	High  float64 // upper bound
+	Pairs int
 }
 
-// SumLoad gathers slices by step and target, and holds two targets against each other.
+// SummarizeLoad totals the slices by step and target, and compares the targets if there are two.
 func SumLoad(p LoadPlan, slices []*LoadSlice) (rows []LoadRow, diffs []LoadDifference) {
 	for i := range p.Rates {
 		pairs := make([][]*LoadSlice, len(p.Targets))
@@ -231,38 +243,38 @@
 					pairs[k] = append(pairs[k], s)
 				}
 			}
-			q := func(h *hdrhistogram.Histogram, at float64) float64 { return float64(h.ValueAtQuantile(at)) }
-			rows = append(rows, LoadRow{p.Targets[k], sum.Rate / max(1e-9, sum.elapsed.Seconds()), sum.PerSecond(), sum.Succeeded, sum.Refused, sum.Bad, q(sum.Times, 50), q(sum.Times, 99),
-				q(sum.Times, 99.9), q(sum.ServiceTimes, 50), q(sum.ServiceTimes, 99)})
+			quantile := func(h *hdrhistogram.Histogram, percent float64) float64 { return float64(h.ValueAtQuantile(percent)) }
+			rows = append(rows, LoadRow{p.Targets[k], sum.Rate / max(1e-9, sum.elapsed.Seconds()), sum.PerSecond(), sum.Succeeded, sum.Refused, sum.Bad,
+				quantile(sum.Times, 50), quantile(sum.Times, 99), quantile(sum.Times, 99.9), quantile(sum.ServiceTimes, 50), quantile(sum.ServiceTimes, 99)})
 		}
 		if len(p.Targets) < 2 {
 			continue
 		}
-		for _, w := range []struct {
-			name string
-			of   func(*LoadSlice) float64
+		for _, figure := range []struct {
+			name  string
+			value func(*LoadSlice) float64
 		}{{"fine a second", (*LoadSlice).PerSecond}, {"p50", func(s *LoadSlice) float64 { return float64(s.Times.ValueAtQuantile(50)) }},
 			{"p99", func(s *LoadSlice) float64 { return float64(s.Times.ValueAtQuantile(99)) }}} {
 			var logs []float64
 			for n := range min(len(pairs[0]), len(pairs[1])) {
-				if a, b := w.of(pairs[0][n]), w.of(pairs[1][n]); a > 0 && b > 0 {
+				if a, b := figure.value(pairs[0][n]), figure.value(pairs[1][n]); a > 0 && b > 0 {
 					logs = append(logs, math.Log(b/a))
 				}
 			}
 			if len(logs) < 3 {
 				continue
 			}
-			mean, dev := stat.MeanStdDev(logs, nil)
-			half := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(logs) - 1)}.Quantile(0.975) * dev / math.Sqrt(float64(len(logs)))
-			diffs = append(diffs, LoadDifference{p.Rates[i], w.name, math.Exp(mean), math.Exp(mean - half), math.Exp(mean + half), len(logs)})
+			mean, stdDev := stat.MeanStdDev(logs, nil)
+			halfWidth := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(logs) - 1)}.Quantile(0.975) * stdDev / math.Sqrt(float64(len(logs)))
+			diffs = append(diffs, LoadDifference{p.Rates[i], figure.name, math.Exp(mean), math.Exp(mean - halfWidth), math.Exp(mean + halfWidth), len(logs)})
 		}
 	}
 	return rows, diffs
 }
 
-// LoadTable prints both in Markdown.
+// WriteLoadTable writes rows and differences as Markdown tables.
 func LoadTable(w io.Writer, rows []LoadRow, diffs []LoadDifference) {
-	fmt.Fprintln(w, "| target | asked a second | fine a second | refused | bad | p50 us | p99 us | p99.9 us | p50 from sending | p99 from sending |")
+	fmt.Fprintln(w, "| target | offered a second | fine a second | refused | bad | p50 us | p99 us | p99.9 us | p50 from sending | p99 from sending |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, r := range rows {
 		fmt.Fprintf(w, "| %s | %.0f | %.0f | %d | %d | %.0f | %.0f | %.0f | %.0f | %.0f |\n", r.Target, r.Rate, r.PerSecond, r.Refused, r.Bad, r.P50, r.P99, r.P999,
@@ -271,41 +283,41 @@
 	if len(diffs) == 0 {
 		return
 	}
-	fmt.Fprintln(w, "\n| asked a second | figure | second over first | 95% interval | pairs |")
+	fmt.Fprintln(w, "\n| offered a second | figure | second over first | 95% interval | pairs |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- |")
 	for _, d := range diffs {
 		fmt.Fprintf(w, "| %.0f | %s | %.3f | %.3f to %.3f | %d |\n", d.Rate, d.What, d.Ratio, d.Low, d.High, d.Pairs)
 	}
 }
 
-// LoadPage draws the load over time.
-func LoadPage(p LoadPlan, all []*LoadSlice, text string) (string, error) {
+// LoadPage returns an HTML page with charts of throughput and latency over time, and the given text.
+func LoadPage(p LoadPlan, slices []*LoadSlice, text string) (string, error) {
 	var charts []string
 	for _, c := range []struct {
 		title, unit string
-		of          func(*LoadSlice) float64
-	}{{"fine a second", "txns a second", (*LoadSlice).PerSecond}, {"time from when due, p50 and p99", "microseconds", nil}} {
-		var list []chart.Series
-		add := func(name string, of func(*LoadSlice) float64) {
-			for k, t := range p.Targets {
-				s := chart.Series{Name: t + name}
-				at := 0.0
-				for _, x := range all {
-					if x.Target == k {
-						s.X, s.Y = append(s.X, at), append(s.Y, max(1, of(x)))
-						at += x.elapsed.Seconds()
+		value       func(*LoadSlice) float64
+	}{{"fine a second", "txns a second", (*LoadSlice).PerSecond}, {"latency from the scheduled time, p50 and p99", "microseconds", nil}} {
+		var series []chart.Series
+		addSeries := func(name string, value func(*LoadSlice) float64) {
+			for k, target := range p.Targets {
+				line := chart.Series{Name: target + name}
+				seconds := 0.0
+				for _, slice := range slices {
+					if slice.Target == k {
+						line.X, line.Y = append(line.X, seconds), append(line.Y, max(1, value(slice)))
+						seconds += slice.elapsed.Seconds()
 					}
 				}
-				list = append(list, s)
+				series = append(series, line)
 			}
 		}
-		if c.of != nil {
-			add("", c.of)
+		if c.value != nil {
+			addSeries("", c.value)
 		} else {
-			add(", p50", func(s *LoadSlice) float64 { return float64(s.Times.ValueAtQuantile(50)) })
-			add(", p99", func(s *LoadSlice) float64 { return float64(s.Times.ValueAtQuantile(99)) })
+			addSeries(", p50", func(s *LoadSlice) float64 { return float64(s.Times.ValueAtQuantile(50)) })
+			addSeries(", p99", func(s *LoadSlice) float64 { return float64(s.Times.ValueAtQuantile(99)) })
 		}
-		svg, err := chart.LineChart(c.title, chart.Axes{X: "second of load", Y: c.unit, LogY: c.of == nil}, list)
+		svg, err := chart.LineChart(c.title, chart.Axes{X: "second of load", Y: c.unit, LogY: c.value == nil}, series)
 		if err != nil {
 			return "", err
 		}
