--- a/lab/hostile.go
+++ b/lab/hostile.go
@@ -17,34 +17,38 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// HostileRow is how an edge stood one kind of hostile client, while honest ones went on.
+// HostileRow holds the results of one attack on an edge that also serves regular clients.
 type HostileRow struct {
 	Attack         string
-	Clients        int
-	RegularTxns    int // txns
-	RegularSettled int
-	P50, P99       float64 // ms, of the honest
-	RSS, MaxRSS    float64 // MiB, before and at the most
-	RSSAfter       float64 // MiB, when the attackers have gone
-	ClosedByEdge   int     // attackers whose connection the edge ended
+	Clients        int     // number of attackers
+	RegularTxns    int     // txns of the regular clients
+	RegularSettled int     // regular txns that settled
+	P50            float64 // latency of the regular txns, in ms
+	P99            float64 // in ms
+	RSS            float64 // resident memory of the edge before the attack, in MiB
+	MaxRSS         float64 // maximum during the attack, in MiB
+	RSSAfter       float64 // after the attackers have disconnected, in MiB
+	ClosedByEdge   int     // connections of attackers that the edge closed
 }
 
-// attack keeps clients busy until ctx ends; it counts connections that the edge ends.
+// attack is a kind of hostile client. run is one client's loop: it lasts until ctx ends at the latest, and counts in closed
+// the connections that the edge closes.
 type attack struct {
 	name    string
 	clients int
 	run     func(ctx context.Context, address string, closed *atomic.Int64)
 }
 
-// holdConnection keeps a connection open and reads until the edge ends it, sending more now and then.
-func holdConnection(ctx context.Context, address, first, more string, every time.Duration, read bool, closed *atomic.Int64) {
+// holdConnection opens a connection, sends first, and sends more at each interval if more is not empty. It reads and discards
+// the answers if read is set. It returns when ctx ends, or once a read or write shows that the edge has closed the connection.
+func holdConnection(ctx context.Context, address, first, more string, interval time.Duration, read bool, closed *atomic.Int64) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return
 	}
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer func() {
-		if stop() { // the edge was first
+		if stop() { // ctx has not ended, so the edge closed the connection
 			closed.Add(1)
 		}
 		c.Close()
@@ -65,7 +69,7 @@
 		select {
 		case <-ended:
 			return
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
 		if _, err := io.WriteString(c, more); err != nil {
 			return
@@ -74,7 +78,7 @@
 	<-ended
 }
 
-// reconnectLoop does something over and over on new connections, for as long as ctx lasts.
+// reconnectLoop calls do with a new connection again and again, until ctx ends.
 func reconnectLoop(ctx context.Context, address string, do func(c net.Conn)) {
 	for ctx.Err() == nil {
 		c, err := net.Dial("tcp", address)
@@ -88,53 +92,58 @@
 	}
 }
 
+// getRequest is a valid request.
 const getRequest = "GET /ask HTTP/1.1\r\nHost: h\r\n\r\n"
 
+// attacks starts with the case without attackers, for comparison.
 var attacks = []attack{
 	{"nobody", 0, nil},
-	{"idle connections", 10000, func(ctx context.Context, a string, n *atomic.Int64) { holdConnection(ctx, a, "", "", 0, true, n) }},
-	{"slow heads, a byte each 100 ms", 2000, func(ctx context.Context, a string, n *atomic.Int64) {
-		holdConnection(ctx, a, "GET /ask HTTP/1.1\r\nHost: h\r\nA: ", "a", 100*time.Millisecond, true, n)
+	{"idle connections", 10000, func(ctx context.Context, address string, closed *atomic.Int64) {
+		holdConnection(ctx, address, "", "", 0, true, closed)
 	}},
-	{"slow bodies, a byte each 100 ms", 2000, func(ctx context.Context, a string, n *atomic.Int64) {
-		holdConnection(ctx, a, "POST /ask HTTP/1.1\r\nHost: h\r\nContent-Length: 100000\r\n\r\n", "a", 100*time.Millisecond, true, n)
+	{"slow heads, a byte each 100 ms", 2000, func(ctx context.Context, address string, closed *atomic.Int64) {
+		holdConnection(ctx, address, "GET /ask HTTP/1.1\r\nHost: h\r\nA: ", "a", 100*time.Millisecond, true, closed)
 	}},
-	{"slow readers of 1 MiB answers", 300, func(ctx context.Context, a string, n *atomic.Int64) {
-		holdConnection(ctx, a, "GET /big HTTP/1.1\r\nHost: h\r\n\r\n", "", 0, false, n)
+	{"slow bodies, a byte each 100 ms", 2000, func(ctx context.Context, address string, closed *atomic.Int64) {
+		holdConnection(ctx, address, "POST /ask HTTP/1.1\r\nHost: h\r\nContent-Length: 100000\r\n\r\n", "a", 100*time.Millisecond, true, closed)
 	}},
-	{"half-closed", 20, func(ctx context.Context, a string, n *atomic.Int64) {
-		reconnectLoop(ctx, a, func(c net.Conn) {
+	{"slow readers of 1 MiB answers", 300, func(ctx context.Context, address string, closed *atomic.Int64) {
+		holdConnection(ctx, address, "GET /big HTTP/1.1\r\nHost: h\r\n\r\n", "", 0, false, closed)
+	}},
+	{"half-closed", 20, func(ctx context.Context, address string, closed *atomic.Int64) {
+		reconnectLoop(ctx, address, func(c net.Conn) {
 			io.WriteString(c, getRequest)
 			c.(*net.TCPConn).CloseWrite()
 			io.Copy(io.Discard, c)
-			n.Add(1)
+			closed.Add(1)
 		})
 	}},
-	{"resets in the middle of a request", 20, func(ctx context.Context, a string, n *atomic.Int64) {
-		reconnectLoop(ctx, a, func(c net.Conn) {
+	{"resets in the middle of a request", 20, func(ctx context.Context, address string, closed *atomic.Int64) {
+		reconnectLoop(ctx, address, func(c net.Conn) {
 			io.WriteString(c, "POST /ask HTTP/1.1\r\nHost: h\r\nContent-Length: 1000\r\n\r\nabc")
 			c.(*net.TCPConn).SetLinger(0)
 		})
 	}},
-	{"malformed and oversize heads", 20, func(ctx context.Context, a string, n *atomic.Int64) {
-		bad := []string{"GET / HTTP/1.1\nHost: h\r\n\r\n", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+	{"malformed and oversize heads", 20, func(ctx context.Context, address string, closed *atomic.Int64) {
+		malformed := []string{"GET / HTTP/1.1\nHost: h\r\n\r\n", "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
 			"GET /ask HTTP/1.1\r\nHost: h\r\nA: " + strings.Repeat("a", 40000), "\x16\x03\x01\x02\x00\r\n\r\n"}
-		k := 0
-		reconnectLoop(ctx, a, func(c net.Conn) {
-			k++
-			io.WriteString(c, bad[k%len(bad)])
+		attempt := 0
+		reconnectLoop(ctx, address, func(c net.Conn) {
+			attempt++
+			io.WriteString(c, malformed[attempt%len(malformed)])
 			io.Copy(io.Discard, c)
-			n.Add(1)
+			closed.Add(1)
 		})
 	}},
-	{"pipelined floods without reading", 50, func(ctx context.Context, a string, n *atomic.Int64) {
+	{"pipelined floods without reading", 50, func(ctx context.Context, address string, closed *atomic.Int64) {
 		flood := strings.Repeat(getRequest, 500)
-		holdConnection(ctx, a, flood, flood, time.Millisecond, false, n)
+		holdConnection(ctx, address, flood, flood, time.Millisecond, false, closed)
 	}},
 }
 
-// Hostile plays each attack against an edge of its own, beside honest clients, for a span.
-func Hostile(ctx context.Context, plan BenchPlan, say io.Writer) ([]HostileRow, error) {
+// HostileBench runs each attack for plan.Duration against a new edge that also serves regular clients. It writes a line for
+// each attack to progress.
+func Hostile(ctx context.Context, plan BenchPlan, progress io.Writer) ([]HostileRow, error) {
 	worker, stopWorker, err := plan.startWorker(64)
 	if err != nil {
 		return nil, err
@@ -146,16 +155,16 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", a.name, err)
 		}
-		fmt.Fprintf(say, "%-35s honest %d of %d, p99 %.1f ms, memory %.0f to %.0f MiB, then %.0f\n", a.name, row.RegularSettled, row.RegularTxns, row.P99,
+		fmt.Fprintf(progress, "%-35s regular txns: %d of %d settled, p99 %.1f ms; memory %.0f to %.0f MiB, afterwards %.0f\n", a.name, row.RegularSettled, row.RegularTxns, row.P99,
 			row.RSS, row.MaxRSS, row.RSSAfter)
 		rows = append(rows, row)
 	}
 	return rows, nil
 }
 
-// HostileTable prints rows in Markdown.
+// WriteHostileTable writes rows as a Markdown table.
 func HostileTable(w io.Writer, rows []HostileRow) {
-	fmt.Fprintln(w, "| attack | clients | honest txns | of them settled | p50 ms | p99 ms | memory before, MiB | at the most | when they have gone | connections the edge ended |")
+	fmt.Fprintln(w, "| attack | clients | regular txns | of them settled | p50 ms | p99 ms | memory before, MiB | maximum, MiB | afterwards, MiB | connections closed by the edge |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, r := range rows {
 		fmt.Fprintf(w, "| %s | %d | %d | %d | %.2f | %.2f | %.0f | %.0f | %.0f | %d |\n", r.Attack, r.Clients, r.RegularTxns, r.RegularSettled, r.P50, r.P99, r.RSS,
@@ -163,6 +172,7 @@
 	}
 }
 
+// runAttack starts an edge and measures it during one attack.
 func (plan BenchPlan) runAttack(ctx context.Context, a attack, worker string) (row HostileRow, err error) {
 	address, err := freeAddress("127.0.0.1")
 	if err != nil {
@@ -177,83 +187,85 @@
 		return row, err
 	}
 	defer stop()
-	time.Sleep(300 * time.Millisecond)
+	time.Sleep(300 * time.Millisecond) // the edge reads its worker list
 	row = HostileRow{Attack: a.name, Clients: a.clients}
-	honest := func(span time.Duration) {
-		h, fine, all := plan.sendRegularTxns(address, span)
-		row.RegularTxns, row.RegularSettled = all, fine
+	regular := func(span time.Duration) {
+		h, settled, sent := plan.sendRegularTxns(address, span)
+		row.RegularTxns, row.RegularSettled = sent, settled
 		row.P50, row.P99 = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000
 	}
-	honest(time.Second) // to warm up
+	regular(time.Second) // warm-up
 	row.RSS = residentMiB(pid)
-	under, cancel := context.WithCancel(ctx)
+	attackCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var group sync.WaitGroup
 	var closed atomic.Int64
 	for i := 0; i < a.clients; i++ {
-		group.Go(func() { a.run(under, address, &closed) })
+		group.Go(func() { a.run(attackCtx, address, &closed) })
 		if i%200 == 199 {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	watch := make(chan struct{})
+	stopSampling := make(chan struct{})
 	group.Go(func() {
 		for {
 			row.MaxRSS = max(row.MaxRSS, residentMiB(pid))
 			select {
-			case <-watch:
+			case <-stopSampling:
 				return
 			case <-time.After(100 * time.Millisecond):
 			}
 		}
 	})
-	honest(plan.Span)
+	regular(plan.Span)
 	row.ClosedByEdge = int(closed.Load())
 	cancel()
-	close(watch)
+	close(stopSampling)
 	group.Wait()
 	time.Sleep(500 * time.Millisecond)
 	row.RSSAfter = residentMiB(pid)
 	return row, nil
 }
 
+// writeHostileFiles writes the settings and the worker list of the edge under attack, and returns the settings' path.
 func (plan BenchPlan) writeHostileFiles(listen, worker string) (string, error) {
 	if err := os.MkdirAll(plan.Out, 0o755); err != nil {
 		return "", err
 	}
-	list, settings := filepath.Join(plan.Out, "hostile-list.sexp"), filepath.Join(plan.Out, "hostile-edge.sexp")
+	listPath, settingsPath := filepath.Join(plan.Out, "hostile-list.sexp"), filepath.Join(plan.Out, "hostile-edge.sexp")
 	text := "(release (build 1))\n"
 	for i := 0; i < 8; i++ {
 		text += fmt.Sprintf("(worker w%02d (address %q))\n", i, worker)
 	}
-	if err := os.WriteFile(list, []byte(text), 0o644); err != nil {
+	if err := os.WriteFile(listPath, []byte(text), 0o644); err != nil {
 		return "", err
 	}
 	text = fmt.Sprintf(`(edge (name "hostile") (listen %q) (log error) (source (file %q))
   (door (slow-head 2s) (slow-body 2s) (slow-reader 2s) (unsent 256KiB))
   (product "ask" (sla 1s) (expiry 3s) (effect inquiry-like)) (route (product "ask"))
-  (release (caps 0.1 1) (shares 0.1 1) (window 6s)))`, listen, list)
-	return settings, os.WriteFile(settings, []byte(text), 0o644)
+  (release (caps 0.1 1) (shares 0.1 1) (window 6s)))`, listen, listPath)
+	return settingsPath, os.WriteFile(settingsPath, []byte(text), 0o644)
 }
 
-// sendRegularTxns sends 500 txns a second on 20 connections, at times set ahead.
-func (plan BenchPlan) sendRegularTxns(address string, span time.Duration) (all *hdrhistogram.Histogram, fine, asked int) {
+// sendRegularTxns sends 500 txns a second on 20 connections, scheduled ahead. It returns their latencies from the scheduled
+// time in microseconds, and how many settled of those sent.
+func (plan BenchPlan) sendRegularTxns(address string, span time.Duration) (latencies *hdrhistogram.Histogram, settled, sent int) {
 	const conns, rate = 20, 500.0
-	all = hdrhistogram.New(1, 60_000_000, 3)
+	latencies = hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	began := time.Now()
+	startTime := time.Now()
 	for i := 0; i < conns; i++ {
 		group.Go(func() {
 			h := hdrhistogram.New(1, 60_000_000, 3)
-			n, good := 0, 0
+			connSent, connSettled := 0, 0
 			var c net.Conn
 			buf := make([]byte, 2<<20)
-			for due := began.Add(time.Duration(i) * time.Second / rate); due.Sub(began) < span; due = due.Add(conns * time.Second / rate) {
-				if wait := time.Until(due); wait > 0 {
+			for dueAt := startTime.Add(time.Duration(i) * time.Second / rate); dueAt.Sub(startTime) < span; dueAt = dueAt.Add(conns * time.Second / rate) {
+				if wait := time.Until(dueAt); wait > 0 {
 					time.Sleep(wait)
 				}
-				n++
+				connSent++
 				if c == nil {
 					var err error
 					if c, err = net.Dial("tcp", address); err != nil {
@@ -266,45 +278,45 @@
 					c = nil
 					continue
 				}
-				good++
-				h.RecordValue(max(1, int64(time.Since(due)/time.Microsecond)))
+				connSettled++
+				h.RecordValue(max(1, int64(time.Since(dueAt)/time.Microsecond)))
 			}
 			if c != nil {
 				c.Close()
 			}
 			mu.Lock()
-			all.Merge(h)
-			fine, asked = fine+good, asked+n
+			latencies.Merge(h)
+			settled, sent = settled+connSettled, sent+connSent
 			mu.Unlock()
 		})
 	}
 	group.Wait()
-	return all, fine, asked
+	return latencies, settled, sent
 }
 
-// roundTrip sends one request and reads its whole answer.
+// roundTrip sends one request, reads the whole answer and reports whether its status is 200.
 func roundTrip(c net.Conn, buf []byte) bool {
 	if _, err := io.WriteString(c, getRequest); err != nil {
 		return false
 	}
-	n, need := 0, -1
-	for need < 0 || n < need {
-		k, err := c.Read(buf[n:])
+	n, answerSize := 0, -1
+	for answerSize < 0 || n < answerSize {
+		read, err := c.Read(buf[n:])
 		if err != nil {
 			return false
 		}
-		n += k
-		if head := bytes.Index(buf[:min(n, 4096)], []byte("\r\n\r\n")); need < 0 && head >= 0 {
+		n += read
+		if head := bytes.Index(buf[:min(n, 4096)], []byte("\r\n\r\n")); answerSize < 0 && head >= 0 {
 			_, after, _ := bytes.Cut(buf[:head], []byte("Content-Length: "))
 			digits, _, _ := bytes.Cut(after, []byte("\r"))
-			size, _ := strconv.Atoi(string(digits))
-			need = head + 4 + size
+			bodySize, _ := strconv.Atoi(string(digits))
+			answerSize = head + 4 + bodySize
 		}
 	}
 	return bytes.HasPrefix(buf, []byte("HTTP/1.1 200"))
 }
 
-// residentMiB is the memory that a process holds, in MiB.
+// residentMiB returns the resident memory of a process, in MiB.
 func residentMiB(pid int) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
