--- a/lab/compare.go
+++ b/lab/compare.go
@@ -9,29 +9,29 @@
 	"sync"
 )
 
-// Contender is one edge's run of a day in a comparison.
+// ComparisonRun is the run of a day with one kind of edge in a comparison.
 type Contender struct {
-	Kind string
+	Kind string // dunegrade, or one of ComparisonEdges
 	Day  *Day
-	Out  string
-	Edge func(settings string) *exec.Cmd
+	Out  string                              // directory for the report and the edges' files
+	Edge func(settingsPath string) *exec.Cmd // returns the command that runs one edge
 }
 
-// SideBySide plays all contenders at the same time, each with a fleet of its own, so that a busy machine hits all
-// alike. It writes their reports and gives their figures in order.
-func SideBySide(ctx context.Context, all []Contender) ([]*Figures, error) {
-	out, errs := make([]*Figures, len(all)), make([]error, len(all))
+// RunComparison performs all runs at the same time, each with its own fleet, so that a busy machine affects all of them alike.
+// It writes their reports and returns their figures in order.
+func SideBySide(ctx context.Context, runs []Contender) ([]*Figures, error) {
+	figures, errs := make([]*Figures, len(runs)), make([]error, len(runs))
 	var group sync.WaitGroup
-	for i, c := range all {
+	for i, spec := range runs {
 		group.Go(func() {
-			r := &Runner{Day: c.Day, Out: filepath.Join(c.Out, "edges"), Edge: c.Edge}
+			r := &Runner{Day: spec.Day, Out: filepath.Join(spec.Out, "edges"), Edge: spec.Edge}
 			rec, err := r.Run(ctx)
 			if err != nil {
-				errs[i] = fmt.Errorf("%s, seed %d, %s: %w", c.Day.Name, c.Day.Seed, c.Kind, err)
+				errs[i] = fmt.Errorf("%s, seed %d, %s: %w", spec.Day.Name, spec.Day.Seed, spec.Kind, err)
 				return
 			}
-			out[i] = Sum(c.Day, rec, c.Kind, Check(c.Day, rec))
-			_, errs[i] = WriteReport(c.Out, out[i], rec.Marks)
+			figures[i] = Sum(spec.Day, rec, spec.Kind, Check(spec.Day, rec))
+			_, errs[i] = WriteReport(spec.Out, figures[i], rec.Marks)
 		})
 	}
 	group.Wait()
@@ -40,50 +40,50 @@
 			return nil, err
 		}
 	}
-	return out, nil
+	return figures, nil
 }
 
-// Breaks counts the rules' violations.
+// ViolationCount returns the number of violations of all rules.
 func (f *Figures) Breaks() int {
-	n := 0
-	for _, k := range f.Rules {
-		n += k
+	total := 0
+	for _, n := range f.Rules {
+		total += n
 	}
-	return n
+	return total
 }
 
-// Markdown prints a table of runs.
+// WriteComparisonTable writes the figures of runs as a Markdown table.
 func Markdown(w io.Writer, rows []*Figures) {
-	fmt.Fprintln(w, "| day | seed | edge | txns | revenue in time | worst 5 s | harm | bad builds back after | good builds released after | submissions a txn | rules broken |")
+	fmt.Fprintln(w, "| day | seed | edge | txns | revenue in time | worst 5 s | harm | bad builds back after | good builds released after | submissions per txn | rules violated |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, f := range rows {
-		back, released := "", ""
-		for _, b := range f.Builds {
-			at := func(s float64) string {
-				if s == 0 {
+		backTimes, releaseTimes := "", ""
+		for _, build := range f.Builds {
+			formatTime := func(seconds float64) string {
+				if seconds == 0 {
 					return "never"
 				}
-				return fmt.Sprintf("%.1f s", s)
+				return fmt.Sprintf("%.1f s", seconds)
 			}
-			if b.Flaw == "good" {
-				released += at(b.Released) + " "
-				if b.Back > 0 {
-					released += fmt.Sprintf("(back after %.1f s) ", b.Back)
+			if build.Flaw == "good" {
+				releaseTimes += formatTime(build.Released) + " "
+				if build.Back > 0 {
+					releaseTimes += fmt.Sprintf("(back after %.1f s) ", build.Back)
 				}
 			} else {
-				back += at(b.Back) + " "
+				backTimes += formatTime(build.Back) + " "
 			}
 		}
 		rules := "none"
 		if f.Breaks() > 0 {
 			rules = ""
-			for r, n := range f.Rules {
+			for rule, n := range f.Rules {
 				if n > 0 {
-					rules += fmt.Sprintf("%d: %d ", r, n)
+					rules += fmt.Sprintf("%d: %d ", rule, n)
 				}
 			}
 		}
 		fmt.Fprintf(w, "| %s | %d | %s | %d | %.3f | %.3f | %.4f | %s | %s | %.3f | %s |\n", f.Day, f.Seed, f.Edge, f.Txns, f.Revenue, f.WorstFive, f.Harm,
-			back, released, f.Work, rules)
+			backTimes, releaseTimes, f.Work, rules)
 	}
 }
--- a/lab/comparison_edge.go
+++ b/lab/comparison_edge.go
@@ -21,63 +21,67 @@
 	"dunegrade/config"
 )
 
-// ComparisonEdges are plain edges for comparison: they choose without the decision module. Both keep to the cap by counting, send once,
-// and vote 'on' by the clock.
+// ComparisonEdges are the kinds of simple edges that dunegrade is compared with. They choose workers without the decision
+// module: round-robin in turn, reverse-proxy at random. Both enforce the cap by counting, submit each txn once, and vote on
+// once a second.
 var ComparisonEdges = []string{"round-robin", "reverse-proxy"}
 
+// comparisonEdge is an edge of one of these kinds.
 type comparisonEdge struct {
 	kind            string
 	settings        *config.Edge
 	client          *api.Client
 	mu              sync.Mutex
-	workers         map[string]api.Worker
-	upWorkers       []api.Worker
-	turnCount       int
+	workers         map[string]api.Worker // by id
+	upWorkers       []api.Worker          // workers that are up, by id
+	turnCount       int                   // selections tried so far; gives the next worker of round-robin
 	release         api.Release
-	releaseSince    time.Time
+	releaseSince    time.Time // when release last changed
 	rng             *rand.Rand
-	recentTxns      []time.Time // of the last window
-	recentTrialTxns []time.Time
-	listReceived    bool
+	recentTxns      []time.Time // times of the txns within the exposure window
+	recentTrialTxns []time.Time // those that went to the build on trial
+	listReceived    bool        // whether a worker list has arrived, which makes the edge ready
 }
 
-// ServeRival runs a plain edge by an edge's settings until SIGTERM, and gives the exit status.
-func ServeRival(kind, settings string) int {
-	plan, err := config.ReadEdge(settings)
+// ServeComparisonEdge runs a comparison edge with an edge's settings file until SIGTERM or SIGINT, and returns the exit
+// status.
+func ServeRival(kind, settingsPath string) int {
+	settings, err := config.ReadEdge(settingsPath)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 2
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	v := &comparisonEdge{kind: kind, settings: plan, client: api.NewClient(plan.Source.APIURL), workers: map[string]api.Worker{},
-		rng: rand.New(rand.NewSource(plan.Seed + int64(plan.Module["index"].(float64))))}
+	v := &comparisonEdge{kind: kind, settings: settings, client: api.NewClient(settings.Source.APIURL), workers: map[string]api.Worker{},
+		rng: rand.New(rand.NewSource(settings.Seed + int64(settings.Module["index"].(float64))))}
 	var group sync.WaitGroup
-	q := func() url.Values { return url.Values{"edge": {plan.Name}} }
-	group.Go(func() { v.watch(ctx, "/v1/workers", q, v.applyWorkers) })
-	group.Go(func() { v.watch(ctx, "/v1/releases", q, v.applyRelease) })
+	query := func() url.Values { return url.Values{"edge": {settings.Name}} }
+	group.Go(func() { v.watch(ctx, "/v1/workers", query, v.applyWorkers) })
+	group.Go(func() { v.watch(ctx, "/v1/releases", query, v.applyRelease) })
 	group.Go(func() { v.voteOnTimer(ctx) })
-	admin := &http.Server{Addr: plan.Admin, Handler: http.HandlerFunc(v.serveReady)}
+	admin := &http.Server{Addr: settings.Admin, Handler: http.HandlerFunc(v.serveReady)}
 	go admin.ListenAndServe()
-	ln, err := net.Listen("tcp", plan.Listen)
+	ln, err := net.Listen("tcp", settings.Listen)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	front := &http.Server{Handler: v.handler()}
-	go front.Serve(ln)
+	server := &http.Server{Handler: v.handler()}
+	go server.Serve(ln)
 	<-ctx.Done()
-	down, cancel := context.WithTimeout(context.Background(), plan.DrainTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), settings.DrainTimeout)
 	defer cancel()
-	front.Shutdown(down)
+	server.Shutdown(shutdownCtx)
 	admin.Close()
 	group.Wait()
 	return 0
 }
 
-func (v *comparisonEdge) watch(ctx context.Context, path string, q func() url.Values, on func([]byte) error) {
+// watch keeps a watch of the platform open, and reopens it after it ends.
+func (v *comparisonEdge) watch(ctx context.Context, path string, query func() url.Values, handle func([]byte) error) {
 	for ctx.Err() == nil {
-		v.client.Watch(ctx, path, q(), on)
+		v.client.Watch(ctx, path, query(), handle)
 		select {
 		case <-ctx.Done():
 		case <-time.After(200 * time.Millisecond):
@@ -85,17 +89,18 @@
 	}
 }
 
+// applyWorkers applies a line of the worker list's watch.
 func (v *comparisonEdge) applyWorkers(line []byte) error {
-	var e api.WorkersEvent
-	if err := json.Unmarshal(line, &e); err != nil {
+	var event api.WorkersEvent
+	if err := json.Unmarshal(line, &event); err != nil {
 		return err
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if e.Type == api.Whole {
+	if event.Type == api.Whole {
 		clear(v.workers)
 	}
-	for _, w := range e.Workers {
+	for _, w := range event.Workers {
 		v.workers[w.ID] = w
 	}
 	v.upWorkers = v.upWorkers[:0]
@@ -109,21 +114,23 @@
 	return nil
 }
 
+// applyRelease applies a line of the releases' watch.
 func (v *comparisonEdge) applyRelease(line []byte) error {
-	var e api.ReleaseEvent
-	if err := json.Unmarshal(line, &e); err != nil {
+	var event api.ReleaseEvent
+	if err := json.Unmarshal(line, &event); err != nil {
 		return err
 	}
-	if e.Type != api.Bookmark {
+	if event.Type != api.Bookmark {
 		v.mu.Lock()
-		if e.Release != v.release {
-			v.release, v.releaseSince = e.Release, time.Now()
+		if event.Release != v.release {
+			v.release, v.releaseSince = event.Release, time.Now()
 		}
 		v.mu.Unlock()
 	}
 	return nil
 }
 
+// serveReady answers 503 until a worker list has arrived.
 func (v *comparisonEdge) serveReady(w http.ResponseWriter, _ *http.Request) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -132,7 +139,7 @@
 	}
 }
 
-// voteOnTimer votes on once a second: nothing is judged.
+// voteOnTimer votes on once a second during a trial, without judging the build.
 func (v *comparisonEdge) voteOnTimer(ctx context.Context) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
@@ -152,7 +159,8 @@
 	}
 }
 
-// pickWorker chooses a worker in turn or at random; one of a build on trial only while the count allows it.
+// pickWorker chooses a worker that is up, in turn or at random. It skips workers of a build on trial while their recent txns
+// use up the cap. It reports false if no worker was found.
 func (v *comparisonEdge) pickWorker() (api.Worker, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -162,17 +170,17 @@
 	v.recentTrialTxns = withinWindow(v.recentTrialTxns, now, window)
 	for i := 0; i < len(v.upWorkers); i++ {
 		v.turnCount++
-		at := v.turnCount % len(v.upWorkers)
+		index := v.turnCount % len(v.upWorkers)
 		if v.kind == "reverse-proxy" {
-			at = v.rng.Intn(len(v.upWorkers))
+			index = v.rng.Intn(len(v.upWorkers))
 		}
-		w := v.upWorkers[at]
+		w := v.upWorkers[index]
 		if w.Build > v.release.Build || w.Build == v.release.Build && v.release.Phase != api.Released {
-			cap := v.release.Cap
+			exposureCap := v.release.Cap
 			if w.Build > v.release.Build {
-				cap = v.settings.Module["release.caps.0"].(float64)
+				exposureCap = v.settings.Module["release.caps.0"].(float64)
 			}
-			if float64(len(v.recentTrialTxns)+1) > cap*float64(len(v.recentTxns)) {
+			if float64(len(v.recentTrialTxns)+1) > exposureCap*float64(len(v.recentTxns)) {
 				continue
 			}
 			v.recentTrialTxns = append(v.recentTrialTxns, now)
@@ -182,11 +190,13 @@
 	return api.Worker{}, false
 }
 
-func withinWindow(list []time.Time, now time.Time, window time.Duration) []time.Time {
-	from := sort.Search(len(list), func(i int) bool { return now.Sub(list[i]) < window })
-	return list[from:]
+// withinWindow returns the part of the ordered times that is less than window before now.
+func withinWindow(times []time.Time, now time.Time, window time.Duration) []time.Time {
+	first := sort.Search(len(times), func(i int) bool { return now.Sub(times[i]) < window })
+	return times[first:]
 }
 
+// handler returns the proxy's handler. It sets Dunegrade-Outcome as dunegrade's edge does.
 func (v *comparisonEdge) handler() http.Handler {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64, DialContext: (&net.Dialer{Timeout: v.settings.WorkerLimits.ConnectTimeout}).DialContext}
 	proxy := &httputil.ReverseProxy{Transport: transport,
@@ -211,14 +221,15 @@
 			ctx, stop = context.WithTimeout(ctx, time.Duration(ms)*time.Millisecond-v.settings.AnswerSlack)
 			defer stop()
 		}
-		to, ok := v.pickWorker()
+		chosen, ok := v.pickWorker()
 		if !ok {
 			w.Header().Set("Dunegrade-Outcome", "declined")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		proxy.ServeHTTP(w, r.WithContext(context.WithValue(ctx, workerAddressKey{}, to.Address)))
+		proxy.ServeHTTP(w, r.WithContext(context.WithValue(ctx, workerAddressKey{}, chosen.Address)))
 	})
 }
 
+// workerAddressKey is the context key of the chosen worker's address.
 type workerAddressKey struct{}
--- a/lab/embed.go
+++ b/lab/embed.go
@@ -7,25 +7,27 @@
 	"strings"
 )
 
+// embeddedDays holds the days that are built into the program.
+//
 //go:embed days/*.sexp
 var embeddedDays embed.FS
 
-// Embedded gives a day that comes with the program, by its name.
+// EmbeddedDay returns an embedded day by its name.
 func Embedded(name string) (*Day, error) {
 	text, err := embeddedDays.ReadFile("days/" + name + ".sexp")
 	if err != nil {
-		return nil, fmt.Errorf("no day %q comes with the program; there are %s", name, strings.Join(EmbeddedNames(), ", "))
+		return nil, fmt.Errorf("no embedded day is named %q; available are %s", name, strings.Join(EmbeddedNames(), ", "))
 	}
 	return ParseDay(name+".sexp", string(text))
 }
 
-// EmbeddedNames lists the days that come with the program.
+// EmbeddedDayNames returns the sorted names of the embedded days.
 func EmbeddedNames() []string {
-	list, _ := embeddedDays.ReadDir("days")
-	var out []string
-	for _, e := range list {
-		out = append(out, strings.TrimSuffix(e.Name(), ".sexp"))
+	entries, _ := embeddedDays.ReadDir("days")
+	var names []string
+	for _, e := range entries {
+		names = append(names, strings.TrimSuffix(e.Name(), ".sexp"))
 	}
-	sort.Strings(out)
-	return out
+	sort.Strings(names)
+	return names
 }
