--- a/lab/sockets_test.go
+++ b/lab/sockets_test.go
@@ -22,16 +22,16 @@
 	"dunegrade/api"
 )
 
-// socketFaults are troubles of what an edge reads and writes besides txns. Each strikes in every state that a release
-// goes through; does tells whether it happened.
+// socketFaults are faults in what an edge reads and writes other than txns. Each is injected in every state that a release
+// goes through.
 var socketFaults = []struct {
-	name string
-	does func(r *run, state string) bool
-	logs string // what an edge must have said of it
-	ends bool   // it stops an edge by itself
-	file bool   // the edges read list and news from a file
+	name         string
+	inject       func(r *run, state string) bool // reports whether the fault took place
+	logText      string                          // text that the log of an edge must contain
+	stopsEdge    bool                            // whether the fault itself stops an edge
+	usesListFile bool                            // whether the edges read workers and release from a list file
 }{
-	{"news and lines malformed", func(r *run, state string) bool {
+	{"malformed release updates and worker lists", func(r *run, state string) bool {
 		return r.corruptLines(func(w http.ResponseWriter, line any, done func()) {
 			switch e := line.(type) {
 			case api.ReleaseEvent:
@@ -45,7 +45,7 @@
 				for i := range bad.Workers {
 					bad.Workers[i].Address, bad.Workers[i].Build = "nowhere", 70000
 				}
-				if e.Type == api.Whole { // the sound one follows, of the same revision
+				if e.Type == api.Whole { // the valid event of the same revision follows
 					writeLine(w, bad)
 				}
 			}
@@ -64,11 +64,11 @@
 			}
 		})
 	}, "watch broken", false, false},
-	{"killed, its kept list half written", func(r *run, state string) bool {
+	{"edge killed, its saved worker list truncated", func(r *run, state string) bool {
 		p := r.edges[1]
 		path := filepath.Join(r.Out, "state", "edge-1.list.json")
 		text, err := os.ReadFile(path)
-		for err != nil && r.sleepUntil(r.now()+10*ms) { // it is first kept a moment after it is first told
+		for err != nil && r.sleepUntil(r.now()+10*ms) { // the edge saves its first list shortly after it receives it
 			text, err = os.ReadFile(path)
 		}
 		if err != nil || r.stopEdge(p, syscall.SIGKILL) != nil {
@@ -77,24 +77,24 @@
 		err = os.WriteFile(path, text[:len(text)/2], 0o644)
 		return r.restartEdge(p) && err == nil
 	}, "the kept list is refused", true, false},
-	{"killed, its kept list whole", func(r *run, state string) bool {
+	{"edge killed, its saved worker list intact", func(r *run, state string) bool {
 		return r.stopEdge(r.edges[1], syscall.SIGKILL) == nil && r.restartEdge(r.edges[1])
 	}, "last list restored", true, false},
-	{"rolled", func(r *run, state string) bool {
+	{"edge restarted by SIGTERM", func(r *run, state string) bool {
 		return r.stopEdge(r.edges[1], syscall.SIGTERM) == nil && r.restartEdge(r.edges[1])
 	}, "stopped", true, false},
-	{"settings half written, wrong, then whole and changed", func(r *run, state string) bool {
+	{"settings truncated, invalid, then valid and changed", func(r *run, state string) bool {
 		p := r.edges[1]
 		text, err := os.ReadFile(p.settingsPath)
 		if err != nil || r.stopEdge(p, syscall.SIGTERM) != nil {
 			return false
 		}
 		refused := true
-		for _, wrong := range []string{string(text[:len(text)*2/3]), strings.Replace(string(text), "(window ", "(window x", 1)} {
-			os.WriteFile(p.settingsPath, []byte(wrong), 0o644)
-			said, err := r.Edge(p.settingsPath).CombinedOutput()
+		for _, invalid := range []string{string(text[:len(text)*2/3]), strings.Replace(string(text), "(window ", "(window x", 1)} {
+			os.WriteFile(p.settingsPath, []byte(invalid), 0o644)
+			output, err := r.Edge(p.settingsPath).CombinedOutput()
 			var exit *exec.ExitError
-			refused = refused && errors.As(err, &exit) && exit.ExitCode() == 2 && strings.Contains(string(said), "edge-1.sexp:")
+			refused = refused && errors.As(err, &exit) && exit.ExitCode() == 2 && strings.Contains(string(output), "edge-1.sexp:")
 		}
 		changed := strings.Replace(string(text), "(free 3)", "(free 2)", 1)
 		if changed == string(text) {
@@ -103,18 +103,18 @@
 		os.WriteFile(p.settingsPath, []byte(changed), 0o644)
 		return r.restartEdge(p) && refused && changed != string(text)
 	}, "serving", true, false},
-	{"the folder of state takes nothing", func(r *run, state string) bool {
+	{"worker list cannot be saved", func(r *run, state string) bool {
 		path := filepath.Join(r.Out, "state", "edge-1.list.json.new")
-		said := func() int {
+		failures := func() int {
 			log, err := os.ReadFile(filepath.Join(r.Out, "edge-1.log"))
 			if err != nil {
 				return 0
 			}
 			return strings.Count(string(log), "could not be kept")
 		}
-		before := said()
+		before := failures()
 		err := os.Mkdir(path, 0o755)
-		for errors.Is(err, fs.ErrExist) && r.sleepUntil(r.now()+ms) { // the edge is writing there just now
+		for errors.Is(err, fs.ErrExist) && r.sleepUntil(r.now()+ms) { // the edge is writing the file at this moment
 			err = os.Mkdir(path, 0o755)
 		}
 		if err != nil {
@@ -122,67 +122,68 @@
 			return false
 		}
 		r.platform.mu.Lock()
-		for _, s := range r.platform.replicas { // a line that is told again is kept again, in a state without others too
+		// A repeated line makes the edge save its list even if nothing else changes in this state.
+		for _, s := range r.platform.replicas {
 			if w := cmp.Or(s.oldWorker, s.newWorker); w != nil {
 				r.platform.addWorkerChange(0, w, api.Up)
 				break
 			}
 		}
 		r.platform.mu.Unlock()
-		for said() == before && r.sleepUntil(r.now()+10*ms) {
+		for failures() == before && r.sleepUntil(r.now()+10*ms) {
 		}
-		kept := func() (at time.Time) { // zero: nothing yet
+		savedAt := func() (at time.Time) { // zero if no list is saved yet
 			if info, err := os.Stat(strings.TrimSuffix(path, ".new")); err == nil {
 				at = info.ModTime()
 			}
 			return at
 		}
-		old, hit := kept(), said() > before
+		previous, failed := savedAt(), failures() > before
 		if os.Remove(path) != nil {
 			return false
 		}
-		for kept().Equal(old) { // what could not be kept is kept now, by itself
+		for savedAt().Equal(previous) { // the edge must save the list without a further change
 			if !r.sleepUntil(r.now() + 10*ms) {
 				return false
 			}
 		}
-		return hit
+		return failed
 	}, "could not be kept", false, false},
-	{"the folder of traces is away", func(r *run, state string) bool {
+	{"trace directory replaced by a file", func(r *run, state string) bool {
 		path := filepath.Join(r.Out, "state", "trace")
 		err := os.Rename(path, path+".away")
-		if errors.Is(err, os.ErrNotExist) { // nothing was written yet
+		if errors.Is(err, os.ErrNotExist) { // nothing has been written yet
 			err = nil
 		}
-		for try := 0; err == nil && try < 100; try++ { // a recorder makes it anew at once
+		for try := 0; err == nil && try < 100; try++ { // a recorder may recreate the directory at any time
 			os.RemoveAll(path)
 			if os.WriteFile(path, nil, 0o644) == nil {
 				break
 			}
 		}
 		r.sleepUntil(r.now() + 400*ms)
-		os.RemoveAll(path) // a recorder makes it anew
+		os.RemoveAll(path) // a recorder recreates the directory
 		os.RemoveAll(path + ".away")
 		if err != nil {
 			r.platform.logEvent("%v", err)
 		}
 		return err == nil
 	}, "", false, false},
-	{"list file cut between forms, then wrong", func(r *run, state string) bool {
-		r.listFileMu.Lock() // it writes nothing else meanwhile
+	{"list file cut between forms, then invalid", func(r *run, state string) bool {
+		r.listFileMu.Lock() // keeps writeListLoop from overwriting the file
 		defer r.listFileMu.Unlock()
 		path := filepath.Join(r.Out, "list.sexp")
 		text, err := os.ReadFile(path)
-		half := string(text[:strings.LastIndex(string(text), "(worker")])
-		for _, bad := range []string{half, strings.Replace(string(text), "(build ", "(build x", 1)} {
+		truncated := string(text[:strings.LastIndex(string(text), "(worker")])
+		for _, content := range []string{truncated, strings.Replace(string(text), "(build ", "(build x", 1)} {
 			if err == nil {
-				err = os.WriteFile(path, []byte(bad), 0o644)
+				err = os.WriteFile(path, []byte(content), 0o644)
 			}
-			r.sleepUntil(r.now() + 1200*ms) // an edge looks once a second
+			r.sleepUntil(r.now() + 1200*ms) // an edge reads the file once a second
 		}
-		return err == nil && strings.Contains(half, "(worker")
+		return err == nil && strings.Contains(truncated, "(worker")
 	}, "list file refused", false, true},
-	{"answers that are no HTTP", func(r *run, state string) bool {
+	{"answers that are not HTTP", func(r *run, state string) bool {
 		ws := r.workersAt([]int{0, 4})
 		set := func(share float64) {
 			r.fleet.mu.Lock()
@@ -198,10 +199,10 @@
 	}, "", false, false},
 }
 
+// apiSource matches the source in an edge's settings.
 var apiSource = regexp.MustCompile(`\(source \(api "[^"]*"\)\)`)
 
-// writeListLoop writes list and news to a file for all edges as a hand does that knows what the platform would tell, some
-// times a second, and notes it as told.
+// writeListLoop writes the list file ten times a second.
 func (r *run) writeListLoop() {
 	p := r.platform
 	for r.sleepUntil(r.now() + 100*ms) {
@@ -209,6 +210,8 @@
 	}
 }
 
+// writeListFile writes the workers and the release that the platform would announce to the list file, as an operator would,
+// and records them as sent to all edges.
 func (r *run) writeListFile(p *platform) {
 	r.listFileMu.Lock()
 	defer r.listFileMu.Unlock()
@@ -217,16 +220,16 @@
 	now := p.now()
 	last := map[string]api.Worker{}
 	var ids []string
-	for _, c := range p.workerChanges {
-		if c.at > now {
+	for _, change := range p.workerChanges {
+		if change.at > now {
 			break
 		}
-		if _, known := last[c.worker.ID]; !known {
-			ids = append(ids, c.worker.ID)
+		if _, known := last[change.worker.ID]; !known {
+			ids = append(ids, change.worker.ID)
 		}
-		last[c.worker.ID] = c.worker
+		last[change.worker.ID] = change.worker
 	}
-	e := p.currentRelease()
+	event := p.currentRelease()
 	var text strings.Builder
 	for i := range p.day.Sentries {
 		p.rec.addUpdate(EdgeUpdate{Edge: i, At: now, FullList: true})
@@ -245,9 +248,9 @@
 			p.rec.addUpdate(EdgeUpdate{Edge: i, At: now, Worker: id, State: w.State, Started: runTime(w.StartedAt), Build: w.Build})
 		}
 	}
-	fmt.Fprintf(&text, "(release (build %d) (stage %d) (phase %s) (cap %g))\n", e.Release.Build, e.Release.Stage, e.Release.Phase, e.Release.Cap)
+	fmt.Fprintf(&text, "(release (build %d) (stage %d) (phase %s) (cap %g))\n", event.Release.Build, event.Release.Stage, event.Release.Phase, event.Release.Cap)
 	for i := range p.day.Sentries {
-		p.recordReleaseUpdate(i, e)
+		p.recordReleaseUpdate(i, event)
 	}
 	path := filepath.Join(r.Out, "list.sexp")
 	if os.WriteFile(path+".new", []byte(text.String()), 0o644) == nil {
@@ -255,31 +258,35 @@
 	}
 }
 
-// restartEdge starts an edge, and tells whether it serves before long. An edge that is stopped before would not drain.
+// restartEdge starts a stopped edge and waits until it is ready, since an edge that is stopped earlier would not drain. It
+// reports whether the edge became ready.
 func (r *run) restartEdge(p *edgeProcess) bool {
 	return r.startEdge(p) == nil && r.awaitReady(context.Background(), p, 20*time.Second) == nil
 }
 
+// writeLine writes a line of a watch.
 func writeLine(w http.ResponseWriter, line any) { json.NewEncoder(w).Encode(line) }
 
-// corruptLines lets something happen to the lines of watches for a while, and till it is done; false: it was not.
-func (r *run) corruptLines(how func(w http.ResponseWriter, line any, done func())) bool {
-	var done atomic.Bool // watches are written beside us
-	set := func(how func(http.ResponseWriter, any)) {
+// corruptLines has corrupt called before each line of a watch is written, for 400 ms and until it has called done. It reports
+// whether done was called before the end of the day.
+func (r *run) corruptLines(corrupt func(w http.ResponseWriter, line any, done func())) bool {
+	var done atomic.Bool // watches are written concurrently
+	setCorruptLine := func(hook func(http.ResponseWriter, any)) {
 		r.platform.mu.Lock()
-		r.platform.corruptLine = how
+		r.platform.corruptLine = hook
 		r.platform.mu.Unlock()
 	}
-	set(func(w http.ResponseWriter, line any) { how(w, line, func() { done.Store(true) }) })
+	setCorruptLine(func(w http.ResponseWriter, line any) { corrupt(w, line, func() { done.Store(true) }) })
 	r.sleepUntil(r.now() + 400*ms)
 	for !done.Load() && r.sleepUntil(r.now()+10*ms) {
 	}
-	set(nil)
+	setCorruptLine(nil)
 	return done.Load()
 }
 
-// TestFaultsAgainstStagesOnSockets plays two days for each trouble, one with a good build and one with a bad one, and has
-// it strike in every state. The rules are held against the sockets.
+// TestFaultsAgainstStagesOnSockets guards against faults of an edge's inputs, files or process that break a rule only in some
+// state of a release. For each fault it runs a day with a good build and one with a bad build, injects the fault in every
+// state, and checks the rules by the recorded socket traffic.
 func TestFaultsAgainstStagesOnSockets(t *testing.T) {
 	if testing.Short() {
 		t.Skip("plays days for seconds each")
@@ -297,75 +304,75 @@
 				t.Parallel()
 				text := strings.Replace(fmt.Sprintf(shortDay, row.name, c.length, c.script), "(window", "(push 300ms) (window", 1)
 				dir := t.TempDir()
-				source := ""
-				if row.file { // nobody takes votes there, and it is read once a second
+				fileSource := ""
+				if row.usesListFile { // a list file takes no votes, and edges read it once a second
 					text = strings.NewReplacer("(bake", "(votes clocked) (stage-time 700ms) (grace 1500ms) (bake", `(length 16s)`, `(length 25s)`).Replace(text)
-					source = fmt.Sprintf("(source (file %q))", filepath.Join(dir, "list.sexp"))
+					fileSource = fmt.Sprintf("(source (file %q))", filepath.Join(dir, "list.sexp"))
 				}
 				day, err := ParseDay("short.sexp", text)
 				if err != nil {
 					t.Fatal(err)
 				}
-				struck := map[string]bool{} // one state is played after another
+				injected := map[string]bool{} // no lock: states follow one another
 				r := &Runner{Day: day, Out: dir, Edge: func(settings string) *exec.Cmd {
-					if data, err := os.ReadFile(settings); row.file && err == nil {
-						os.WriteFile(settings, apiSource.ReplaceAll(data, []byte(source)), 0o644)
+					if data, err := os.ReadFile(settings); row.usesListFile && err == nil {
+						os.WriteFile(settings, apiSource.ReplaceAll(data, []byte(fileSource)), 0o644)
 					}
 					cmd := exec.Command(os.Args[0], settings)
 					cmd.Env = append(os.Environ(), "LAB_EDGE=1")
 					return cmd
 				}}
-				if row.file {
+				if row.usesListFile {
 					r.beforeEdges = func(r *run) {
 						r.writeListFile(r.platform)
 						r.group.Go(r.writeListLoop)
 					}
 				}
 				r.stateHook = func(r *run, state string) {
-					if !r.sleepUntil(r.now() + 100*ms) { // the state is under way
+					if !r.sleepUntil(r.now() + 100*ms) { // the state has settled in
 						return
 					}
-					var beside sync.WaitGroup
+					var group sync.WaitGroup
 					drained := false
-					if state == "stage change" && !row.ends { // an edge drains and starts anew meanwhile
-						beside.Go(func() {
+					if state == "stage change" && !row.stopsEdge { // an edge drains and restarts during the fault
+						group.Go(func() {
 							drained = r.stopEdge(r.edges[1], syscall.SIGTERM) == nil && r.restartEdge(r.edges[1])
 						})
 					}
-					did := row.does(r, state)
-					beside.Wait()
+					tookPlace := row.inject(r, state)
+					group.Wait()
 					r.platform.mu.Lock()
-					still := r.platform.state() == state
+					sameState := r.platform.state() == state
 					r.platform.mu.Unlock()
-					struck[state] = struck[state] || did && still
-					struck["drain of the edge"] = struck["drain of the edge"] || did && still && drained
+					injected[state] = injected[state] || tookPlace && sameState
+					injected["drain of the edge"] = injected["drain of the edge"] || tookPlace && sameState && drained
 				}
 				rec, err := r.Run(context.Background())
 				if err != nil {
 					t.Fatal(err)
 				}
 				states := c.states
-				if !row.ends && c.build == "good" {
+				if !row.stopsEdge && c.build == "good" {
 					states = append([]string{"drain of the edge"}, states...)
 				}
 				for _, s := range states {
-					if !struck[s] {
-						t.Errorf("it did not strike in the state %q, only in %v\n%s", s, struck, strings.Join(rec.Marks, "\n"))
+					if !injected[s] {
+						t.Errorf("fault not injected in state %q, only in %v\n%s", s, injected, strings.Join(rec.Marks, "\n"))
 					}
 				}
 				for _, v := range Check(day, rec) {
 					t.Errorf("%v", v)
 				}
-				said := ""
+				logs := ""
 				for i := 0; i < day.Sentries; i++ {
 					log, err := os.ReadFile(filepath.Join(dir, fmt.Sprintf("edge-%d.log", i)))
 					if err != nil || strings.Contains(string(log), "panic") || strings.Contains(string(log), "voided by the host") {
-						t.Errorf("the log of edge %d: %v\n%s", i, err, log)
+						t.Errorf("log of edge %d: %v\n%s", i, err, log)
 					}
-					said += string(log)
+					logs += string(log)
 				}
-				if !strings.Contains(said, row.logs) {
-					t.Errorf("no edge said %q", row.logs)
+				if !strings.Contains(logs, row.logText) {
+					t.Errorf("no edge logged %q", row.logText)
 				}
 				if f := Sum(day, rec, "dunegrade", nil); f.Revenue < 0.3 || f.Txns < 100 {
 					t.Errorf("revenue %.2f of %d txns", f.Revenue, f.Txns)
