--- a/lab/days_test.go
+++ b/lab/days_test.go
@@ -18,7 +18,7 @@
 	"dunegrade/trace"
 )
 
-// TestMain runs an edge where the test binary is started as one: days have their edges as processes of their own.
+// TestMain runs an edge instead of the tests if LAB_EDGE is set: a day starts the test binary as its edge processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("LAB_EDGE") != "" {
 		os.Exit(edge.Serve(os.Args[1]))
@@ -26,6 +26,7 @@
 	os.Exit(m.Run())
 }
 
+// shortDay is a format with the day's name, its length, and its offers and faults.
 const shortDay = `(day %q (seed 3) (length %s) (sentries (processes 2))
   (fleet (machines 6) (cores 2) (slots 24) (cold 1500ms) (cold-from 0.35) (boot 300ms))
   (product "read" (share 55%%) (work 10ms) (sla 300ms) (expiry 1s) (effect inquiry-like))
@@ -35,42 +36,43 @@
   (platform (stages 0.2 0.5 1) (slack 1.3) (bake 800ms) (window 3s) (free 3) (one-way true) (news-late 100ms) (list-late 100ms) (drain 500ms))
   %s)`
 
-// checkTraces holds the rules against the edges' traces, and the verdict against the sockets' one: rules, not counts, as the
-// checker allows for what lies between a socket and a record.
-func checkTraces(t *testing.T, day *Day, broken []Violation, dir string, settings map[string]any) {
+// checkTraces checks the rules by the edges' traces and compares the violated rules with those found in the socket traffic.
+// It does not compare counts, because the checker of the sockets tolerates the delay between a socket and a record.
+func checkTraces(t *testing.T, day *Day, violations []Violation, dir string, settings map[string]any) {
 	t.Helper()
-	lives, err := trace.Lives([]string{filepath.Join(dir, "state", "trace")})
+	runs, err := trace.Lives([]string{filepath.Join(dir, "state", "trace")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := trace.CheckRules(lives, trace.RulesPlan{Cores: float64(day.MachineKind.Cores), Settings: settings}, nil)
+	r, err := trace.CheckRules(runs, trace.RulesPlan{Cores: float64(day.MachineKind.Cores), Settings: settings}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// All edges are on one machine, so what their clocks showed apart is known: it must be within what is stated.
+	// All edges run on one machine, so the true offsets of their clocks are known. Each estimate must be within its stated
+	// error.
 	for i, c := range r.Clocks {
-		h, first := lives[i].Headers[0], lives[0].Headers[0]
-		if off := time.Duration(math.Abs(c.Offset - float64(h.Wall-h.Start-first.Wall+first.Start))); c.Unsure >= 0 && off > time.Duration(c.Unsure) {
-			t.Errorf("life %d is off by %v; told: %v", i, off, c)
+		header, first := runs[i].Headers[0], runs[0].Headers[0]
+		if offset := time.Duration(math.Abs(c.Offset - float64(header.Wall-header.Start-first.Wall+first.Start))); c.Unsure >= 0 && offset > time.Duration(c.Unsure) {
+			t.Errorf("run %d: clock estimate is off by %v; reported: %v", i, offset, c)
 		}
 	}
-	sockets, traces := map[int]bool{}, map[int]bool{}
-	for _, v := range broken {
-		sockets[v.Rule] = true
+	bySockets, byTraces := map[int]bool{}, map[int]bool{}
+	for _, v := range violations {
+		bySockets[v.Rule] = true
 	}
-	for _, b := range r.Broken {
-		traces[b.Rule] = true
+	for _, violation := range r.Broken {
+		byTraces[violation.Rule] = true
 	}
-	if r.Txns < 100 || !maps.Equal(sockets, traces) {
+	if r.Txns < 100 || !maps.Equal(bySockets, byTraces) {
 		var text strings.Builder
 		r.Print(&text)
-		t.Errorf("the sockets show rules %v broken, the traces %v\n%s", sockets, traces, text.String())
+		t.Errorf("rules violated by the sockets: %v, by the traces: %v\n%s", bySockets, byTraces, text.String())
 	}
 }
 
-// TestTracesAndSocketsSeeTheSameBreaks plays days whose edges are given other figures than the platform's, so that they
-// break rules: both checkers must find the same ones.
-func TestTracesAndSocketsSeeTheSameBreaks(t *testing.T) {
+// TestTracesAndSocketsShowSameViolations guards against violations that only one of the two checkers detects. The edges get
+// settings that differ from the platform's and so violate rules; both checkers must find the same rules violated.
+func TestTracesAndSocketsShowSameViolations(t *testing.T) {
 	if testing.Short() {
 		t.Skip("plays days for seconds each")
 	}
@@ -80,15 +82,15 @@
 	}{
 		{"exposure", "(offer (at 500ms) (flaw good))", "(window 3s)", "(window 30ms)", 5},
 		{"memory", "(trouble slow (at 500ms) (for 4s) (many 6) (size 60))", "(memory 2s)", "(memory 300ms)", 0},
-		{"once-only taken for inquiry-like", "(trouble crash (at 1s) (for 2s) (many 4)) (trouble fast-errors (at 500ms) (for 4s) (many 4) (size 0.8))",
+		{"once-only treated as inquiry-like", "(trouble crash (at 1s) (for 2s) (many 4)) (trouble fast-errors (at 500ms) (for 4s) (many 4) (size 0.8))",
 			"(effect once-only)", "(effect inquiry-like)", 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			text := fmt.Sprintf(shortDay, c.name, "7s", c.script)
 			if c.name == "exposure" {
-				// A stage that lasts, at a cap far below what one machine of four would be sent, and few keys: those that
-				// the build has met are sent there whatever the slice, so the cap is broken by far and not by a little.
+				// A long stage at a cap far below the traffic share of one machine of four, and few keys: the keys that the
+				// build has answered stay with it regardless of the cap, so the cap is exceeded by a wide margin.
 				text = strings.NewReplacer("(keys 500)", "(keys 20)", "(stages 0.2", "(stages 0.05", "(bake 800ms)", "(bake 6s)", "(machines 6)", "(machines 4)").Replace(text)
 			}
 			day, err := ParseDay("short.sexp", text)
@@ -96,10 +98,10 @@
 				t.Fatal(err)
 			}
 			dir := t.TempDir()
-			var right map[string]any
+			var correctSettings map[string]any
 			r := &Runner{Day: day, Out: dir, Edge: func(settings string) *exec.Cmd {
-				if plan, err := config.ReadEdge(settings); err == nil && right == nil {
-					right = plan.Module
+				if plan, err := config.ReadEdge(settings); err == nil && correctSettings == nil {
+					correctSettings = plan.Module
 				}
 				data, err := os.ReadFile(settings)
 				if err == nil {
@@ -113,26 +115,27 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			broken := Check(day, rec)
-			if c.rule > 0 && !slices.ContainsFunc(broken, func(v Violation) bool { return v.Rule == c.rule }) {
-				t.Errorf("the sockets do not show rule %d broken", c.rule)
+			violations := Check(day, rec)
+			if c.rule > 0 && !slices.ContainsFunc(violations, func(v Violation) bool { return v.Rule == c.rule }) {
+				t.Errorf("the sockets do not show a violation of rule %d", c.rule)
 			}
-			checkTraces(t, day, broken, dir, right)
+			checkTraces(t, day, violations, dir, correctSettings)
 		})
 	}
 }
 
-// TestTroubles plays one short day for every kind of trouble and build, and holds the rules against the sockets.
-// What is asked beyond the rules leaves so much room that a busy machine does not change it.
+// TestTroubles guards against faults and flawed builds that make an edge violate a rule, lose most of the revenue or record a
+// trace that does not replay. It runs a short day for each kind of fault and build. The limits on revenue are wide enough for
+// a busy machine.
 func TestTroubles(t *testing.T) {
 	if testing.Short() {
 		t.Skip("plays days for seconds each")
 	}
-	const offers = "(offer (at 500ms) (flaw %s)) "
+	const offerFormat = "(offer (at 500ms) (flaw %s)) "
 	for _, c := range []struct {
 		name, length, script string
-		revenue              float64 // at the least
-		back                 bool    // build 2 must be called back
+		revenue              float64 // minimum
+		back                 bool    // whether build 2 must go back
 	}{
 		{"crash", "5s", "(trouble crash (at 1s) (for 2s) (many 2))", 0.6, false},
 		{"vanish", "5s", "(trouble vanish (at 1s) (for 2s) (many 1))", 0.6, false},
@@ -148,11 +151,11 @@
 		{"bad-requests", "4s", "(trouble bad-requests (at 500ms) (for 3s) (size 0.06))", 0.7, false},
 		{"sentry-kill", "5s", "(trouble sentry-kill (at 1s) (for 1s) (on 0))", 0.4, false},
 		{"sentry-roll", "5s", "(trouble sentry-roll (at 1s) (for 1s) (on 0 1))", 0.6, false},
-		{"stalled", "5s", "(trouble stalled (at 1s) (for 2s)) " + fmt.Sprintf(offers, "good"), 0.8, false},
-		{"late-news", "6s", "(trouble late-news (at 200ms) (for 5s) (size 1.5)) " + fmt.Sprintf(offers, "good"), 0.8, false},
+		{"stalled", "5s", "(trouble stalled (at 1s) (for 2s)) " + fmt.Sprintf(offerFormat, "good"), 0.8, false},
+		{"late-news", "6s", "(trouble late-news (at 200ms) (for 5s) (size 1.5)) " + fmt.Sprintf(offerFormat, "good"), 0.8, false},
 		{"garbage", "5s", "(trouble garbage (at 1s) (for 2s) (many 1) (size 0.5))", 0.6, false},
 		{"clocked", "6s", "(offer (at 300ms) (flaw good))", 0.8, false},
-		{"build: good", "7s", fmt.Sprintf(offers, "good"), 0.8, false},
+		{"build: good", "7s", fmt.Sprintf(offerFormat, "good"), 0.8, false},
 		{"build: errors", "7s", "(offer (at 500ms) (flaw errors) (strength 0.6))", 0.7, true},
 		{"build: slow", "7s", "(offer (at 500ms) (flaw slow) (strength 3))", 0.6, false},
 		{"build: product", "7s", `(offer (at 500ms) (flaw product) (product "book") (strength 0.8))`, 0.6, false},
@@ -181,34 +184,34 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			broken := Check(day, rec)
-			f := Sum(day, rec, "dunegrade", broken)
-			if len(broken) > 0 || f.Revenue < c.revenue || f.Txns < 100 {
+			violations := Check(day, rec)
+			figures := Sum(day, rec, "dunegrade", violations)
+			if len(violations) > 0 || figures.Revenue < c.revenue || figures.Txns < 100 {
 				var text strings.Builder
-				f.Table(&text)
+				figures.Table(&text)
 				t.Errorf("%s\n%s", text.String(), strings.Join(rec.Marks, "\n"))
 			}
-			if c.back && (len(f.Builds) == 0 || f.Builds[0].Back == 0) {
-				t.Errorf("the bad build was not called back: %+v", f.Builds)
+			if c.back && (len(figures.Builds) == 0 || figures.Builds[0].Back == 0) {
+				t.Errorf("the bad build did not go back: %+v", figures.Builds)
 			}
-			if _, err := WriteReport(dir, f, rec.Marks); err != nil {
+			if _, err := WriteReport(dir, figures, rec.Marks); err != nil {
 				t.Error(err)
 			}
-			checkTraces(t, day, broken, dir, nil)
-			// What the edges recorded must lead to the same decisions again, also where one was killed.
-			lives, err := trace.Lives([]string{filepath.Join(dir, "state", "trace")})
-			if err != nil || len(lives) < day.Sentries {
-				t.Errorf("%d lives recorded, %v", len(lives), err)
+			checkTraces(t, day, violations, dir, nil)
+			// Replaying the edges' traces must give the same decisions, also those of an edge that was killed.
+			runs, err := trace.Lives([]string{filepath.Join(dir, "state", "trace")})
+			if err != nil || len(runs) < day.Sentries {
+				t.Errorf("%d runs recorded, %v", len(runs), err)
 			}
-			for _, l := range lives {
-				if again, err := trace.Replay(l); err != nil || again.Differs != "" || again.Actions == 0 {
-					t.Errorf("sentry %d replays as %+v, %v", l.Sentry, again, err)
+			for _, traceRun := range runs {
+				if replayed, err := trace.Replay(traceRun); err != nil || replayed.Differs != "" || replayed.Actions == 0 {
+					t.Errorf("sentry %d replays as %+v, %v", traceRun.Sentry, replayed, err)
 				}
 			}
 			for i := 0; i < day.Sentries; i++ {
 				log, err := os.ReadFile(filepath.Join(dir, fmt.Sprintf("edge-%d.log", i)))
 				if err != nil || strings.Contains(string(log), "panic") || strings.Contains(string(log), "voided by the host") {
-					t.Errorf("the log of edge %d: %v\n%s", i, err, log)
+					t.Errorf("log of edge %d: %v\n%s", i, err, log)
 				}
 			}
 		})
--- a/lab/load_test.go
+++ b/lab/load_test.go
@@ -12,6 +12,7 @@
 	"go.uber.org/goleak"
 )
 
+// startTarget starts a server that answers with do, which gets the number of the request from 1 on, and returns its URL.
 func startTarget(t *testing.T, do func(n int64, w http.ResponseWriter)) string {
 	var n atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { do(n.Add(1), w) }))
@@ -19,43 +20,45 @@
 	return s.URL
 }
 
-// A target that stalls once is charged for every txn that was due meanwhile, not for the one that it was working at.
+// TestLoadCountsFromWhenTxnsWereDue guards against coordinated omission: a single stall of the target must raise the latency
+// of every txn scheduled during it, not only of the txn in progress.
 func TestLoadCountsFromWhenTxnsWereDue(t *testing.T) {
 	url := startTarget(t, func(n int64, w http.ResponseWriter) {
 		if n == 20 {
-			time.Sleep(400 * time.Millisecond) // the stall that is measured
+			time.Sleep(400 * time.Millisecond) // the stall
 		}
 	})
-	p := LoadPlan{Targets: []string{url}, Rates: []float64{200}, Span: time.Second, Slice: time.Second, Conns: 1, Method: "GET", Timeout: 5 * time.Second}
-	all, err := Load(context.Background(), p, nil)
-	if err != nil || len(all) != 1 || all[0].Sent != 200 || all[0].Succeeded != 200 {
-		t.Fatalf("%+v, %v", all, err)
+	plan := LoadPlan{Targets: []string{url}, Rates: []float64{200}, Span: time.Second, Slice: time.Second, Conns: 1, Method: "GET", Timeout: 5 * time.Second}
+	slices, err := Load(context.Background(), plan, nil)
+	if err != nil || len(slices) != 1 || slices[0].Sent != 200 || slices[0].Succeeded != 200 {
+		t.Fatalf("%+v, %v", slices, err)
 	}
-	due, sent := all[0].Times.ValueAtQuantile(85), all[0].ServiceTimes.ValueAtQuantile(85)
-	if due < 100_000 || sent > due/2 {
-		t.Errorf("p85 is %d us from when due, %d from when sent", due, sent)
+	fromSchedule, fromSending := slices[0].Times.ValueAtQuantile(85), slices[0].ServiceTimes.ValueAtQuantile(85)
+	if fromSchedule < 100_000 || fromSending > fromSchedule/2 {
+		t.Errorf("p85 is %d us from the scheduled time, %d from sending", fromSchedule, fromSending)
 	}
 }
 
-func TestLoadTellsTwoTargetsApart(t *testing.T) {
-	before := goleak.IgnoreCurrent()
-	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // behind the servers' end
+// TestLoadDetectsSlowerTarget guards against a comparison of two targets that misses a real difference.
+func TestLoadDetectsSlowerTarget(t *testing.T) {
+	ignored := goleak.IgnoreCurrent()
+	t.Cleanup(func() { goleak.VerifyNone(t, ignored) }) // runs after the servers are closed
 	quick := startTarget(t, func(int64, http.ResponseWriter) {})
 	slow := startTarget(t, func(n int64, w http.ResponseWriter) {
-		time.Sleep(20 * time.Millisecond) // what is to be found
+		time.Sleep(20 * time.Millisecond) // the difference to detect
 		if n%4 == 0 {
 			w.WriteHeader(503)
 		} else if n%4 == 1 {
 			w.WriteHeader(500)
 		}
 	})
-	p := LoadPlan{Targets: []string{quick, slow}, Rates: []float64{100, 200}, Ramp: true, Span: time.Second, Slice: 200 * time.Millisecond, Conns: 16,
+	plan := LoadPlan{Targets: []string{quick, slow}, Rates: []float64{100, 200}, Ramp: true, Span: time.Second, Slice: 200 * time.Millisecond, Conns: 16,
 		Method: "GET", Timeout: time.Second}
-	all, err := Load(context.Background(), p, nil)
+	slices, err := Load(context.Background(), plan, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rows, diffs := SumLoad(p, all)
+	rows, diffs := SumLoad(plan, slices)
 	if len(rows) != 4 || rows[1].Refused == 0 || rows[1].Bad == 0 || rows[0].Refused+rows[0].Bad > 0 || rows[0].Rate < 130 || rows[0].Rate > 170 {
 		t.Errorf("rows %+v", rows)
 	}
@@ -66,26 +69,28 @@
 		}
 	}
 	if !found {
-		t.Errorf("the slow target is not told from the quick one: %+v", diffs)
+		t.Errorf("no difference found between the slow and the quick target: %+v", diffs)
 	}
 	var text strings.Builder
 	LoadTable(&text, rows, diffs)
-	page, err := LoadPage(p, all, text.String())
+	page, err := LoadPage(plan, slices, text.String())
 	if err != nil || strings.Count(page, "<svg") != 2 || !strings.Contains(text.String(), "95% interval") {
-		t.Errorf("a page of %d bytes, %v:\n%s", len(page), err, text.String())
+		t.Errorf("page of %d bytes, %v:\n%s", len(page), err, text.String())
 	}
 }
 
-func TestLoadGivesUpWhatCannotBeServed(t *testing.T) {
+// TestLoadGivesUpOverdueTxns guards against a run that lasts longer than planned because the target cannot serve the load:
+// txns that are late by more than the timeout must fail unsent. Invalid plans must be refused.
+func TestLoadGivesUpOverdueTxns(t *testing.T) {
 	url := startTarget(t, func(int64, http.ResponseWriter) { time.Sleep(50 * time.Millisecond) })
-	p := LoadPlan{Targets: []string{url}, Rates: []float64{500}, Span: 500 * time.Millisecond, Slice: time.Second, Conns: 2, Method: "GET", Timeout: 200 * time.Millisecond}
-	all, err := Load(context.Background(), p, nil)
-	if err != nil || all[0].Sent != 250 || all[0].Bad < 100 || all[0].elapsed > 3*time.Second {
-		t.Errorf("%+v, %v", all, err)
+	plan := LoadPlan{Targets: []string{url}, Rates: []float64{500}, Span: 500 * time.Millisecond, Slice: time.Second, Conns: 2, Method: "GET", Timeout: 200 * time.Millisecond}
+	slices, err := Load(context.Background(), plan, nil)
+	if err != nil || slices[0].Sent != 250 || slices[0].Bad < 100 || slices[0].elapsed > 3*time.Second {
+		t.Errorf("%+v, %v", slices, err)
 	}
-	for _, bad := range []LoadPlan{{}, {Targets: []string{url}, Rates: []float64{-1}, Span: 1, Slice: 1, Conns: 1}, {Targets: []string{url}, Span: 1, Slice: 1, Conns: 1}} {
-		if _, err := Load(context.Background(), bad, nil); err == nil {
-			t.Errorf("%+v is no error", bad)
+	for _, invalid := range []LoadPlan{{}, {Targets: []string{url}, Rates: []float64{-1}, Span: 1, Slice: 1, Conns: 1}, {Targets: []string{url}, Span: 1, Slice: 1, Conns: 1}} {
+		if _, err := Load(context.Background(), invalid, nil); err == nil {
+			t.Errorf("no error for %+v", invalid)
 		}
 	}
 }
