--- a/lab/bench.go
+++ b/lab/bench.go
@@ -66,8 +66,8 @@
 	return fmt.Errorf("no subject %q", kind)
 }
 
-// fixedResponder answers each request with a fixed response, and those for /big with a larger one. It takes the first empty
-// line as the end of a request.
+// fixedResponder answers each request with a fixed response, and those for /big with a larger one. It takes the first
+// empty line as the end of a request.
 type fixedResponder struct {
 	gnet.BuiltinEventEngine
 	response, largeResponse []byte
@@ -103,8 +103,8 @@
 	return gnet.Run(h, "tcp://"+listen, gnet.WithNumEventLoop(1), gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithReusePort(true))
 }
 
-// forwarder copies bytes between a client's connection and a connection to the worker without parsing HTTP. It is the upper
-// bound of what an edge on an event loop can reach.
+// forwarder copies bytes between a client's connection and a connection to the worker without parsing HTTP. Its throughput
+// is an upper bound for an edge on an event loop.
 type forwarder struct {
 	gnet.BuiltinEventEngine
 }
@@ -360,8 +360,8 @@
 	return
 }
 
-// writeEdgeFiles writes the settings and the worker list of the edge that is measured, and returns the settings' path. traced is
-// the subject's name without its prefix edge, and selects the trace level.
+// writeEdgeFiles writes the settings and the worker list of the edge that is measured, and returns the settings' path.
+// traced is the subject's name without its prefix edge, and selects the trace level.
 func (plan BenchPlan) writeEdgeFiles(listen, worker string, loops int, traced string) (string, error) {
 	if err := os.MkdirAll(plan.Out, 0o755); err != nil {
 		return "", err
@@ -401,9 +401,9 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// generateLoad sends requests for a span on plan.Conns connections and returns their latencies in microseconds. If rate is 0,
-// each connection sends one request after another; otherwise requests are scheduled ahead, and latency counts from the
-// scheduled time.
+// generateLoad sends requests for a span on plan.Conns connections and returns their latencies in microseconds. If rate
+// is 0, each connection sends one request after another; otherwise requests are scheduled ahead, and latency counts from
+// the scheduled time.
 func (plan BenchPlan) generateLoad(address string, size int, span time.Duration, rate float64) (*hdrhistogram.Histogram, error) {
 	all := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
--- a/lab/compare.go
+++ b/lab/compare.go
@@ -17,8 +17,8 @@
 	Edge func(settingsPath string) *exec.Cmd // returns the command that runs one edge
 }
 
-// RunComparison performs all runs at the same time, each with its own fleet, so that a busy machine affects all of them alike.
-// It writes their reports and returns their figures in order.
+// RunComparison performs all runs at the same time, each with its own fleet, so that a busy machine affects all of them
+// alike. It writes their reports and returns their figures in order.
 func SideBySide(ctx context.Context, runs []Contender) ([]*Figures, error) {
 	figures, errs := make([]*Figures, len(runs)), make([]error, len(runs))
 	var group sync.WaitGroup
--- a/lab/comparison_edge.go
+++ b/lab/comparison_edge.go
@@ -159,8 +159,8 @@
 	}
 }
 
-// pickWorker chooses a worker that is up, in turn or at random. It skips workers of a build on trial while their recent txns
-// use up the cap. It reports false if no worker was found.
+// pickWorker chooses a worker that is up, in turn or at random. It skips workers of a build on trial while their recent
+// txns use up the cap. It reports false if no worker was found.
 func (v *comparisonEdge) pickWorker() (api.Worker, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/lab/days_test.go
+++ b/lab/days_test.go
@@ -124,9 +124,9 @@
 	}
 }
 
-// TestTroubles guards against faults and flawed builds that make an edge violate a rule, lose most of the revenue or record a
-// trace that does not replay. It runs a short day for each kind of fault and build. The limits on revenue are wide enough for
-// a busy machine.
+// TestTroubles guards against faults and flawed builds that make an edge violate a rule, lose most of the revenue or record
+// a trace that does not replay. It runs a short day for each kind of fault and build. The limits on revenue are wide enough
+// for a busy machine.
 func TestTroubles(t *testing.T) {
 	if testing.Short() {
 		t.Skip("plays days for seconds each")
--- a/lab/hostile.go
+++ b/lab/hostile.go
@@ -39,8 +39,9 @@
 	run     func(ctx context.Context, address string, closed *atomic.Int64)
 }
 
-// holdConnection opens a connection, sends first, and sends more at each interval if more is not empty. It reads and discards
-// the answers if read is set. It returns when ctx ends, or once a read or write shows that the edge has closed the connection.
+// holdConnection opens a connection, sends first, and sends more at each interval if more is not empty. It reads and
+// discards the answers if read is set. It returns when ctx ends, or once a read or write shows that the edge has closed the
+// connection.
 func holdConnection(ctx context.Context, address, first, more string, interval time.Duration, read bool, closed *atomic.Int64) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
--- a/lab/importer.go
+++ b/lab/importer.go
@@ -122,8 +122,8 @@
 	return (time.Duration(v) * time.Microsecond).Round(10 * time.Microsecond)
 }
 
-// importedFlaws maps the bench's flaws of builds to those of package fleet. A strength of 0 to 1 is scaled linearly to the range
-// from minStrength to maxStrength.
+// importedFlaws maps the bench's flaws of builds to those of package fleet. A strength of 0 to 1 is scaled linearly to the
+// range from minStrength to maxStrength.
 var importedFlaws = map[string]struct {
 	kind                     string
 	minStrength, maxStrength float64
--- a/lab/load.go
+++ b/lab/load.go
@@ -19,7 +19,8 @@
 )
 
 // LoadPlan describes an open-loop load on one HTTP target, or on two in turn. Txns are scheduled ahead, and their latency
-// counts from the scheduled time, so that a stall of the target counts for every txn that it delays (no coordinated omission).
+// counts from the scheduled time, so that a stall of the target counts for every txn that it delays (no coordinated
+// omission).
 type LoadPlan struct {
 	Targets []string      // URLs, one or two
 	Rates   []float64     // txns a second, one for each step
@@ -219,8 +220,8 @@
 	P99S      float64
 }
 
-// LoadDifference compares the second target with the first at one step, by the ratios of paired slices. Its fields are part of
-// the JSON output.
+// LoadDifference compares the second target with the first at one step, by the ratios of paired slices. Its fields are
+// part of the JSON output.
 type LoadDifference struct {
 	Rate  float64 // of the step, in txns a second
 	What  string  // name of the compared figure
--- a/lab/load_test.go
+++ b/lab/load_test.go
@@ -20,8 +20,8 @@
 	return s.URL
 }
 
-// TestLoadCountsFromWhenTxnsWereDue guards against coordinated omission: a single stall of the target must raise the latency
-// of every txn scheduled during it, not only of the txn in progress.
+// TestLoadCountsFromWhenTxnsWereDue guards against coordinated omission: a single stall of the target must raise the
+// latency of every txn scheduled during it, not only of the txn in progress.
 func TestLoadCountsFromWhenTxnsWereDue(t *testing.T) {
 	url := startTarget(t, func(n int64, w http.ResponseWriter) {
 		if n == 20 {
--- a/lab/sockets_test.go
+++ b/lab/sockets_test.go
@@ -267,8 +267,8 @@
 // writeLine writes a line of a watch.
 func writeLine(w http.ResponseWriter, line any) { json.NewEncoder(w).Encode(line) }
 
-// corruptLines has corrupt called before each line of a watch is written, for 400 ms and until it has called done. It reports
-// whether done was called before the end of the day.
+// corruptLines has corrupt called before each line of a watch is written, for 400 ms and until it has called done. It
+// reports whether done was called before the end of the day.
 func (r *run) corruptLines(corrupt func(w http.ResponseWriter, line any, done func())) bool {
 	var done atomic.Bool // watches are written concurrently
 	setCorruptLine := func(hook func(http.ResponseWriter, any)) {
