--- a/lab/compare.go
+++ b/lab/compare.go
@@ -52,7 +52,7 @@
 	return total
 }
 
-// WriteComparisonTable writes the figures of runs as a Markdown table.
+// WriteComparisonTable writes the figures of runs as a table in markdown.
 func Markdown(w io.Writer, rows []*Figures) {
 	fmt.Fprintln(w, "| day | seed | edge | txns | revenue in time | worst 5 s | harm | bad builds back after | good builds released after | submissions per txn | rules violated |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
