--- a/edge/accept.go
+++ b/edge/accept.go
@@ -16,7 +16,7 @@
 
 // accept accepts connections until the listener is closed or its deadline passes.
 func (p *Process) accept() {
-	failures := 0 // consecutive
+	failures := 0 // consecutive failed accepts
 	for {
 		c, err := p.listener.Accept()
 		if err != nil {
@@ -38,8 +38,8 @@
 	}
 }
 
-// assignToLoop hands a new connection to the loop with the fewest clients. Over the connection limit it has an idle
-// connection shed, and over the limit plus the allowed overflow it resets the new connection, from which nothing was read.
+// assignToLoop hands a new connection to the loop with the fewest clients. At the connection limit it also requests that an
+// idle connection be shed. At the limit plus the allowed overflow it resets the new connection, from which nothing was read.
 func (p *Process) assignToLoop(c net.Conn) {
 	excess := p.openClients.Load() - int64(p.cfg.ClientLimits.MaxConnections)
 	if excess >= int64(p.cfg.ClientLimits.OverflowConnections) {
--- a/edge/admin.go
+++ b/edge/admin.go
@@ -11,7 +11,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// serveAdmin starts the server for health, metrics and profiles, if the configuration has an address for it.
+// serveAdmin starts the HTTP server for health checks, metrics and profiles. It returns nil if the configuration has no
+// address for it.
 func (p *Process) serveAdmin() (*http.Server, error) {
 	if p.cfg.Admin == "" {
 		return nil, nil
@@ -22,7 +23,7 @@
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, r *http.Request) { fmt.Fprintln(w, "ok") })
 	mux.HandleFunc("/readyz", func(w http.ResponseWriter, r *http.Request) {
 		if !p.listReceived.Load() {
-			http.Error(w, "no list of workers yet", http.StatusServiceUnavailable)
+			http.Error(w, "no worker list yet", http.StatusServiceUnavailable)
 			return
 		}
 		fmt.Fprintln(w, "ok")
--- a/edge/call.go
+++ b/edge/call.go
@@ -6,7 +6,8 @@
 	"dunegrade/logic"
 )
 
-const maxSubs = 8 // most submissions of a txn, as in the decision module
+// maxSubs is the maximum number of submissions of a txn. The decision module has the same limit.
+const maxSubs = 8
 
 // subState is the state of a submission.
 type subState uint8
@@ -21,10 +22,10 @@
 
 // submission is one attempt to run a txn on a worker.
 type submission struct {
-	pool  *pool
-	conn  *workerConn // while sent
-	since logic.Nanos // when it was made
-	state subState
+	pool      *pool
+	conn      *workerConn // while sent
+	startedAt logic.Nanos // when startSubmission was called
+	state     subState
 }
 
 // call is one open txn: the client's request and the submissions made for it. A call exists from the end of the request's
@@ -32,19 +33,19 @@
 type call struct {
 	slot         int32       // index in loop.calls
 	gen          uint32      // generation of the slot
-	client       *clientConn // nil once answered or left by its client
+	client       *clientConn // nil once the call is answered or its client has left
 	request      []byte      // head and body, as sent to workers
 	bodyOffset   int         // where the body starts in request
 	product      int
 	isHead       bool // a HEAD request, whose answer has no body
 	httpMinor    int  // the client's HTTP/1 minor version
-	keepAlive    bool // the client's connection stays open after the answer
-	closesConn   bool // the answer announces the end of the connection
+	keepAlive    bool // the client connection may stay open after the answer
+	closesConn   bool // the answer announces the close of the client connection
 	txn          logic.Txn
 	admitted     bool      // passed to the module
-	externalID   uint64    // the client's id of the txn, for protocols that have one; else 0
-	timeoutStart int       // where the client's timeout starts in request, for protocols that rewrite it
-	timeoutEnd   int       // and where it ends
+	externalID   uint64    // id that the client gave the txn; 0 in protocols without such ids
+	timeoutStart int       // offset in request of the client's timeout, for protocols that rewrite it
+	timeoutEnd   int       // offset just past the client's timeout
 	traced       bool      // recorded by the trace recorder
 	traceID      [2]uint64 // trace id that the client sent; zeros when it sent none
 	serial       uint64    // serial number of the txn in this run of the sentry
@@ -52,18 +53,19 @@
 	answered     bool
 	clientLeft   bool // the client has left before its answer
 	subs         [maxSubs]submission
-	n            int // submissions made
+	numSubs      int // submissions made
 	outstanding  int // submissions that have not ended
 	// pendingEvents is the number of events queued for the module.
 	pendingEvents int
 	freed         bool
-	lastEnding    logic.Ending // ending of the submission that ended last
+	lastEnding    logic.Ending // ending of the submission that ended last; OK before any has
 }
 
-// slotBits is the number of low bits of a txn's id that hold its slot in the slab; the generation is above them. This keeps
-// ids small.
+// slotBits is the number of low bits of a txn id that hold the call's slot; the bits above them hold the generation. This
+// keeps ids small.
 const slotBits = 20
 
+// id returns the txn id by which the module refers to the call.
 func (c *call) id() logic.TxnID { return logic.TxnID(uint64(c.gen)<<slotBits | uint64(c.slot)) }
 
 // findCall returns the open call with the given txn id, or nil.
@@ -78,6 +80,7 @@
 	return nil
 }
 
+// newCall returns an empty call in a free slot. It may reuse the request buffer of the slot's previous call.
 func (l *loop) newCall() *call {
 	slot, c := l.calls.get()
 	request := c.request
@@ -89,8 +92,7 @@
 	return c
 }
 
-// releaseCall frees a call once it has no outstanding submissions or queued events, and its client has had the answer, has
-// left, or was never owed one.
+// releaseCall frees a call unless it has outstanding submissions or queued events, or still owes its client an answer.
 func (l *loop) releaseCall(c *call) {
 	if c.freed || c.outstanding > 0 || c.pendingEvents > 0 || c.admitted && !c.answered && !c.clientLeft {
 		return
@@ -108,17 +110,17 @@
 		}
 		c.client = nil
 	}
-	c.gen++ // timers and late events no longer find this call
+	c.gen++ // findCall no longer returns this call for timers and late events
 	l.calls.put(c.slot)
 }
 
-// endSubmission marks submission n as ended and queues the outcome for the module.
+// endSubmission marks submission n as ended and queues the outcome for the module. load may be nil.
 func (l *loop) endSubmission(c *call, n int, e logic.Ending, load *logic.Load) {
 	s := &c.subs[n]
 	if s.state == subEnded {
 		return
 	}
-	// The worker may have answered although the answer did not arrive: it can still be in transit on a slow or silent link.
+	// The worker may have answered although no answer has arrived: it can still be in transit on a slow or stalled link.
 	maybeAnswered := l.p.platform != nil && s.state >= subSent &&
 		(e == logic.Cancelled || e == logic.TimedOut || e == logic.Disconnected || e == logic.MalformedResponse)
 	s.state = subEnded
@@ -126,7 +128,7 @@
 	c.outstanding--
 	c.lastEnding = e
 	ev := event{kind: evOutcome, call: c, outcome: logic.Outcome{Txn: c.id(), Number: n, Ending: e,
-		Elapsed: l.now - s.since, Final: c.answered || c.clientLeft, MaybeAnswered: maybeAnswered}}
+		Elapsed: l.now - s.startedAt, Final: c.answered || c.clientLeft, MaybeAnswered: maybeAnswered}}
 	if load != nil {
 		ev.load, ev.hasLoad = *load, true
 	}
@@ -147,20 +149,20 @@
 
 // waiter is a submission that waits for a connection.
 type waiter struct {
-	call *call
-	gen  uint32 // generation of call
-	n    int    // index of the submission
+	call     *call
+	callGen  uint32 // generation of call when the submission was queued
+	subIndex int    // index in call.subs
 }
 
 // valid reports whether the submission still waits and its answer is still wanted.
 func (w waiter) valid() bool {
-	return w.call.gen == w.gen && w.call.subs[w.n].state == subWaiting && !w.call.answered && !w.call.clientLeft
+	return w.call.gen == w.callGen && w.call.subs[w.subIndex].state == subWaiting && !w.call.answered && !w.call.clientLeft
 }
 
-// endWaitingSubs ends the submissions of a finished call that still wait for a connection. Where the configuration forbids
-// cancelling, the module does not cancel them, and they would be sent for a client that has left or has its answer.
+// endWaitingSubs ends the submissions of a finished call that still wait for a connection. If the configuration forbids
+// cancelling, the module does not cancel them, and they would be sent although the client has left or has its answer.
 func (l *loop) endWaitingSubs(c *call) {
-	for n := 0; n < c.n; n++ {
+	for n := 0; n < c.numSubs; n++ {
 		if c.subs[n].state == subWaiting {
 			l.endSubmission(c, n, logic.Skipped, nil)
 		}
@@ -169,30 +171,30 @@
 
 // startSubmission starts submission n of a call at a worker.
 func (l *loop) startSubmission(c *call, w logic.WorkerID, timeout logic.Nanos) {
-	if c.n >= maxSubs { // the module holds no more either
+	if c.numSubs >= maxSubs { // not reached: the module has the same limit
 		return
 	}
-	n := c.n
-	c.n++
+	n := c.numSubs
+	c.numSubs++
 	c.outstanding++
 	p := l.pools[w]
-	c.subs[n] = submission{pool: p, since: l.now, state: subWaiting}
+	c.subs[n] = submission{pool: p, startedAt: l.now, state: subWaiting}
 	if p == nil || c.answered || c.clientLeft {
 		l.endSubmission(c, n, logic.Skipped, nil)
 		return
 	}
 	if timeout > 0 && l.now+timeout < c.txn.Expiry {
-		l.timers.push(timer{at: l.now + timeout, token: uint64(c.id()), kind: timerSubTimeout, n: uint8(n)})
+		l.timers.push(timer{at: l.now + timeout, token: uint64(c.id()), kind: timerSubTimeout, subIndex: uint8(n)})
 	}
-	for i := len(p.idle) - 1; i >= 0; i-- { // most recently used first: the others may be about to be closed by the worker
+	for i := len(p.idle) - 1; i >= 0; i-- { // most recently used first: the worker may be about to close the others
 		wc := p.idle[i]
 		if l.now-wc.since > l.reuseLimit.idleLimit {
 			l.closeWorkerConn(wc, false)
 			continue
 		}
 		if l.now-wc.since < logic.Nanos(l.p.cfg.WorkerLimits.ReuseDelay) {
-			l.armWorker(wc, wc.since+logic.Nanos(l.p.cfg.WorkerLimits.ReuseDelay))
-			continue // bytes that the worker sends after its answer would be taken for the next answer
+			l.scheduleWorkerCheck(wc, wc.since+logic.Nanos(l.p.cfg.WorkerLimits.ReuseDelay))
+			continue // extra bytes that the worker sends after an answer would be taken for the next answer
 		}
 		if wc.protocol.stale() {
 			l.stats.stale++
@@ -204,7 +206,7 @@
 		return
 	}
 	p.waiting = append(p.waiting, waiter{c, c.gen, n})
-	l.timers.push(timer{at: l.now + l.connectTimeout, token: uint64(c.id()), kind: timerConnWait, n: uint8(n)})
+	l.timers.push(timer{at: l.now + l.connectTimeout, token: uint64(c.id()), kind: timerConnWait, subIndex: uint8(n)})
 	l.dialForWaiters(p)
 }
 
@@ -229,8 +231,8 @@
 	}
 }
 
-// closeLongestIdle closes the connection, of any pool but one, that has been idle for longest. It reports whether there was
-// one.
+// closeLongestIdle closes the connection that has been idle for longest, leaving out the given pool. It reports whether there
+// was an idle connection.
 func (l *loop) closeLongestIdle(except *pool) bool {
 	var oldest *workerConn
 	for _, wc := range l.workerConns.items {
@@ -245,7 +247,7 @@
 	return oldest != nil
 }
 
-// dialStarvedPools opens connections for the pools that were held back by the limit on all worker connections.
+// dialStarvedPools opens connections for the pools that could not dial because of the limit on all worker connections.
 func (l *loop) dialStarvedPools() {
 	for len(l.starvedPools) > 0 && l.numConns < l.p.cfg.WorkerLimits.MaxTotalConnections {
 		p := l.starvedPools[0]
@@ -254,7 +256,7 @@
 	}
 }
 
-// dialFailed handles a failed dial.
+// dialFailed handles a failed dial for a pool.
 func (l *loop) dialFailed(p *pool) {
 	p.numDialing--
 	p.numConns--
@@ -265,31 +267,32 @@
 	l.dialForWaiters(p)
 }
 
-// failOldestWaiter ends the submission that has waited longest, as no connection could be opened for it.
+// failOldestWaiter ends the submission that has waited longest in a pool, after a connection could not be opened.
 func (l *loop) failOldestWaiter(p *pool) {
 	for len(p.waiting) > 0 {
 		w := p.waiting[0]
 		p.waiting = p.waiting[1:]
 		if w.valid() {
-			l.endSubmission(w.call, w.n, logic.ConnectFailed, nil)
+			l.endSubmission(w.call, w.subIndex, logic.ConnectFailed, nil)
 			break
 		}
 	}
 }
 
-// endPoolWaiters ends the submissions that wait for a connection to a worker that gets no new ones. They were never sent.
+// endPoolWaiters ends the waiting submissions of a pool whose worker gets no more submissions. They were never sent.
 func (l *loop) endPoolWaiters(p *pool) {
 	waiting := p.waiting
 	p.waiting = nil
 	for _, w := range waiting {
 		if w.valid() {
-			l.endSubmission(w.call, w.n, logic.Skipped, nil)
+			l.endSubmission(w.call, w.subIndex, logic.Skipped, nil)
 		}
 	}
 }
 
-// offerConn gives a free connection to the submission that has waited longest, or keeps it idle. A connection that has just
-// answered first waits for the configured reuse delay, for workers that send extra bytes after an answer.
+// offerConn assigns a free connection to the submission that has waited longest, or adds it to the idle connections. A
+// connection that has just delivered an answer is not reused before the configured delay, as some workers send extra bytes
+// after an answer.
 func (l *loop) offerConn(wc *workerConn) {
 	p := wc.pool
 	reuseDelay := logic.Nanos(l.p.cfg.WorkerLimits.ReuseDelay)
@@ -305,14 +308,14 @@
 	wc.since = l.now
 	p.idle = append(p.idle, wc)
 	if len(p.waiting) > 0 {
-		l.armWorker(wc, l.now+reuseDelay)
+		l.scheduleWorkerCheck(wc, l.now+reuseDelay)
 		return
 	}
-	l.armWorker(wc, l.now+l.workerIdleTimeout)
+	l.scheduleWorkerCheck(wc, l.now+l.workerIdleTimeout)
 }
 
-// serveOldestWaiter assigns the connection to the submission that has waited longest in its pool. It reports whether there
-// was one.
+// serveOldestWaiter assigns the connection to the submission that has waited longest in its pool and that the module still
+// allows. It reports whether there was such a submission.
 func (l *loop) serveOldestWaiter(wc *workerConn) bool {
 	p := wc.pool
 	for len(p.waiting) > 0 {
@@ -321,11 +324,11 @@
 		if !w.valid() {
 			continue
 		}
-		if l.sentry.StillAllowed(l.now, w.call.id(), w.n) {
-			l.assignConn(wc, w.call, w.n)
+		if l.sentry.StillAllowed(l.now, w.call.id(), w.subIndex) {
+			l.assignConn(wc, w.call, w.subIndex)
 			return true
 		}
-		l.endSubmission(w.call, w.n, logic.Skipped, nil)
+		l.endSubmission(w.call, w.subIndex, logic.Skipped, nil)
 	}
 	return false
 }
@@ -334,7 +337,7 @@
 func (l *loop) assignConn(wc *workerConn, c *call, n int) {
 	s := &c.subs[n]
 	s.state, s.conn = subSent, wc
-	wc.call, wc.gen, wc.n = c, c.gen, n
+	wc.call, wc.callGen, wc.subIndex = c, c.gen, n
 	wc.hasLoad, wc.idledFor = false, l.now-wc.since
 	if wc.numUses == 0 {
 		wc.idledFor = 0
@@ -347,33 +350,36 @@
 	}
 }
 
-// reuseLimit estimates for how long an idle connection can be reused. A middlebox may drop idle connections silently and
-// earlier than announced, and each reuse of a dropped connection costs a submission that may have run.
+// reuseLimit estimates how long a connection may be idle and still be reused. A middlebox may silently drop idle connections,
+// and earlier than announced; each reuse of a dropped connection costs a submission that may have run.
 type reuseLimit struct {
-	resetRates [idleBuckets]float64 // smoothed share of connections reset on reuse, by idle time; bucket 0: in steady use
-	idleLimit  logic.Nanos          // longest idle time at which a connection is reused
-	maxIdle    logic.Nanos          // upper bound of idleLimit
-	decayedAt  logic.Nanos          // when resetRates were last decayed
+	// resetRates holds the smoothed shares of connections reset on reuse, by bucket of idle time. Bucket 0 is for connections
+	// in steady use.
+	resetRates [idleBuckets]float64
+	idleLimit  logic.Nanos // longest idle time at which a connection is reused
+	maxIdle    logic.Nanos // upper bound of idleLimit
+	decayedAt  logic.Nanos // when resetRates were last decayed
 }
 
 const (
 	idleBuckets        = 9                      // buckets of idle time, each twice as long as the one before
-	firstIdleBucket    = 20 * logic.Millisecond // upper bound of the first bucket
-	promptReset        = 3 * logic.Millisecond  // a reset within this time of the write is blamed on the connection
+	firstIdleBucketEnd = 20 * logic.Millisecond // upper bound of bucket 0
+	promptReset        = 3 * logic.Millisecond  // a reset within this time of the write counts as a reset on reuse
 	resetRateGain      = 0.03                   // weight of a new observation in the smoothed rate
-	maxExcessResetRate = 0.08                   // a bucket is not used if its rate exceeds that of bucket 0 by more
+	resetRateDecay     = 0.95                   // factor by which all rates are reduced every second
+	maxExcessResetRate = 0.08                   // excess over bucket 0's rate at which a bucket is not used
 )
 
 // observe records whether a connection that had been idle for the given time was reset on reuse.
 func (r *reuseLimit) observe(now, idledFor logic.Nanos, reset bool) {
-	if now-r.decayedAt > logic.Second { // so that buckets no longer used are tried again after a while
+	if now-r.decayedAt > logic.Second { // so that buckets excluded from reuse are tried again after a while
 		r.decayedAt = now
 		for i := range r.resetRates {
-			r.resetRates[i] *= 0.95
+			r.resetRates[i] *= resetRateDecay
 		}
 	}
 	bucket, observed := 0, 0.0
-	for end := firstIdleBucket; idledFor > end && bucket < idleBuckets-1; end *= 2 {
+	for end := firstIdleBucketEnd; idledFor > end && bucket < idleBuckets-1; end *= 2 {
 		bucket++
 	}
 	if reset {
@@ -381,7 +387,7 @@
 	}
 	r.resetRates[bucket] += resetRateGain * (observed - r.resetRates[bucket])
 	r.idleLimit = r.maxIdle
-	for i, end := 1, firstIdleBucket; i < idleBuckets; i, end = i+1, end*2 {
+	for i, end := 1, firstIdleBucketEnd; i < idleBuckets; i, end = i+1, end*2 {
 		if r.resetRates[i] > r.resetRates[0]+maxExcessResetRate {
 			r.idleLimit = min(r.idleLimit, end)
 			break
@@ -389,13 +395,13 @@
 	}
 }
 
-// stopSubmission ends a submission on the module's or the host's decision.
+// stopSubmission ends a submission that the module cancels or whose time is up.
 func (l *loop) stopSubmission(c *call, n int, e logic.Ending) {
 	s := &c.subs[n]
 	switch s.state {
 	case subWaiting:
 		if e == logic.Cancelled {
-			e = logic.Skipped // it was never sent
+			e = logic.Skipped // the submission was never sent
 		}
 		if e == logic.TimedOut {
 			e = logic.ConnectFailed
@@ -416,10 +422,10 @@
 	}
 }
 
-// abortSubmission ends a submission by closing its connection. One whose answer has started has run, so it must not be
-// reported as timed out or cancelled.
+// abortSubmission ends a submission by closing its connection. A submission whose answer has started to arrive has run, so it
+// must not be reported as timed out or cancelled.
 func (l *loop) abortSubmission(wc *workerConn, e logic.Ending) {
-	c, n := wc.call, wc.n
+	c, n := wc.call, wc.subIndex
 	if (e == logic.TimedOut || e == logic.Cancelled) && wc.protocol.answerStarted() {
 		e = logic.MalformedResponse
 	}
@@ -430,18 +436,18 @@
 // halfCloseWait is how long a half-closed connection is kept open for an answer that is already on its way.
 const halfCloseWait = 20 * logic.Millisecond
 
-// startHalfClose marks a submission as half-closed and waits for an answer that crosses the half-close. Such an answer has
-// been given, so the module must learn of it: the key counts as answered by its build.
+// startHalfClose marks a submission as half-closed and waits for an answer that was already on its way. The module must
+// receive such an answer, because it makes the txn's key count as answered by the worker's build.
 func (l *loop) startHalfClose(s *submission) {
 	s.state = subHalfClosed
 	s.conn.halfClosedAt = l.now
-	l.armWorker(s.conn, l.now+halfCloseWait)
+	l.scheduleWorkerCheck(s.conn, l.now+halfCloseWait)
 }
 
-// halfCloseOutstanding half-closes a call's outstanding submissions shortly before its expiry, so that answers already on
-// their way still arrive in time.
+// halfCloseOutstanding half-closes the connections of a call's outstanding submissions shortly before its expiry, so that
+// answers already on their way still arrive in time.
 func (l *loop) halfCloseOutstanding(c *call) {
-	for n := 0; n < c.n; n++ {
+	for n := 0; n < c.numSubs; n++ {
 		if s := &c.subs[n]; s.state == subSent && !s.conn.protocol.hasUnsent() && s.conn.protocol.halfClose() {
 			l.startHalfClose(s)
 		}
--- a/edge/client.go
+++ b/edge/client.go
@@ -15,16 +15,16 @@
 type clientState uint8
 
 const (
-	stateReading  clientState = iota // reads a request or waits for one
-	stateInHand                      // a txn awaits its answer
-	stateFlushing                    // the last answer is being sent; the connection closes after it
+	stateReading        clientState = iota // reads a request or waits for one
+	stateAwaitingAnswer                    // a txn awaits its answer
+	stateFlushing                          // the last answer is being sent; the connection closes after it
 )
 
 // clientConn is one client connection.
 type clientConn struct {
 	l                *loop
 	c                gnet.Conn
-	at               int32  // slot in loop.clientConns
+	slot             int32  // index in loop.clientConns
 	gen              uint32 // generation of the slot
 	serial           uint64 // number of the connection among those its sentry has accepted
 	state            clientState
@@ -37,7 +37,7 @@
 	buffered         []byte          // bytes received before the connection was enrolled, not consumed yet
 	openedAt         logic.Nanos
 	stateSince       logic.Nanos // start of the current state
-	armed            logic.Nanos // time of the next scheduled check; 0: none
+	checkAt          logic.Nanos // time of the next scheduled check; 0 when none is scheduled
 	answersSent      uint64
 	lastUnsent       int         // unsent bytes at the last check
 	unsentSince      logic.Nanos // time since which lastUnsent has not changed
@@ -45,7 +45,7 @@
 	receivedBytes    int64       // total bytes received
 	consumedBytes    int64       // total bytes consumed
 	arrivals         []arrival   // arrival times of the unconsumed bytes, oldest first
-	closeReason      endReason   // in stateFlushing: the reason with which the connection will be closed
+	closeReason      endReason   // in stateFlushing: the reason for the close
 }
 
 // pipelinedCall is a call admitted behind others of its connection. Its answer is held until the earlier ones are sent.
@@ -56,7 +56,7 @@
 
 // arrival records that all bytes of a connection's input before offset were received by the time at.
 type arrival struct {
-	offset int64
+	offset int64 // in bytes from the start of the connection
 	at     logic.Nanos
 }
 
@@ -64,8 +64,8 @@
 const maxArrivals = 64
 
 // recordArrival records the arrival time of newly received bytes. A pipelined statement's timeout runs from its arrival,
-// not from when its turn comes. Beyond maxArrivals, new bytes share the time of the last record: a time that is too early
-// does no harm.
+// not from when its turn comes. Beyond maxArrivals records, new bytes get the time of the last one: a time that is too
+// early does no harm.
 func (cc *clientConn) recordArrival() {
 	n := len(cc.buffered) + cc.c.InboundBuffered() - cc.countedBytes
 	if n <= 0 {
@@ -92,32 +92,34 @@
 // maxPipelinedTxns is the maximum number of txns of one connection that are admitted behind the first.
 const maxPipelinedTxns = 7
 
-// canPipeline reports whether another txn may be admitted behind the current one. Handled one at a time, the txns behind
-// a slow answer would exceed their clients' timeouts; without limits, answers held for their turn would exhaust memory.
+// canPipeline reports whether another txn may be admitted behind the current one. If txns were handled one at a time, those
+// behind a slow answer would exceed their clients' timeouts. Without limits, answers held for their turn would exhaust memory.
 func (cc *clientConn) canPipeline() bool {
-	held := 0
+	answerBytes := 0
 	for i := range cc.pipelined {
-		held += len(cc.pipelined[i].answer)
+		answerBytes += len(cc.pipelined[i].answer)
 	}
-	return !cc.closed && !cc.closeAfterAnswer && cc.call != nil && cc.call.admitted && len(cc.pipelined) < maxPipelinedTxns && int64(held) < cc.l.p.cfg.ClientLimits.MaxUnsentBytes
+	return !cc.closed && !cc.closeAfterAnswer && cc.call != nil && cc.call.admitted && len(cc.pipelined) < maxPipelinedTxns &&
+		int64(answerBytes) < cc.l.p.cfg.ClientLimits.MaxUnsentBytes
 }
 
-// clientByToken returns the open client connection with this slot token, or nil.
+// clientByToken returns the open client connection with the given slotToken, or nil.
 func (l *loop) clientByToken(token uint64) *clientConn {
-	at := int32(uint32(token))
-	if int(at) >= len(l.clientConns.items) {
+	slot := int32(uint32(token))
+	if int(slot) >= len(l.clientConns.items) {
 		return nil
 	}
-	if cc := l.clientConns.items[at]; cc.gen == uint32(token>>32) && !cc.closed {
+	if cc := l.clientConns.items[slot]; cc.gen == uint32(token>>32) && !cc.closed {
 		return cc
 	}
 	return nil
 }
 
-func (l *loop) openClient(c gnet.Conn, d *acceptedClient) {
-	at, cc := l.clientConns.get()
+// openClient sets up a client connection that was enrolled in the event loop, new or returned from a streamRelay.
+func (l *loop) openClient(c gnet.Conn, accepted *acceptedClient) {
+	slot, cc := l.clientConns.get()
 	reused, pipelined, arrivals := cc.protocol, cc.pipelined[:0], cc.arrivals[:0]
-	*cc = clientConn{pipelined: pipelined, arrivals: arrivals, l: l, c: c, at: at, gen: cc.gen + 1, openedAt: l.now, stateSince: l.now, buffered: d.buffered}
+	*cc = clientConn{pipelined: pipelined, arrivals: arrivals, l: l, c: c, slot: slot, gen: cc.gen + 1, openedAt: l.now, stateSince: l.now, buffered: accepted.buffered}
 	cc.protocol = l.p.protocol.newClientProtocol(cc, reused)
 	c.SetContext(cc)
 	l.stats.clientsAccepted++
@@ -126,18 +128,18 @@
 	if len(cc.buffered) > 0 {
 		cc.read()
 	}
-	if l.draining && !cc.closed { // the connection returned from a streamRelay
+	if l.draining && !cc.closed { // the connection has returned from a streamRelay: a draining process accepts no new ones
 		l.scheduleClientCheck(cc, l.now)
 	}
 }
 
-// scheduleClientCheck schedules a check of the connection at the given time, unless an earlier one is already pending.
+// scheduleClientCheck schedules a call of checkClient at the given time, unless an earlier one is scheduled.
 func (l *loop) scheduleClientCheck(cc *clientConn, at logic.Nanos) {
-	if cc.armed != 0 && cc.armed <= at {
+	if cc.checkAt != 0 && cc.checkAt <= at {
 		return
 	}
-	cc.armed = at
-	l.timers.push(timer{at: at, token: slotToken(cc.at, cc.gen), kind: timerClientConn})
+	cc.checkAt = at
+	l.timers.push(timer{at: at, token: slotToken(cc.slot, cc.gen), kind: timerClientConn})
 }
 
 const (
@@ -145,7 +147,7 @@
 	outputCheckInterval = 50 * logic.Millisecond
 	// flushCheckInterval is the interval between checks of a connection that closes once its output is sent.
 	flushCheckInterval = 2 * logic.Millisecond
-	// unreadCheckInterval is the delay after which a connection is checked again if its socket has unread bytes.
+	// unreadCheckInterval is the interval between checks of a connection whose socket has unread bytes.
 	unreadCheckInterval = logic.Millisecond
 )
 
@@ -153,43 +155,43 @@
 // has a timeout.
 func (l *loop) checkClient(cc *clientConn) {
 	limits := &l.p.cfg.ClientLimits
-	until := logic.Nanos(0)
+	nextCheck := logic.Nanos(0)
 	switch cc.state {
 	case stateReading:
 		if l.draining && cc.quiescent() {
 			l.drainClient(cc)
 			return
 		}
-		if until = cc.protocol.checkTimeout(); cc.closed || until == 0 && cc.state == stateReading {
+		if nextCheck = cc.protocol.checkTimeout(); cc.closed || nextCheck == 0 && cc.state == stateReading {
 			return
 		}
-	case stateInHand:
-		until = l.now + logic.Nanos(limits.IdleTimeout)
+	case stateAwaitingAnswer:
+		nextCheck = l.now + logic.Nanos(limits.IdleTimeout)
 	}
-	if out := cc.c.OutboundBuffered(); out > 0 || cc.state == stateFlushing {
-		if out == 0 {
+	if unsent := cc.c.OutboundBuffered(); unsent > 0 || cc.state == stateFlushing {
+		if unsent == 0 {
 			cc.close(cc.closeReason)
 			return
 		}
-		if out != cc.lastUnsent {
-			cc.lastUnsent, cc.unsentSince = out, l.now
+		if unsent != cc.lastUnsent {
+			cc.lastUnsent, cc.unsentSince = unsent, l.now
 		} else if l.now-cc.unsentSince > logic.Nanos(limits.SlowReaderTimeout) {
 			l.stats.slowReaders++
 			cc.abort(endSlowReader)
 			return
 		}
-		wait := l.now + outputCheckInterval
+		outputCheck := l.now + outputCheckInterval
 		if cc.state == stateFlushing {
-			wait = l.now + flushCheckInterval
+			outputCheck = l.now + flushCheckInterval
 		}
-		until = min(max(until, wait), wait)
+		nextCheck = min(max(nextCheck, outputCheck), outputCheck)
 	}
-	l.scheduleClientCheck(cc, until)
+	l.scheduleClientCheck(cc, nextCheck)
 }
 
 // shed closes one idle connection if the connection limit is reached: preferably the oldest that has not sent a request
-// yet, else the one that has been idle longest. Without this, clients that open connections and send nothing would lock
-// out the others.
+// yet, else the one that has been idle longest. Otherwise clients that open connections and send nothing would lock out the
+// others.
 func (l *loop) shed() {
 	if l.p.openClients.Load() < int64(l.p.cfg.ClientLimits.MaxConnections) {
 		return
@@ -215,16 +217,16 @@
 // newConnGrace is how long a new connection is exempt from shedding, as its first request may be in flight.
 const newConnGrace = 100 * logic.Millisecond
 
-// gone records the end of the connection, abandons its calls and frees its slot.
-func (cc *clientConn) gone(why endReason) {
+// teardown records the end of the connection, abandons its calls and frees its slot. It doesn't close the socket.
+func (cc *clientConn) teardown(reason endReason) {
 	l := cc.l
-	cc.recordEnd(why)
+	cc.recordEnd(reason)
 	cc.closed = true
 	l.clientCount.Add(-1)
 	l.p.openClients.Add(-1)
-	first := cc.call
+	current := cc.call
 	cc.call = nil
-	cc.abandonCall(first)
+	cc.abandonCall(current)
 	for i := range cc.pipelined {
 		cc.abandonCall(cc.pipelined[i].call)
 		cc.pipelined[i] = pipelinedCall{}
@@ -233,7 +235,7 @@
 	l.heldBytes -= cc.countedBytes
 	cc.c, cc.buffered, cc.countedBytes = nil, nil, 0
 	cc.gen++
-	l.clientConns.put(cc.at)
+	l.clientConns.put(cc.slot)
 }
 
 // abandonCall detaches a call from its client and reports to the module that the client has left.
@@ -254,7 +256,7 @@
 }
 
 // accountHeldBytes updates the total of received but unconsumed bytes and enforces its limit. Each connection's input is
-// bounded, but many connections together could still exhaust memory; over the limit, the connection that holds most
+// bounded, but many connections together could still exhaust memory. Over the limit, the connection that holds the most bytes
 // loses its input.
 func (cc *clientConn) accountHeldBytes() {
 	l := cc.l
@@ -284,7 +286,7 @@
 	}
 }
 
-// input returns the received but unconsumed bytes. discardInput consumes them.
+// input returns the received but unconsumed bytes. They stay in the input until discardInput consumes them.
 func (cc *clientConn) input() []byte {
 	if len(cc.buffered) > 0 {
 		if n := cc.c.InboundBuffered(); n > 0 {
@@ -332,7 +334,7 @@
 	l := cc.l
 	for !cc.closed {
 		in := cc.input()
-		if cc.state == stateReading || cc.state == stateInHand && cc.protocol.supportsPipelining() && cc.canPipeline() {
+		if cc.state == stateReading || cc.state == stateAwaitingAnswer && cc.protocol.supportsPipelining() && cc.canPipeline() {
 			if len(in) == 0 || !cc.protocol.read(in) {
 				return
 			}
@@ -355,7 +357,7 @@
 func (cc *clientConn) admitCall(c *call) {
 	l := cc.l
 	if c == cc.call {
-		cc.state, cc.stateSince = stateInHand, l.now
+		cc.state, cc.stateSince = stateAwaitingAnswer, l.now
 	}
 	c.admitted = true
 	l.stats.admitted++
@@ -363,11 +365,11 @@
 	if l.draining { // the txn expires early enough for its answer to be delivered
 		c.txn.Expiry = min(c.txn.Expiry, l.answerDeadline)
 	}
-	if c.txn.Expiry < l.now { // the time ran out while the request was received
+	if c.txn.Expiry < l.now { // the timeout passed while the request was received
 		c.txn.Expiry = l.now + 1
 	}
-	if at := c.txn.Expiry - halfCloseLead; at > l.now && l.p.platform != nil {
-		l.timers.push(timer{at: at, token: uint64(c.id()), kind: timerHalfClose})
+	if halfCloseAt := c.txn.Expiry - halfCloseLead; halfCloseAt > l.now && l.p.platform != nil {
+		l.timers.push(timer{at: halfCloseAt, token: uint64(c.id()), kind: timerHalfClose})
 	}
 	l.timers.push(timer{at: c.txn.Expiry, token: uint64(c.id()), kind: timerExpiry})
 	l.enqueue(event{kind: evAdmit, call: c})
@@ -382,8 +384,8 @@
 	if cc.closed {
 		return
 	}
-	if out := cc.c.OutboundBuffered(); out > 0 {
-		if int64(out) > cc.l.p.cfg.ClientLimits.MaxUnsentBytes {
+	if unsent := cc.c.OutboundBuffered(); unsent > 0 {
+		if int64(unsent) > cc.l.p.cfg.ClientLimits.MaxUnsentBytes {
 			cc.l.stats.slowReaders++
 			cc.abort(endSlowReader)
 			return
@@ -405,10 +407,10 @@
 	}
 }
 
-// finish releases a call whose answer has been written, on a connection that is still open.
+// finish releases a call whose answer has been sent or held, on a connection that is still open.
 func (cc *clientConn) finish(c *call) {
 	if c == cc.call {
-		cc.answered()
+		cc.finishCurrent()
 		return
 	}
 	for i := range cc.pipelined {
@@ -422,9 +424,9 @@
 	}
 }
 
-// answered releases the current call and sends the held answers that follow it. Then the connection continues with the
+// finishCurrent releases the current call and sends the held answers that follow it. Then the connection continues with the
 // next call, is closed, or waits for the next request.
-func (cc *clientConn) answered() {
+func (cc *clientConn) finishCurrent() {
 	l, c := cc.l, cc.call
 	closesConn := c.closesConn
 	cc.closeAfterAnswer = cc.closeAfterAnswer || !c.keepAlive || closesConn
@@ -449,7 +451,7 @@
 		l.resumeReads = append(l.resumeReads, cc)
 		return
 	}
-	if cc.inputDropped && !closesConn { // report to the client that requests behind this answer were discarded
+	if cc.inputDropped && !closesConn { // send an error for the discarded requests behind this answer
 		cc.protocol.terminate(endOverfull)
 		return
 	}
@@ -463,7 +465,7 @@
 		l.drainClient(cc)
 		return
 	}
-	l.resumeReads = append(l.resumeReads, cc) // requests received behind this one are answered even during a drain
+	l.resumeReads = append(l.resumeReads, cc) // pipelined requests that have been received are answered even during a drain
 }
 
 // respondDeclined answers that the txn was declined: it had no effect and can safely be retried.
@@ -473,7 +475,7 @@
 	}
 	l.stats.declined++
 	cc := c.client
-	cc.protocol.declined(c, retryAfter)
+	cc.protocol.writeDeclined(c, retryAfter)
 	if !cc.closed {
 		cc.finish(c)
 	}
@@ -486,7 +488,7 @@
 	}
 	l.stats.voided++
 	cc := c.client
-	cc.protocol.voided(c)
+	cc.protocol.writeVoided(c)
 	if !cc.closed {
 		cc.finish(c)
 	}
--- a/edge/client_http.go
+++ b/edge/client_http.go
@@ -49,8 +49,8 @@
 	part         requestPart
 	remaining    int64 // in partFixedBody: bytes of the body still to be read
 	chunks       http1.Dechunker
-	scannedBytes int         // length of the input prefix that is known not to contain a complete head
-	headStart    logic.Nanos // when the first byte of the head was seen; 0: none yet
+	scannedBytes int         // length of the input prefix in which no end of the head was found
+	headStart    logic.Nanos // when the first byte of the head was seen; 0 before that
 }
 
 func (hc *httpClient) supportsPipelining() bool { return false }
@@ -58,33 +58,33 @@
 func (hc *httpClient) startNextRequest()        { hc.part = partHead }
 
 // checkTimeout enforces the timeouts for heads, bodies and idle connections.
-func (hc *httpClient) checkTimeout() (until logic.Nanos) {
+func (hc *httpClient) checkTimeout() (deadline logic.Nanos) {
 	cc := hc.cc
 	l := cc.l
 	limits := &l.p.cfg.ClientLimits
 	switch hc.part {
 	case partHead:
 		if hc.headStart > 0 {
-			until = hc.headStart + logic.Nanos(limits.HeadTimeout)
-			if until <= l.now {
+			deadline = hc.headStart + logic.Nanos(limits.HeadTimeout)
+			if deadline <= l.now {
 				l.refuse(cc, 408, "the head came too slowly")
 				return 0
 			}
-		} else if until = cc.stateSince + logic.Nanos(limits.IdleTimeout); until <= l.now {
-			return cc.endIdle()
+		} else if deadline = cc.stateSince + logic.Nanos(limits.IdleTimeout); deadline <= l.now {
+			return cc.closeIdle()
 		}
 	case partFixedBody, partChunkedBody:
-		if until = cc.stateSince + logic.Nanos(limits.BodyTimeout); until <= l.now {
+		if deadline = cc.stateSince + logic.Nanos(limits.BodyTimeout); deadline <= l.now {
 			l.refuse(cc, 408, "the body came too slowly")
 			return 0
 		}
 	}
-	return until
+	return deadline
 }
 
-func (hc *httpClient) terminate(why endReason) {
+func (hc *httpClient) terminate(reason endReason) {
 	text := "the process stops"
-	if why == endOverfull {
+	if reason == endOverfull {
 		text = "too much was sent ahead of its answers"
 	}
 	hc.cc.l.refuse(hc.cc, 503, text)
@@ -127,8 +127,8 @@
 		return false
 	}
 	if err != nil {
-		f := err.(*http1.ParseError)
-		l.refuse(cc, f.Status, f.Message)
+		parseErr := err.(*http1.ParseError)
+		l.refuse(cc, parseErr.Status, parseErr.Message)
 		return false
 	}
 	hc.scannedBytes = 0
@@ -174,7 +174,7 @@
 		c.request = append(c.request, "\r\n\r\n"...)
 		c.bodyOffset = len(c.request)
 	default:
-		// Methods that expect a body (POST, PUT, PATCH) state that there is none (RFC 9110, section 8.6).
+		// A request with a method that expects a body (POST, PUT, PATCH) must state that it has none (RFC 9110, section 8.6).
 		if m := c.request[0]; m == 'P' {
 			c.request = append(c.request, "Content-Length: 0\r\n"...)
 		}
@@ -199,7 +199,7 @@
 		l.refuse(cc, 400, err.Error())
 		return false
 	}
-	if c.bodyOffset == 0 { // the length is known only at the end of the body; reserve digits for it
+	if c.bodyOffset == 0 { // the length is known only at the end of the body, so ten digits are reserved for it
 		c.request = append(c.request, "Content-Length: 0000000000\r\n\r\n"...)
 		c.bodyOffset = len(c.request)
 	}
@@ -210,9 +210,9 @@
 	c.request = append(c.request, data...)
 	cc.discardInput(consumed)
 	if done {
-		size, at := len(c.request)-c.bodyOffset, c.bodyOffset-len("\r\n\r\n")
+		size, digitsEnd := len(c.request)-c.bodyOffset, c.bodyOffset-len("\r\n\r\n")
 		for i := 1; i <= 10; i++ {
-			c.request[at-i] = byte('0' + size%10)
+			c.request[digitsEnd-i] = byte('0' + size%10)
 			size /= 10
 		}
 		cc.admitCall(cc.call)
@@ -222,13 +222,13 @@
 }
 
 var (
-	viaHeader      = []byte("Via: 1.1 dunegrade\r\n")
-	timeoutHeader  = "x-envoy-upstream-rq-timeout-ms"
-	expectedHeader = "x-envoy-expected-rq-timeout-ms: "
+	viaHeader             = []byte("Via: 1.1 dunegrade\r\n")   // added to requests and answers
+	timeoutHeader         = "x-envoy-upstream-rq-timeout-ms"   // name of the header with a client's timeout
+	expectedTimeoutHeader = "x-envoy-expected-rq-timeout-ms: " // start of the header that sends workers the remaining time
 )
 
-// classify determines a request's product, key, customer, cost and timeout, and builds the head that workers are sent.
-// It reports whether a route matches.
+// classify determines a request's product, key, customer, cost and timeout, and builds the head that is sent to workers,
+// except for its length. It reports whether a route matches.
 func (l *loop) classify(c *call, r *http1.Request) bool {
 	path := r.Path()
 	route := l.p.routes.match(r.Method, path)
@@ -240,11 +240,11 @@
 	txn := logic.Txn{Product: logic.ProductID(route.Product)}
 	timeout := l.p.cfg.Products[route.Product].Expiry
 	hasTraceparent := false
-	out := append(c.request[:0], r.Method...)
-	out = append(out, ' ')
-	out = append(out, r.Target...)
-	out = append(out, " HTTP/1.1\r\n"...)
-	out = r.AppendFields(out)
+	head := append(c.request[:0], r.Method...)
+	head = append(head, ' ')
+	head = append(head, r.Target...)
+	head = append(head, " HTTP/1.1\r\n"...)
+	head = r.AppendFields(head)
 	for i := range r.Headers {
 		h := &r.Headers[i]
 		switch {
@@ -271,33 +271,34 @@
 		}
 	}
 	if !hasTraceparent {
-		out = l.appendTraceparent(out, c.serial)
+		head = l.appendTraceparent(head, c.serial)
 	}
-	out = append(out, viaHeader...)
+	head = append(head, viaHeader...)
 	slack := min(l.p.cfg.AnswerSlack, timeout/2)
 	txn.Expiry = l.now + logic.Nanos(timeout-slack)
-	out = append(out, expectedHeader...)
-	out = strconv.AppendInt(out, int64((timeout-slack)/time.Millisecond), 10)
-	out = append(out, "\r\n"...)
-	c.request, c.txn = out, txn
+	head = append(head, expectedTimeoutHeader...)
+	head = strconv.AppendInt(head, int64((timeout-slack)/time.Millisecond), 10)
+	head = append(head, "\r\n"...)
+	c.request, c.txn = head, txn
 	return true
 }
 
-// appendTraceparent appends a new W3C trace context for a request that came without one. Its trace id identifies the txn
+// appendTraceparent appends a generated W3C trace context for a request that has none. Its trace id identifies the txn
 // in the recorded traces.
-func (l *loop) appendTraceparent(out []byte, serial uint64) []byte {
-	out = append(out, "traceparent: 00-"...)
-	out = appendHex(appendHex(out, l.runID), trace.MixSerial(serial))
-	out = append(out, '-')
-	out = appendHex(out, l.rng.Uint64()|1)
-	return append(out, "-01\r\n"...)
+func (l *loop) appendTraceparent(head []byte, serial uint64) []byte {
+	head = append(head, "traceparent: 00-"...)
+	head = appendHex(appendHex(head, l.runID), trace.MixSerial(serial))
+	head = append(head, '-')
+	head = appendHex(head, l.rng.Uint64()|1)
+	return append(head, "-01\r\n"...)
 }
 
-func appendHex(out []byte, v uint64) []byte {
+// appendHex appends v as 16 hexadecimal digits.
+func appendHex(dst []byte, v uint64) []byte {
 	for shift := 60; shift >= 0; shift -= 4 {
-		out = append(out, "0123456789abcdef"[v>>shift&15])
+		dst = append(dst, "0123456789abcdef"[v>>shift&15])
 	}
-	return out
+	return dst
 }
 
 // traceID parses the trace id of a W3C trace context; it returns zeros if the context is malformed.
@@ -323,41 +324,43 @@
 // overloadRetryAfter is the retry delay sent with requests that are declined before they reach the module.
 const overloadRetryAfter = 100 * logic.Millisecond
 
+// declinedBody is the body of the answer to a declined request.
 const declinedBody = "declined: trying again does no harm\n"
 
-// reply sends a response that the edge itself generates. A positive retryAfter adds the retry headers.
+// reply sends a response that the edge itself generates. A positive retryAfter adds the retry headers. Without a call, a
+// response with keepAlive false also closes the connection.
 func (l *loop) reply(cc *clientConn, status int, text string, retryAfter logic.Nanos, keepAlive bool) {
-	out := append(l.scratch[:0], "HTTP/1.1 "...)
-	out = strconv.AppendInt(out, int64(status), 10)
-	out = append(out, ' ')
-	out = append(out, statusReasons[status]...)
-	out = append(out, "\r\nContent-Type: text/plain\r\nContent-Length: "...)
-	out = strconv.AppendInt(out, int64(len(text)), 10)
+	buf := append(l.scratch[:0], "HTTP/1.1 "...)
+	buf = strconv.AppendInt(buf, int64(status), 10)
+	buf = append(buf, ' ')
+	buf = append(buf, statusReasons[status]...)
+	buf = append(buf, "\r\nContent-Type: text/plain\r\nContent-Length: "...)
+	buf = strconv.AppendInt(buf, int64(len(text)), 10)
 	if retryAfter > 0 {
-		out = append(out, "\r\nRetry-After: "...)
-		out = strconv.AppendInt(out, int64(math.Ceil(float64(retryAfter)/1e9)), 10)
-		out = append(out, "\r\nDunegrade-Retry-After-Ms: "...)
-		out = strconv.AppendInt(out, int64((retryAfter+logic.Millisecond-1)/logic.Millisecond), 10)
+		buf = append(buf, "\r\nRetry-After: "...)
+		buf = strconv.AppendInt(buf, int64(math.Ceil(float64(retryAfter)/1e9)), 10)
+		buf = append(buf, "\r\nDunegrade-Retry-After-Ms: "...)
+		buf = strconv.AppendInt(buf, int64((retryAfter+logic.Millisecond-1)/logic.Millisecond), 10)
 	}
 	switch status {
 	case 503:
-		out = append(out, "\r\nDunegrade-Outcome: declined"...)
+		buf = append(buf, "\r\nDunegrade-Outcome: declined"...)
 	case 502, 504:
-		out = append(out, "\r\nDunegrade-Outcome: voided"...)
+		buf = append(buf, "\r\nDunegrade-Outcome: voided"...)
 	}
 	if !keepAlive {
-		out = append(out, "\r\nConnection: close"...)
+		buf = append(buf, "\r\nConnection: close"...)
 		if cc.call != nil {
 			cc.call.closesConn = true
 		}
 	}
-	out = append(out, "\r\n\r\n"...)
+	buf = append(buf, "\r\n\r\n"...)
 	if cc.call == nil || !cc.call.isHead {
-		out = append(out, text...)
+		buf = append(buf, text...)
 	}
-	l.scratch = out
+	l.scratch = buf
 	l.stats.repliesByClass[status/100]++
-	cc.write(out)
+	cc.write(buf)
 	if cc.closed || cc.call != nil {
 		return
 	}
@@ -366,28 +369,29 @@
 	}
 }
 
+// statusReasons holds the reason phrases of the statuses that the edge itself sends.
 var statusReasons = map[int]string{400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 413: "Content Too Large",
 	417: "Expectation Failed", 431: "Request Header Fields Too Large", 501: "Not Implemented",
 	502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
 
 // refuse sends an error for a request that was not admitted and closes the connection, since the input that follows
 // cannot be trusted to start with a request.
-func (l *loop) refuse(cc *clientConn, status int, why string) {
+func (l *loop) refuse(cc *clientConn, status int, message string) {
 	l.stats.refused++
 	if c := cc.call; c != nil {
 		cc.call, c.client = nil, nil
 		l.releaseCall(c)
 	}
 	cc.discardInput(len(cc.input()))
-	l.reply(cc, status, why+"\n", 0, false)
+	l.reply(cc, status, message+"\n", 0, false)
 }
 
-func (hc *httpClient) declined(c *call, retryAfter logic.Nanos) {
+func (hc *httpClient) writeDeclined(c *call, retryAfter logic.Nanos) {
 	l := hc.cc.l
 	l.reply(hc.cc, 503, declinedBody, retryAfter, c.keepAlive && !l.draining)
 }
 
-func (hc *httpClient) voided(c *call) {
+func (hc *httpClient) writeVoided(c *call) {
 	l := hc.cc.l
 	if c.lastEnding == logic.TimedOut || l.now >= c.txn.Expiry {
 		l.reply(hc.cc, 504, "voided: no answer in time; it may have had its effect\n", 0, c.keepAlive && !l.draining)
--- a/edge/closing.go
+++ b/edge/closing.go
@@ -28,39 +28,40 @@
 	unknownDeliveryWait = 200 * logic.Millisecond
 )
 
-// close closes the connection once all written data has left this process. Calls still in hand are then abandoned.
-func (cc *clientConn) close(why endReason) {
-	if cc.closed || cc.leaveLoop(why) {
+// close closes the connection once all written data has left this process. Calls that are unanswered by
+// then are abandoned.
+func (cc *clientConn) close(reason endReason) {
+	if cc.closed || cc.leaveLoop(reason) {
 		return
 	}
-	cc.state, cc.closeReason = stateFlushing, why
+	cc.state, cc.closeReason = stateFlushing, reason
 	cc.l.scheduleClientCheck(cc, cc.l.now+flushCheckInterval)
 }
 
 // leaveLoop removes the connection from the event loop: it is closed now, or once its last answer has been delivered. It
 // reports whether the connection was removed; if not, nothing has changed.
-func (cc *clientConn) leaveLoop(why endReason) bool {
+func (cc *clientConn) leaveLoop(reason endReason) bool {
 	l, c := cc.l, cc.c
 	if c.OutboundBuffered() > 0 {
 		return false
 	}
 	if unackedBytes(c.Fd()) == 0 {
-		cc.gone(why)
+		cc.teardown(reason)
 		l.eventLoop.Close(c)
 		return true
 	}
 	fd, err := c.Dup()
-	if err != nil && l.releaseFD() { // out of descriptors; closing c below frees one for the reserve again
+	if err != nil && l.releaseFD() { // out of descriptors; closing c below frees one that reserveFD can take
 		fd, err = c.Dup()
 	}
-	if err != nil { // retried later; no descriptor is needed once the last answer is acknowledged
+	if err != nil { // the caller retries; no descriptor is needed once the last answer is acknowledged
 		l.reserveFD()
 		return false
 	}
 	unix.Shutdown(fd, unix.SHUT_WR) // an error is ignored: checkClosing detects a broken connection
-	l.p.openClients.Add(1)          // counts as open until closed; gone subtracts it below
+	l.p.openClients.Add(1)          // counts as open until closed; teardown subtracts it below
 	l.clientCount.Add(1)
-	cc.gone(why)
+	cc.teardown(reason)
 	l.eventLoop.Close(c)
 	l.reserveFD()
 	l.closingConns = append(l.closingConns, closingConn{fd, l.now})
@@ -69,13 +70,13 @@
 }
 
 // abort resets the connection at once and discards undelivered data.
-func (cc *clientConn) abort(why endReason) {
+func (cc *clientConn) abort(reason endReason) {
 	if cc.closed {
 		return
 	}
 	cc.c.SetLinger(0)
 	c := cc.c
-	cc.gone(why)
+	cc.teardown(reason)
 	cc.l.eventLoop.Close(c)
 }
 
@@ -87,8 +88,8 @@
 
 // closeIfQuiescent closes the connection if it is quiescent, and reports whether it did. No input can be read between the
 // check and the close, since both run on the event loop that reads.
-func (cc *clientConn) closeIfQuiescent(why endReason) bool {
-	return cc.quiescent() && cc.leaveLoop(why)
+func (cc *clientConn) closeIfQuiescent(reason endReason) bool {
+	return cc.quiescent() && cc.leaveLoop(reason)
 }
 
 // scheduleClosingCheck sets the timer for the next check of the closing connections, unless it is set.
@@ -99,12 +100,12 @@
 	}
 }
 
-// checkClosing closes the connections whose last answer has been delivered, can't be delivered or has timed out.
+// checkClosing closes the closing connections for which canClose returns true.
 func (l *loop) checkClosing() {
 	l.closingTimerSet = false
 	remaining := l.closingConns[:0]
 	for _, c := range l.closingConns {
-		if !l.delivered(c) {
+		if !l.canClose(c) {
 			remaining = append(remaining, c)
 			continue
 		}
@@ -119,9 +120,8 @@
 	}
 }
 
-// delivered reports whether a closing connection needs no more time: its data is acknowledged, the time is up or the
-// connection is broken.
-func (l *loop) delivered(c closingConn) bool {
+// canClose reports whether a closing connection can be closed: its data is acknowledged, its time is up or it is broken.
+func (l *loop) canClose(c closingConn) bool {
 	elapsed := l.now - c.closedAt
 	switch unacked := unackedBytes(c.fd); {
 	case unacked == 0:
@@ -133,10 +133,10 @@
 		return true
 	}
 	_, err := peekByte(c.fd)
-	return err != nil && err != unix.EAGAIN // the connection is broken
+	return err != nil && err != unix.EAGAIN // then the connection is broken
 }
 
-// reserveFD opens a descriptor that is held in reserve for leaveLoop. Without it, when the process is out of descriptors, a
+// reserveFD opens the reserve descriptor for leaveLoop, unless it is open. Without it, in a process out of descriptors, a
 // connection whose client sends a new request on each answer would never be found fully acknowledged and would delay a
 // drain.
 func (l *loop) reserveFD() {
--- a/edge/drain.go
+++ b/edge/drain.go
@@ -10,10 +10,10 @@
 
 // A process stops by bringing each client connection, on the loop that owns it, into a state in which no further request
 // can be read from it. The drain is complete when every connection is in that state. No new connection can arrive by then,
-// as the listener is closed and its backlog is empty. So the check can't race with new requests, and no waiting time has
-// to be chosen long enough.
+// as the listener is closed and its backlog is empty. So the check can't race with new requests and needs no grace period.
 
-// answerMargin is how long before the deadline of a drain the last answers are written, so that they are delivered by it.
+// answerMargin is how long before the deadline of a drain the last answers are written, so that they are delivered by the
+// deadline. It is shortened to a quarter of a drain that is shorter than four margins.
 const answerMargin = 100 * logic.Millisecond
 
 // drain has every loop answer its admitted requests and close its connections. It reports whether all of them finished
@@ -35,7 +35,8 @@
 	return true
 }
 
-// beginDrain closes the quiescent connections; the others close after their last answer.
+// beginDrain closes the quiescent connections. The others close after their last answer, or at the answer deadline in
+// finishDrain.
 func (l *loop) beginDrain(end logic.Nanos) {
 	l.draining = true
 	l.answerDeadline = end - min(answerMargin, (end-l.now)/4)
@@ -47,7 +48,7 @@
 	}
 }
 
-// drainClient closes a quiescent connection, or schedules another check.
+// drainClient closes the connection if it is quiescent and has no unread request, or else schedules another check.
 func (l *loop) drainClient(cc *clientConn) {
 	if cc.hasUnread() && l.now < l.answerDeadline { // a request has just arrived: answering it is cheaper for the client than a retry
 		l.scheduleClientCheck(cc, l.now+unreadCheckInterval)
@@ -58,9 +59,9 @@
 	}
 }
 
-// endDrain voids the admitted calls that are still unanswered, and closes the connections that have not sent a complete
+// finishDrain voids the admitted calls that are still unanswered, and closes the connections that have not sent a complete
 // request by now.
-func (l *loop) endDrain() {
+func (l *loop) finishDrain() {
 	for _, c := range l.calls.items {
 		if !c.freed && c.admitted && !c.answered && !c.clientLeft {
 			l.enqueue(event{kind: evClientLeft, call: c})
@@ -71,7 +72,7 @@
 	for _, cc := range l.clientConns.items {
 		switch {
 		case cc.closed || cc.c == nil || cc.state != stateReading:
-		case cc.quiescent(): // may have to wait for an acknowledgement; a request that arrives meanwhile is refused, not dropped
+		case cc.quiescent(): // the close may wait for an acknowledgement; a request that arrives meanwhile is refused, not dropped
 			l.drainClient(cc)
 		default:
 			cc.protocol.terminate(endDrain)
@@ -79,11 +80,11 @@
 	}
 }
 
-// admitsRequests reports whether a complete request can still be admitted: always, except after the answer deadline of a
-// drain.
+// admitsRequests reports whether a complete request can still be admitted. It returns false only after the answer deadline
+// of a drain.
 func (l *loop) admitsRequests() bool { return !l.draining || l.now < l.answerDeadline }
 
-// checkDrained signals drained once no connection is left from which a request could be read.
+// checkDrained closes drained, in a drain, once no connection is left from which a request could be read.
 func (l *loop) checkDrained() {
 	if !l.draining || l.drainSignaled || l.clientConns.inUse() > 0 || len(l.closingConns) > 0 || l.stats.streaming > 0 {
 		return
@@ -122,13 +123,13 @@
 	return n
 }
 
-// clientEnds returns the number of ended client connections by reason. Call it after the loops have stopped.
+// clientEnds returns the number of ended client connections by the name of the reason. Call it after the loops have stopped.
 func (p *Process) clientEnds() map[string]uint64 {
 	n := map[string]uint64{}
 	for _, l := range p.loops {
-		for why, count := range l.stats.clientEnds {
+		for reason, count := range l.stats.clientEnds {
 			if count > 0 {
-				n[endReasonNames[why]] += count
+				n[endReasonNames[reason]] += count
 			}
 		}
 	}
@@ -137,9 +138,9 @@
 
 // logDrained logs the result of the drain: as an error if it was incomplete.
 func (p *Process) logDrained(complete bool) {
-	write := p.log.Info
+	log := p.log.Info
 	if !complete {
-		write = p.log.Error
+		log = p.log.Error
 	}
-	write("stopping: drain ended", append(p.connCounts().logFields(), zap.Bool("whole", complete))...)
+	log("stopping: drain ended", append(p.connCounts().logFields(), zap.Bool("whole", complete))...)
 }
--- a/edge/loop.go
+++ b/edge/loop.go
@@ -33,8 +33,8 @@
 	evAdmit eventKind = iota
 	evOutcome
 	evClientLeft
-	evStreaming
-	evAnswerBegun
+	evStreamStarted
+	evAnswerStarted
 	evTimer
 	evFunc // runs a function, for rare events
 )
@@ -67,7 +67,7 @@
 	txn      logic.TxnID
 	worker   logic.WorkerID
 	duration logic.Nanos
-	n        int
+	subIndex int
 	token    uint64
 }
 
@@ -394,7 +394,7 @@
 	switch t.kind {
 	case timerExpiry, timerHalfClose, timerSubTimeout, timerConnWait:
 		c := l.findCall(logic.TxnID(t.token))
-		return c == nil || t.kind != timerExpiry && t.kind != timerHalfClose && c.subs[t.n].state == subEnded
+		return c == nil || t.kind != timerExpiry && t.kind != timerHalfClose && c.subs[t.subIndex].state == subEnded
 	case timerModule: // the module has nothing to do for a txn that is over
 		return t.txnID != 0 && l.findCall(t.txnID) == nil
 	}
@@ -416,23 +416,23 @@
 	case timerHalfClose:
 		l.halfCloseOutstanding(l.findCall(logic.TxnID(t.token)))
 	case timerSubTimeout:
-		l.stopSubmission(l.findCall(logic.TxnID(t.token)), int(t.n), logic.TimedOut)
+		l.stopSubmission(l.findCall(logic.TxnID(t.token)), int(t.subIndex), logic.TimedOut)
 	case timerConnWait:
-		if c := l.findCall(logic.TxnID(t.token)); c.subs[t.n].state == subWaiting {
-			l.endSubmission(c, int(t.n), logic.ConnectFailed, nil)
+		if c := l.findCall(logic.TxnID(t.token)); c.subs[t.subIndex].state == subWaiting {
+			l.endSubmission(c, int(t.subIndex), logic.ConnectFailed, nil)
 		}
 	case timerClientConn:
 		if cc := l.clientByToken(t.token); cc != nil {
-			cc.armed = 0
+			cc.checkAt = 0
 			l.checkClient(cc)
 		}
 	case timerClosingConns:
 		l.checkClosing()
 	case timerDrainEnd:
-		l.endDrain()
+		l.finishDrain()
 	case timerWorkerConn:
 		if wc := l.workerByToken(t.token); wc != nil {
-			wc.armed = 0
+			wc.checkAt = 0
 			l.checkWorkerConn(wc)
 		}
 	}
@@ -441,7 +441,7 @@
 // expireCall ends the outstanding submissions of a call at its expiry, so that the module answers it at once.
 func (l *loop) expireCall(c *call) {
 	id := c.id()
-	for n := 0; n < c.n; n++ {
+	for n := 0; n < c.numSubs; n++ {
 		l.stopSubmission(c, n, logic.TimedOut)
 	}
 	l.processEvents()
@@ -514,12 +514,12 @@
 			l.recorder.Event(l.now, tracepb.Kind_LEFT, c.id(), 0, 0, 0)
 		}
 		l.sentry.ClientLeft(l.now, c.id())
-	case evStreaming:
+	case evStreamStarted:
 		if c.traced {
 			l.recorder.Event(l.now, tracepb.Kind_STREAMING, c.id(), e.outcome.Number, 0, 0)
 		}
 		l.sentry.StreamStarted(l.now, c.id(), e.outcome.Number)
-	case evAnswerBegun: // not recorded: no protocol with traces has this event
+	case evAnswerStarted: // not recorded: no protocol with traces has this event
 		l.sentry.ResponseStarted(l.now, c.id(), e.outcome.Number)
 	case evTimer:
 		if l.recorder != nil {
@@ -553,8 +553,8 @@
 	case actionSubmit:
 		l.startSubmission(c, a.worker, a.duration)
 	case actionCancel:
-		if a.n >= 0 && a.n < c.n {
-			l.stopSubmission(c, a.n, logic.Cancelled)
+		if a.subIndex >= 0 && a.subIndex < c.numSubs {
+			l.stopSubmission(c, a.subIndex, logic.Cancelled)
 		}
 	case actionDecline:
 		l.respondDeclined(c, a.duration)
@@ -577,7 +577,7 @@
 	if l.traced(t) {
 		l.recorder.Event(l.now, tracepb.Kind_CANCEL, t, number, 0, 0)
 	}
-	l.actions = append(l.actions, action{kind: actionCancel, txn: t, n: number})
+	l.actions = append(l.actions, action{kind: actionCancel, txn: t, subIndex: number})
 }
 func (l *loop) Decline(t logic.TxnID, retryAfter logic.Nanos) {
 	if l.traced(t) {
@@ -692,7 +692,7 @@
 	switch ctx := c.Context().(type) {
 	case *clientConn:
 		if !ctx.closed {
-			ctx.gone(l.endReasonOf(err))
+			ctx.teardown(l.endReasonOf(err))
 		}
 	case *workerConn:
 		if !ctx.closed {
--- a/edge/pg.go
+++ b/edge/pg.go
@@ -13,7 +13,7 @@
 const (
 	// probeCheckInterval is the interval at which a held readiness probe is retried.
 	probeCheckInterval = 5 * logic.Millisecond
-	// maxKeptAnswerBytes is the largest answer buffer that is kept for reuse.
+	// maxKeptAnswerBytes is the size of the largest answer buffer that is kept for reuse.
 	maxKeptAnswerBytes = 8 << 10
 )
 
@@ -26,15 +26,15 @@
 	Cost         logic.Nanos
 	Repeat       bool
 	Timeout      logic.Nanos // counted from when the client sent the statement
-	TimeoutStart int         // offset in the statement of the timeout's digits, in whole milliseconds
-	TimeoutEnd   int         // offset behind the timeout's digits
+	TimeoutStart int         // offset in the statement of the timeout, given as digits in whole milliseconds
+	TimeoutEnd   int         // offset just past the timeout's digits
 }
 
-// Dialect parses the content that clients and workers put into PostgreSQL messages. It is stateless.
+// Dialect parses and encodes the application's content of PostgreSQL messages. It is stateless.
 type Dialect interface {
 	// ParseStatement parses a statement into dst. An error is sent to the client.
 	ParseStatement(statement []byte, dst *StatementInfo) *pgwire.ProtocolError
-	// Load parses a load report into dst, and reports whether it is valid.
+	// ParseLoad parses a load report into dst, and reports whether it is valid.
 	Load(report []byte, dst *logic.Load) bool
 	// EncodeStartup returns the startup message for workers and the name of the parameter that carries load reports.
 	EncodeStartup() (message []byte, loadParam string)
@@ -77,8 +77,8 @@
 	cc           *clientConn
 	proto        *pgProtocol
 	parser       pgwire.FrontendParser
-	partialSince logic.Nanos // when part of an incomplete message was first seen; 0: none
-	probeSince   logic.Nanos // when a readiness probe (an empty query) was held because the edge can't serve yet; 0: none
+	partialSince logic.Nanos // when part of an incomplete message was first seen; 0 when there is none
+	probeSince   logic.Nanos // when a readiness probe (an empty query) was held until the edge can serve; 0 when none is held
 }
 
 func (pc *pgClient) betweenRequests() bool    { return pc.partialSince == 0 }
@@ -87,7 +87,7 @@
 
 // checkTimeout enforces the timeouts for the startup, for incomplete messages and for idle connections, and retries a
 // held readiness probe. Idle connections get a shorter timeout while more than half of the connection limit is in use.
-func (pc *pgClient) checkTimeout() (until logic.Nanos) {
+func (pc *pgClient) checkTimeout() (deadline logic.Nanos) {
 	cc := pc.cc
 	l := cc.l
 	limits := &l.p.cfg.ClientLimits
@@ -100,13 +100,13 @@
 		}
 		return l.now + probeCheckInterval
 	case cc.answersSent == 0 && (pc.partialSince > 0 || !pc.parser.Started()):
-		if until = cc.openedAt + logic.Nanos(limits.HeadTimeout); until <= l.now {
+		if deadline = cc.openedAt + logic.Nanos(limits.HeadTimeout); deadline <= l.now {
 			l.stats.refused++
 			pc.closeWithError(endSlow, "08P01", "the first message came too slowly")
 			return 0
 		}
 	case pc.partialSince > 0:
-		if until = pc.partialSince + logic.Nanos(limits.BodyTimeout); until <= l.now {
+		if deadline = pc.partialSince + logic.Nanos(limits.BodyTimeout); deadline <= l.now {
 			l.stats.refused++
 			pc.closeWithError(endSlow, "08P01", "the message came too slowly")
 			return 0
@@ -116,41 +116,42 @@
 		if l.p.openClients.Load() > int64(limits.MaxConnections/2) {
 			idleTimeout = limits.PressureIdleTimeout
 		}
-		if until = cc.stateSince + logic.Nanos(idleTimeout); until <= l.now {
-			return cc.endIdle()
+		if deadline = cc.stateSince + logic.Nanos(idleTimeout); deadline <= l.now {
+			return cc.closeIdle()
 		}
-		until = min(until, l.now+logic.Nanos(limits.PressureIdleTimeout))
+		deadline = min(deadline, l.now+logic.Nanos(limits.PressureIdleTimeout))
 	}
-	return until
+	return deadline
 }
 
 // closeWithError sends a fatal error and closes the connection, since the input that follows cannot be trusted to start
 // with a message.
-func (pc *pgClient) closeWithError(why endReason, code, text string) {
+func (pc *pgClient) closeWithError(reason endReason, code, text string) {
 	cc := pc.cc
 	l := cc.l
 	cc.discardInput(len(cc.input()))
 	l.scratch = pgwire.AppendError(l.scratch[:0], true, code, text, "")
 	cc.write(l.scratch)
-	cc.close(why)
+	cc.close(reason)
 }
 
+// shutdownText is the error message for requests that arrive too late in a drain.
 const shutdownText = "the process stops: trying again elsewhere does no harm"
 
-func (pc *pgClient) terminate(why endReason) {
-	if why == endOverfull {
-		pc.closeWithError(why, "53300", "declined: too much was sent ahead of its answers")
+func (pc *pgClient) terminate(reason endReason) {
+	if reason == endOverfull {
+		pc.closeWithError(reason, "53300", "declined: too much was sent ahead of its answers")
 		return
 	}
-	pc.closeWithError(why, "57P03", shutdownText)
+	pc.closeWithError(reason, "57P03", shutdownText)
 }
 
 func (pc *pgClient) read(in []byte) bool {
 	cc := pc.cc
 	l := cc.l
-	size, request, text, err := pc.parser.Next(in)
-	if cc.call != nil { // while a txn is in hand, only further statements are admitted; other messages wait their turn
-		if err != nil || request != pgwire.Query {
+	size, kind, text, err := pc.parser.Next(in)
+	if cc.call != nil { // while a txn awaits its answer, only further statements are admitted; other messages wait
+		if err != nil || kind != pgwire.Query {
 			return false
 		}
 		return pc.handlePipelined(size, text)
@@ -163,14 +164,14 @@
 		return false
 	}
 	if err != nil {
-		var f *pgwire.ProtocolError
-		errors.As(err, &f)
+		var protocolErr *pgwire.ProtocolError
+		errors.As(err, &protocolErr)
 		l.stats.refused++
-		pc.closeWithError(endMalformed, f.Code, f.Message)
+		pc.closeWithError(endMalformed, protocolErr.Code, protocolErr.Message)
 		return false
 	}
 	pc.partialSince = 0
-	switch request {
+	switch kind {
 	case pgwire.EncryptionRequest:
 		cc.discardInput(size)
 		cc.write(pgwire.NoEncryption)
@@ -200,18 +201,18 @@
 	return !cc.closed
 }
 
-// handleStatement admits a statement's txn, or answers with the reason why it is refused.
+// handleStatement admits a statement's txn, or answers with the reason for its refusal.
 func (pc *pgClient) handleStatement(size int, text []byte) {
 	cc := pc.cc
 	l := cc.l
 	var info StatementInfo
-	if f := pc.proto.dialect.ParseStatement(text, &info); f != nil {
+	if protocolErr := pc.proto.dialect.ParseStatement(text, &info); protocolErr != nil {
 		l.stats.refused++
 		cc.discardInput(size)
-		pc.writeError(f.Code, f.Message, "")
+		pc.writeError(protocolErr.Code, protocolErr.Message, "")
 		return
 	}
-	// Workers would take two open txns with the same id for one, and the answer of one could be taken for the other's.
+	// Workers can't distinguish open txns with the same id, so the answer to one could be taken for the answer to the other.
 	if _, open := l.externalIDs[info.ID]; open {
 		l.stats.refused++
 		cc.discardInput(size)
@@ -284,7 +285,7 @@
 	pc.cc.answer(c, l.scratch)
 }
 
-func (pc *pgClient) declined(c *call, retryAfter logic.Nanos) {
+func (pc *pgClient) writeDeclined(c *call, retryAfter logic.Nanos) {
 	detail := ""
 	if retryAfter > 0 {
 		detail = strconv.FormatInt(int64((retryAfter+logic.Millisecond-1)/logic.Millisecond), 10)
@@ -292,7 +293,7 @@
 	pc.answerError(c, "53300", "declined: trying again does no harm", detail)
 }
 
-func (pc *pgClient) voided(c *call) {
+func (pc *pgClient) writeVoided(c *call) {
 	if l := pc.cc.l; c.lastEnding == logic.TimedOut || c.lastEnding == logic.Cancelled || l.now >= c.txn.Expiry {
 		pc.answerError(c, "57014", "voided: no answer in time; it may have had its effect", "")
 	} else {
@@ -306,7 +307,7 @@
 	proto         *pgProtocol
 	parser        pgwire.BackendParser
 	writing       bool // writeSubmission is in progress
-	startReported bool // the start of the current answer was reported to the module
+	startReported bool // whether the start of the current answer was reported to the module
 }
 
 func (pw *pgWorker) handleOpen() { pw.wc.c.Write(pw.proto.startup) }
@@ -332,8 +333,8 @@
 	return pw.writing || !pw.wc.closed && pw.wc.c.OutboundBuffered() > 0
 }
 
-// stale peeks at the socket itself: a duplicate of an answer that has arrived but was not read yet would be taken for the
-// next answer.
+// stale peeks at the socket, where a duplicate of an answer may have arrived that was not read yet. It would be taken for
+// the next answer.
 func (pw *pgWorker) stale() bool {
 	_, err := peekByte(pw.wc.c.Fd())
 	return err != unix.EAGAIN
@@ -374,7 +375,7 @@
 		pw.reportAnswerStart()
 		return false
 	}
-	size, received, err := pw.parser.Next(in)
+	size, kind, err := pw.parser.Next(in)
 	if err == pgwire.ErrIncomplete {
 		pw.reportAnswerStart()
 		return false
@@ -389,14 +390,14 @@
 		return false
 	}
 	wc.c.Discard(size)
-	switch received {
+	switch kind {
 	case pgwire.SessionReady:
-		l.ready(wc)
+		l.handleReady(wc)
 		return !wc.closed
 	case pgwire.ValueReceived:
-		pw.load()
-		out := append(pw.parser.Answer, pgwire.ReadyForQuery...)
-		l.complete(wc, logic.OK, out, false)
+		pw.parseLoad()
+		answer := append(pw.parser.Answer, pgwire.ReadyForQuery...)
+		l.completeSubmission(wc, logic.OK, answer, false)
 		return false
 	case pgwire.ErrorReceived:
 		if wc.handshaking { // the worker refuses the session, e.g. for too many connections; nothing was submitted
@@ -413,22 +414,22 @@
 func (pw *pgWorker) reportAnswerStart() {
 	if wc := pw.wc; wc.call != nil && !pw.startReported && pw.answerStarted() {
 		pw.startReported = true
-		wc.l.enqueue(event{kind: evAnswerBegun, call: wc.call, outcome: logic.Outcome{Number: wc.n}})
+		wc.l.enqueue(event{kind: evAnswerStarted, call: wc.call, outcome: logic.Outcome{Number: wc.subIndex}})
 	}
 }
 
 // completeWithError completes a submission that was answered with an error.
 func (pw *pgWorker) completeWithError(workerCloses bool) {
-	pw.load()
+	pw.parseLoad()
 	e := logic.ErrorResponse
 	if pw.parser.Code == "53300" {
 		e = logic.Rejected
 	}
-	pw.wc.l.complete(pw.wc, e, nil, workerCloses)
+	pw.wc.l.completeSubmission(pw.wc, e, nil, workerCloses)
 }
 
-// load parses the load report that came with the answer.
-func (pw *pgWorker) load() {
+// parseLoad parses the load report that came with the answer.
+func (pw *pgWorker) parseLoad() {
 	wc := pw.wc
 	wc.hasLoad = pw.parser.Load != nil && pw.proto.dialect.Load(pw.parser.Load, &wc.load) && plausibleLoad(&wc.load)
 }
--- a/edge/process.go
+++ b/edge/process.go
@@ -24,7 +24,7 @@
 	cfg         *config.Edge
 	log         *zap.Logger
 	loops       []*loop
-	routes      classifier
+	routes      routeMatcher
 	protocol    protocol
 	platform    *PlatformOptions // nil when the source is a file or the HTTP API
 	customerIDs map[string]int
--- a/edge/protocol.go
+++ b/edge/protocol.go
@@ -3,7 +3,7 @@
 import "dunegrade/logic"
 
 // protocol encodes and decodes the wire protocol spoken with clients and workers. It makes no decisions about a txn: it
-// passes complete requests and answers to the host, and writes the requests and answers that the host gives it.
+// passes complete requests and answers to the loop, and writes the requests and answers that the loop passes to it.
 type protocol interface {
 	// newClientProtocol returns the protocol state of a new client connection. reused is the state of a closed
 	// connection that may be recycled, or nil.
@@ -25,25 +25,25 @@
 	betweenRequests() bool
 	// startNextRequest prepares for the next request after an answer.
 	startNextRequest()
-	// terminate sends an error that states the reason, and closes the connection.
-	terminate(why endReason)
+	// terminate sends an error with the reason, and closes the connection.
+	terminate(reason endReason)
 	// supportsPipelining reports whether read admits txns while an earlier one awaits its answer.
 	supportsPipelining() bool
-	// declined answers an admitted txn that was declined.
-	declined(c *call, retryAfter logic.Nanos)
-	// voided answers an admitted txn that was voided.
-	voided(c *call)
+	// writeDeclined answers an admitted txn that was declined.
+	writeDeclined(c *call, retryAfter logic.Nanos)
+	// writeVoided answers an admitted txn that was voided.
+	writeVoided(c *call)
 }
 
 // workerProtocol is the protocol state of one worker connection.
 type workerProtocol interface {
-	// handleOpen is called once the connection is established. It calls loop.ready, at once or when the protocol's
-	// handshake is complete.
+	// handleOpen is called once the connection is established. It calls loop.handleReady, either at once or when the
+	// protocol's handshake is complete.
 	handleOpen()
 	// writeSubmission writes submission n of a call.
 	writeSubmission(c *call, n int) error
-	// read processes a part of the input, at most one complete answer, which is passed to loop.complete. It
-	// reports whether more input may be processed.
+	// read processes a part of the input, at most one complete answer, which is passed to
+	// loop.completeSubmission. It reports whether more input may be processed.
 	read(in []byte) bool
 	// completeOnClose reports whether the close of the connection marks the end of an answer, which it then completes.
 	completeOnClose(err error) bool
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -20,7 +20,7 @@
 type streamRelay struct {
 	l             *loop
 	call          *call
-	n             int // number of the call's submission
+	subIndex      int // number of the call's submission
 	pool          *pool
 	worker        net.Conn
 	client        net.Conn
@@ -41,7 +41,7 @@
 // earlier answers have left the client connection, and true if the loop is done with this answer.
 func (l *loop) startRelay(hw *httpWorker) bool {
 	wc := hw.wc
-	c, n := wc.call, wc.n
+	c, n := wc.call, wc.subIndex
 	cc := c.client
 	if cc.c.OutboundBuffered() > 0 { // earlier answers are sent first
 		if int64(len(hw.answer)+len(hw.unsizedBody)) > l.p.cfg.ClientLimits.MaxUnsentBytes {
@@ -56,7 +56,7 @@
 		l.endSubmission(c, n, logic.Disconnected, nil)
 		return true
 	}
-	r := &streamRelay{l: l, call: c, n: n, pool: wc.pool, state: hw.state, remaining: hw.remaining, chunks: hw.chunks, keepAlive: !hw.closesConn,
+	r := &streamRelay{l: l, call: c, subIndex: n, pool: wc.pool, state: hw.state, remaining: hw.remaining, chunks: hw.chunks, keepAlive: !hw.closesConn,
 		workerCloses: hw.workerCloses || hw.state == answerUntilClose, load: wc.load, hasLoad: wc.hasLoad}
 	r.initial = append([]byte(nil), hw.answer...)
 	if hw.state != answerFixed {
@@ -103,11 +103,11 @@
 	l.heldBytes -= cc.countedBytes
 	cc.closed, cc.c, cc.countedBytes = true, nil, 0
 	cc.gen++
-	l.clientConns.put(cc.at)
+	l.clientConns.put(cc.slot)
 	l.eventLoop.Close(gnetConn)
 	wc.call = nil
 	l.closeWorkerConn(wc, false)
-	l.enqueue(event{kind: evStreaming, call: c, outcome: logic.Outcome{Number: n}})
+	l.enqueue(event{kind: evStreamStarted, call: c, outcome: logic.Outcome{Number: n}})
 	l.group.Add(1)
 	go r.run()
 	return true
@@ -187,7 +187,7 @@
 		if r.hasLoad {
 			load = &r.load
 		}
-		l.endSubmission(r.call, r.n, e, load)
+		l.endSubmission(r.call, r.subIndex, e, load)
 	})
 }
 
--- a/edge/routes.go
+++ b/edge/routes.go
@@ -7,12 +7,13 @@
 	"dunegrade/config"
 )
 
-// classifier finds the route of a request, or returns nil. It is an interface so that written rules can replace routeTable.
-type classifier interface {
+// routeMatcher finds the route of a request, or returns nil. It is an interface so that other rules can replace
+// routeTable.
+type routeMatcher interface {
 	match(method, path []byte) *config.Route
 }
 
-// routeTable is a classifier by prefix and method. The longest prefix wins; of equal prefixes, a route with a method comes
+// routeTable is a routeMatcher by prefix and method. The longest prefix wins; of equal prefixes, a route with a method comes
 // before one for any method.
 type routeTable []config.Route
 
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// hasPathPrefix reports whether a path equals a prefix or continues it at the border of a segment.
+// hasPathPrefix reports whether a path equals a prefix or continues it at a segment boundary.
 func hasPathPrefix(path []byte, prefix string) bool {
 	if len(path) < len(prefix) || unsafeString(path[:len(prefix)]) != prefix {
 		return false
--- a/edge/timers.go
+++ b/edge/timers.go
@@ -6,29 +6,30 @@
 type timerKind uint8
 
 const (
-	timerModule       timerKind = iota // set by the module, which knows it by its token
+	timerModule       timerKind = iota // a timer of the module, which identifies it by its token
 	timerExpiry                        // a call's expiry
 	timerHalfClose                     // halfCloseLead before a call's expiry
 	timerSubTimeout                    // a submission's timeout
 	timerConnWait                      // limit on a submission's wait for a connection
 	timerClientConn                    // check of a client connection
 	timerWorkerConn                    // check of a worker connection
-	timerClosingConns                  // check of the connections that still deliver their last answer
-	timerDrainEnd                      // the remaining open txns of a drain are answered
+	timerClosingConns                  // check of loop.closingConns
+	timerDrainEnd                      // answer deadline of a drain
 )
 
-// timer is an entry of the heap. Timers are not cancelled; whatever handles one checks whether it still applies.
+// timer is an entry of timerHeap. Timers are not cancelled; when one fires, its handler checks whether it still applies.
 type timer struct {
-	at    logic.Nanos
-	token uint64 // the module's token, a txn id, or a slotToken
-	kind  timerKind
-	n     uint8       // index of the submission
-	txnID logic.TxnID // for timerModule: the txn that it is about; 0 when none
+	at       logic.Nanos
+	token    uint64 // depending on kind: the module's token, a txn id or a slotToken
+	kind     timerKind
+	subIndex uint8       // index in call.subs, for timerSubTimeout and timerConnWait
+	txnID    logic.TxnID // for timerModule: the txn that it was set for; 0 when none
 }
 
-// timerHeap is a binary min-heap by time. Most timers are pushed in order of time, which costs one comparison.
+// timerHeap is a binary min-heap by time. Most timers are pushed in order of time, which takes one comparison.
 type timerHeap []timer
 
+// push adds a timer.
 func (h *timerHeap) push(t timer) {
 	q := append(*h, t)
 	i := len(q) - 1
@@ -43,6 +44,7 @@
 	*h = q
 }
 
+// pop removes and returns the earliest timer of a heap that is not empty.
 func (h *timerHeap) pop() timer {
 	q := *h
 	top, last := q[0], q[len(q)-1]
@@ -68,8 +70,8 @@
 	return top
 }
 
-// slab is a pool of reusable values addressed by slot. Its users keep a generation in each value, which distinguishes it from
-// earlier values in the same slot.
+// slab is a pool of reusable values addressed by slot. Its users keep a generation number in each value to distinguish it
+// from earlier values in the same slot.
 type slab[T any] struct {
 	items []*T
 	free  []int32
--- a/edge/worker.go
+++ b/edge/worker.go
@@ -17,11 +17,11 @@
 	c            gnet.Conn
 	pool         *pool
 	slot         int32  // index in loop.workerConns
-	connGen      uint32 // generation of the slot
+	gen          uint32 // generation of the slot
 	closed       bool
-	call         *call  // the call whose submission n the connection carries, or nil
-	gen          uint32 // generation of call
-	n            int    // index of the submission
+	call         *call  // the call whose submission the connection carries, or nil
+	callGen      uint32 // generation of call when it was assigned
+	subIndex     int    // index in call.subs of that submission
 	numUses      int    // submissions carried so far
 	protocol     workerProtocol
 	load         logic.Load  // the worker's last load report
@@ -30,22 +30,22 @@
 	handshaking  bool        // the connection is open but not ready for submissions
 	halfClosedAt logic.Nanos // when it was half-closed; 0 when it was not
 	since        logic.Nanos // when it was opened or became idle
-	armed        logic.Nanos // when its timer fires; 0 when none is set
+	checkAt      logic.Nanos // time of the next scheduled check; 0 when none is scheduled
 }
 
-// workerByToken returns the open connection that a timer's token stands for, or nil.
+// workerByToken returns the open worker connection with the given slotToken, or nil.
 func (l *loop) workerByToken(token uint64) *workerConn {
 	slot := int32(uint32(token))
 	if int(slot) >= len(l.workerConns.items) {
 		return nil
 	}
-	if wc := l.workerConns.items[slot]; wc.connGen == uint32(token>>32) && !wc.closed {
+	if wc := l.workerConns.items[slot]; wc.gen == uint32(token>>32) && !wc.closed {
 		return wc
 	}
 	return nil
 }
 
-// dial opens a connection on a goroutine of its own. The result comes back through OnOpen or dialFailed.
+// dial opens a connection on a separate goroutine, which passes the result to OnOpen or dialFailed.
 func (l *loop) dial(p *pool) {
 	l.group.Add(1)
 	address := p.address
@@ -71,18 +71,19 @@
 	}()
 }
 
+// openWorkerConn sets up a new worker connection, on which the protocol's handshake starts.
 func (l *loop) openWorkerConn(c gnet.Conn, p *pool) {
 	slot, wc := l.workerConns.get()
 	reused := wc.protocol
-	*wc = workerConn{l: l, c: c, pool: p, slot: slot, connGen: wc.connGen + 1, handshaking: true, since: l.now}
+	*wc = workerConn{l: l, c: c, pool: p, slot: slot, gen: wc.gen + 1, handshaking: true, since: l.now}
 	wc.protocol = l.p.protocol.newWorkerProtocol(wc, reused)
 	c.SetContext(wc)
-	l.armWorker(wc, l.now+l.connectTimeout)
+	l.scheduleWorkerCheck(wc, l.now+l.connectTimeout)
 	wc.protocol.handleOpen()
 }
 
-// ready handles a connection that has become ready for submissions.
-func (l *loop) ready(wc *workerConn) {
+// handleReady handles a connection that has become ready for submissions.
+func (l *loop) handleReady(wc *workerConn) {
 	if wc.handshaking {
 		wc.handshaking = false
 		wc.pool.numDialing--
@@ -91,21 +92,21 @@
 	l.offerConn(wc)
 }
 
-// armWorker sets a timer for checkWorkerConn, unless an earlier one is set.
-func (l *loop) armWorker(wc *workerConn, at logic.Nanos) {
-	if wc.armed != 0 && wc.armed <= at {
+// scheduleWorkerCheck schedules a call of checkWorkerConn at the given time, unless an earlier one is scheduled.
+func (l *loop) scheduleWorkerCheck(wc *workerConn, at logic.Nanos) {
+	if wc.checkAt != 0 && wc.checkAt <= at {
 		return
 	}
-	wc.armed = at
-	l.timers.push(timer{at: at, token: slotToken(wc.slot, wc.connGen), kind: timerWorkerConn})
+	wc.checkAt = at
+	l.timers.push(timer{at: at, token: slotToken(wc.slot, wc.gen), kind: timerWorkerConn})
 }
 
-// checkWorkerConn enforces the connection's time limits: of the handshake, of a half-close, of the delay before reuse and of
-// idle time.
+// checkWorkerConn enforces the connection's time limits: for the handshake, for the wait after a half-close, for the delay
+// before reuse and for idle time.
 func (l *loop) checkWorkerConn(wc *workerConn) {
 	if wc.handshaking { // a worker that accepts but stays silent must not hold the connection and the submissions waiting for it
 		if wc.since+l.connectTimeout > l.now {
-			l.armWorker(wc, wc.since+l.connectTimeout)
+			l.scheduleWorkerCheck(wc, wc.since+l.connectTimeout)
 			return
 		}
 		l.closeWorkerConn(wc, true)
@@ -113,17 +114,17 @@
 	}
 	if wc.call != nil {
 		if wc.halfClosedAt == 0 {
-			return // the timer is set again when the connection becomes idle
+			return // the next check is scheduled when the connection becomes idle
 		}
 		if wc.halfClosedAt+halfCloseWait > l.now {
-			l.armWorker(wc, wc.halfClosedAt+halfCloseWait)
+			l.scheduleWorkerCheck(wc, wc.halfClosedAt+halfCloseWait)
 			return
 		}
 		l.abortSubmission(wc, logic.Cancelled)
 		return
 	}
 	if reuseDelay := logic.Nanos(l.p.cfg.WorkerLimits.ReuseDelay); l.now-wc.since < reuseDelay {
-		l.armWorker(wc, wc.since+reuseDelay)
+		l.scheduleWorkerCheck(wc, wc.since+reuseDelay)
 		return
 	}
 	if len(wc.pool.waiting) > 0 {
@@ -132,7 +133,7 @@
 			l.closeWorkerConn(wc, true)
 			return
 		}
-		wc.pool.idle = slices.DeleteFunc(wc.pool.idle, func(x *workerConn) bool { return x == wc })
+		wc.pool.idle = slices.DeleteFunc(wc.pool.idle, func(other *workerConn) bool { return other == wc })
 		if l.serveOldestWaiter(wc) {
 			return
 		}
@@ -143,9 +144,10 @@
 		l.closeWorkerConn(wc, false)
 		return
 	}
-	l.armWorker(wc, wc.since+l.workerIdleTimeout)
+	l.scheduleWorkerCheck(wc, wc.since+l.workerIdleTimeout)
 }
 
+// closeIdleConns closes the pool's idle connections.
 func (l *loop) closeIdleConns(p *pool) {
 	for len(p.idle) > 0 {
 		wc := p.idle[len(p.idle)-1]
@@ -154,8 +156,8 @@
 	}
 }
 
-// closeWorkerConn closes a connection. With reset it sends a TCP reset, by which the worker learns at once that no answer is
-// wanted. The caller ends the submission that the connection carried.
+// closeWorkerConn closes a connection. With reset it sends a TCP reset, so that the worker knows at once that no answer is
+// wanted. The caller must end the submission that the connection carried.
 func (l *loop) closeWorkerConn(wc *workerConn, reset bool) {
 	if wc.closed {
 		return
@@ -172,10 +174,10 @@
 func (wc *workerConn) releaseSlot() {
 	l, p := wc.l, wc.pool
 	wc.closed, wc.call, wc.c = true, nil, nil
-	wc.connGen++
+	wc.gen++
 	p.numConns--
 	l.numConns--
-	if wc.handshaking { // it never became ready
+	if wc.handshaking { // the connection never became ready
 		wc.handshaking = false
 		p.numDialing--
 		l.numDialing--
@@ -197,7 +199,7 @@
 // handleClose handles a connection that the worker has closed or that failed.
 func (wc *workerConn) handleClose(err error) {
 	l := wc.l
-	c, n := wc.call, wc.n
+	c, n := wc.call, wc.subIndex
 	if c != nil && wc.protocol.completeOnClose(err) {
 		if !wc.closed {
 			wc.releaseSlot()
@@ -216,7 +218,7 @@
 		e = logic.MalformedResponse
 	}
 	if c != nil {
-		l.reuseLimit.observe(l.now, wc.idledFor, l.now-c.subs[n].since <= promptReset)
+		l.reuseLimit.observe(l.now, wc.idledFor, l.now-c.subs[n].startedAt <= promptReset)
 	}
 	wc.releaseSlot()
 	if c != nil {
@@ -244,16 +246,16 @@
 
 // failMalformed ends a submission whose answer is malformed. The submission may have run.
 func (wc *workerConn) failMalformed() {
-	l, c, n := wc.l, wc.call, wc.n
+	l, c, n := wc.l, wc.call, wc.subIndex
 	l.stats.malformedAnswers++
 	l.closeWorkerConn(wc, true)
 	l.endSubmission(c, n, logic.MalformedResponse, nil)
 }
 
-// complete handles a complete answer: e is the submission's ending, clientAnswer what its client gets if e is OK. With mustClose
-// the connection cannot be used again.
-func (l *loop) complete(wc *workerConn, e logic.Ending, clientAnswer []byte, mustClose bool) {
-	c, n := wc.call, wc.n
+// completeSubmission handles a complete answer. e is the submission's ending; if it is OK, clientAnswer is sent to the client.
+// With mustClose the connection cannot be used again.
+func (l *loop) completeSubmission(wc *workerConn, e logic.Ending, clientAnswer []byte, mustClose bool) {
+	c, n := wc.call, wc.subIndex
 	if wc.halfClosedAt > 0 { // a half-closed connection takes no more submissions
 		if mustClose = true; e != logic.OK {
 			e = logic.Cancelled
@@ -268,7 +270,7 @@
 		}
 	}
 	// Bytes after a complete answer belong to no request, so the connection is not used again.
-	extra := !wc.closed && wc.c.InboundBuffered() > 0
+	hasExtra := !wc.closed && wc.c.InboundBuffered() > 0
 	var load *logic.Load
 	if wc.hasLoad {
 		load = &wc.load
@@ -283,17 +285,17 @@
 	if wc.closed {
 		return
 	}
-	if extra {
+	if hasExtra {
 		l.stats.malformedAnswers++
 	}
-	if mustClose || extra {
-		l.closeWorkerConn(wc, extra)
+	if mustClose || hasExtra {
+		l.closeWorkerConn(wc, hasExtra)
 		return
 	}
 	l.offerConn(wc)
 }
 
-// plausibleLoad reports whether a load report's values are within reason. A single NaN would stay in a smoothed value
+// plausibleLoad reports whether a load report's values are in a plausible range. A single NaN would stay in a smoothed value
 // forever.
 func plausibleLoad(l *logic.Load) bool {
 	for _, f := range [3]float64{l.Util, l.Queue, l.Busy} {
--- a/edge/worker_http.go
+++ b/edge/worker_http.go
@@ -34,7 +34,7 @@
 	chunks       http1.Dechunker // decodes a chunked body
 }
 
-func (k *httpWorker) handleOpen() { k.wc.l.ready(k.wc) }
+func (k *httpWorker) handleOpen() { k.wc.l.handleReady(k.wc) }
 
 func (k *httpWorker) writeSubmission(c *call, n int) error {
 	k.state, k.answer, k.unsizedBody, k.closesConn = answerHead, k.answer[:0], k.unsizedBody[:0], false
@@ -188,7 +188,7 @@
 	}
 	if c.answered || c.clientLeft || !settlesTxn(k.status) {
 		// No client waits for this answer, so it must not fill memory.
-		n := wc.n
+		n := wc.subIndex
 		e := logic.OK
 		if !settlesTxn(k.status) {
 			e = logic.ErrorResponse
@@ -232,7 +232,7 @@
 		}
 		c.closesConn = k.closesConn // of the submission that answers: heads of others may have been built before or after it
 	}
-	l.complete(wc, e, out, mustClose)
+	l.completeSubmission(wc, e, out, mustClose)
 }
 
 // parseLoadReport reads a load report in the ORCA format: the header endpoint-load-metrics as TEXT or JSON. The queue length
