--- a/edge/loop.go
+++ b/edge/loop.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	maxReusedBuffer = 64 << 10         // bytes; larger buffers are freed rather than kept for reuse
-	minWakeInterval = time.Millisecond // least time between two wake-ups of a loop by its timers
+	maxReusedBuffer = 64 << 10         // size in bytes above which a buffer is freed rather than kept for reuse
+	minWakeInterval = time.Millisecond // minimum time between two wake-ups of a loop by its timers
 )
 
 // eventKind selects the decision module's method that an event is passed to.
@@ -39,7 +39,7 @@
 	evFunc // runs a function, for rare events
 )
 
-// event is an event queued for the decision module.
+// event is an event queued for the decision module. Which fields are set depends on the kind.
 type event struct {
 	kind    eventKind
 	call    *call
@@ -96,7 +96,7 @@
 	pools              map[logic.WorkerID]*pool
 	workerStarts       map[logic.WorkerID]workerStart
 	listSeen           bool       // whether a worker list has been applied, also a restored one
-	startTimesReported bool       // whether the source reports every worker's start, so that 0 means long past
+	startTimesReported bool       // whether the source reports each worker's start; a missing one then means long ago
 	numDialing         int        // worker connections being opened
 	reuseLimit         reuseLimit // limits how long an idle worker connection may be reused
 	numConns           int        // worker connections, open or being opened
@@ -106,12 +106,12 @@
 
 	events        []event
 	actions       []action
-	resumeReads   []*clientConn // connections just answered, whose next request may be buffered
+	resumeReads   []*clientConn // connections just answered, whose next request may have been received
 	processing    bool          // whether processEvents is running
 	callbackDepth int           // nesting depth of callbacks from gnet
 	load          logic.Load    // the load report of the outcome being dispatched
 
-	// Reused between callbacks.
+	// Buffers reused between callbacks.
 	req     http1.Request
 	resp    http1.Response
 	scratch []byte
@@ -121,37 +121,38 @@
 	workerIdleTimeout logic.Nanos
 	draining          bool
 	stopping          bool
-	answerDeadline    logic.Nanos   // in a drain: when open txns are answered at the latest
+	answerDeadline    logic.Nanos   // in a drain: time by which all open txns are answered
 	drained           chan struct{} // closed when no request can be read any more
 	drainSignaled     bool          // whether drained is closed
 	closingConns      []closingConn
 	closingTimerSet   bool
-	spareFD           int  // a descriptor held in reserve for when the process runs out of them; -1 when there is none
+	spareFD           int  // the reserve descriptor of reserveFD; -1 when there is none
 	listCurrent       bool // whether a worker list from the source has been applied
 	voteInFlight      bool
 	stats             stats
 	statsSnapshot     atomic.Pointer[stats] // copy of stats for readers on any goroutine
 	clientCount       atomic.Int64          // open client connections; read and written by any goroutine
 
-	// Functions posted by other goroutines, and what wakes the loop to run them.
+	// Functions posted by other goroutines, and the means of waking the loop to run them or its timers.
 	mu           sync.Mutex // guards postedFuncs
 	postedFuncs  []func()
 	wakeConn     net.Conn       // a byte written here wakes the loop
-	alarmAt      atomic.Int64   // when runAlarm wakes the loop next; 0 when it is not set
-	alarmChanged chan struct{}  // tells runAlarm that alarmAt has changed
+	alarmAt      atomic.Int64   // when runAlarm wakes the loop; 0 when no alarm is set
+	alarmChanged chan struct{}  // signals a change of alarmAt to runAlarm
 	lastWake     logic.Nanos    // when the loop was last woken
-	group        sync.WaitGroup // dials, votes, relays and runAlarm
+	group        sync.WaitGroup // goroutines of dials, votes, relays and runAlarm
 	quit         chan struct{}  // closed by halt
 }
 
 // workerStart identifies one process of a worker id, so that a replacement under the same id is recognized.
 type workerStart struct {
-	reported  int64 // start time as reported, by the platform's clock; 0 when none was
+	reported  int64 // start time as reported, by the platform's clock; 0 when none was reported
 	address   string
 	build     int
-	startedAt logic.Nanos // start time by the local clock; 0 when long past
+	startedAt logic.Nanos // start time by the local clock; 0 when long ago
 }
 
+// newLoop returns the process's loop i, not yet started.
 func newLoop(p *Process, i int) *loop {
 	sentryIndex := int(p.cfg.Module["index"].(float64)) + i
 	// Each sentry has a seed of its own, so that no two share a random sequence.
@@ -167,7 +168,7 @@
 	return l
 }
 
-// start starts the event loop and its sentry. list and update are the state restored from the previous run, or nil.
+// start starts the event loop and its sentry. list and update are the state to begin with, or nil.
 func (l *loop) start(list *api.WorkersEvent, update *logic.ReleaseUpdate) error {
 	var err error
 	l.client, err = gnet.NewClient(l, gnet.WithLogger(gnetLogger{l.p.log}), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
@@ -224,7 +225,7 @@
 	return err
 }
 
-// openRecorder opens the trace recorder if the configuration has one.
+// openRecorder opens the trace recorder if the configuration has a directory for traces.
 func (l *loop) openRecorder(settings map[string]any) (err error) {
 	t := &l.p.cfg.Trace
 	if t.Dir == "" {
@@ -246,7 +247,7 @@
 	return err
 }
 
-// deliverWorkers and the methods below record a rare event and pass it to the module.
+// deliverWorkers, like the other deliver methods below, records an event in the trace and passes it to the module.
 func (l *loop) deliverWorkers(mode logic.ListMode, list []logic.Worker) {
 	l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
 		if l.recorder != nil {
@@ -256,12 +257,12 @@
 	}})
 }
 
-func (l *loop) deliverRelease(n logic.ReleaseUpdate) {
+func (l *loop) deliverRelease(u logic.ReleaseUpdate) {
 	l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
 		if l.recorder != nil {
-			l.recorder.News(now, n)
+			l.recorder.News(now, u)
 		}
-		l.sentry.ReleaseUpdate(now, n)
+		l.sentry.ReleaseUpdate(now, u)
 	}})
 }
 
@@ -283,12 +284,12 @@
 	}})
 }
 
-func (l *loop) deliverPeerMessage(from int, data []byte) {
+func (l *loop) deliverPeerMessage(sender int, data []byte) {
 	l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
 		if l.recorder != nil {
-			l.recorder.Told(now, from, data)
+			l.recorder.Told(now, sender, data)
 		}
-		l.sentry.PeerMessage(now, from, data)
+		l.sentry.PeerMessage(now, sender, data)
 	}})
 }
 
@@ -306,11 +307,13 @@
 	}
 }
 
+// wakeByte is written to wakeConn to wake the loop.
 var wakeByte = []byte{1}
 
+// wake wakes the loop. Any goroutine may call it.
 func (l *loop) wake() {
-	// A full socket buffer would block the caller, so the write has a deadline. Nothing is lost then, as the loop has a
-	// wake-up pending already.
+	// A full socket buffer would block the caller, so the write has a deadline. A write that times out does no harm, as the
+	// bytes in the buffer still wake the loop.
 	l.wakeConn.SetWriteDeadline(time.Now().Add(time.Second))
 	l.wakeConn.Write(wakeByte)
 }
@@ -395,12 +398,13 @@
 	case timerExpiry, timerHalfClose, timerSubTimeout, timerConnWait:
 		c := l.findCall(logic.TxnID(t.token))
 		return c == nil || t.kind != timerExpiry && t.kind != timerHalfClose && c.subs[t.subIndex].state == subEnded
-	case timerModule: // the module has nothing to do for a txn that is over
+	case timerModule: // a timer for a txn that has ended has no effect in the module
 		return t.txnID != 0 && l.findCall(t.txnID) == nil
 	}
 	return false
 }
 
+// fireTimer handles a timer that is due and still applies.
 func (l *loop) fireTimer(t timer) {
 	switch t.kind {
 	case timerModule:
@@ -446,7 +450,7 @@
 	}
 	l.processEvents()
 	if c = l.findCall(id); c != nil && c.admitted && !c.answered && !c.clientLeft {
-		// The module still holds the txn although nothing of it is outstanding. Without this it would never be answered.
+		// The module still holds the txn although no submission is outstanding. Without this, the client would get no answer.
 		l.stats.hostVoided++
 		l.log.Error("txn held past its expiry, voided by the host", zap.Uint64("txn", uint64(c.id())))
 		l.enqueue(event{kind: evClientLeft, call: c})
@@ -455,7 +459,7 @@
 	}
 }
 
-// enqueue appends an event to the module's queue, which processEvents works off.
+// enqueue appends an event to the queue for the module. processEvents processes the queue.
 func (l *loop) enqueue(e event) {
 	if e.call != nil {
 		e.call.pendingEvents++
@@ -463,8 +467,9 @@
 	l.events = append(l.events, e)
 }
 
-// processEvents passes queued events to the module one by one, and executes the actions of each before the next. Executing
-// an action can end connections and so cause further events; these are queued, so that calls into the module don't nest.
+// processEvents passes queued events to the module one by one, and executes the actions of each before the next event.
+// Executing an action can end connections and so cause further events; these are queued, so that calls into the module don't
+// nest.
 func (l *loop) processEvents() {
 	if l.processing {
 		return
@@ -496,7 +501,7 @@
 		if l.recorder != nil {
 			c.traced = l.recorder.Take(l.now, &c.txn, c.serial, c.traceID[0], c.traceID[1])
 		}
-		l.admitting = c.id() // timers that the module sets during this call are about this txn
+		l.admitting = c.id() // timers that the module sets during this call are for this txn
 		l.sentry.Take(l.now, c.txn)
 		l.admitting = 0
 	case evOutcome:
@@ -563,7 +568,7 @@
 	}
 }
 
-// The methods below implement logic.Sink. Actions on txns and timers are only queued, and executed once the module's
+// The following methods implement logic.Sink. Actions on txns and timers are only queued, and executed once the module's
 // method has returned.
 
 // Submit implements logic.Sink.
@@ -573,24 +578,32 @@
 	}
 	l.actions = append(l.actions, action{kind: actionSubmit, txn: t, worker: w, duration: timeout})
 }
+
+// Cancel implements logic.Sink.
 func (l *loop) Cancel(t logic.TxnID, number int) {
 	if l.traced(t) {
 		l.recorder.Event(l.now, tracepb.Kind_CANCEL, t, number, 0, 0)
 	}
 	l.actions = append(l.actions, action{kind: actionCancel, txn: t, subIndex: number})
 }
+
+// Decline implements logic.Sink.
 func (l *loop) Decline(t logic.TxnID, retryAfter logic.Nanos) {
 	if l.traced(t) {
 		l.recorder.Event(l.now, tracepb.Kind_DECLINE, t, 0, 0, uint64(retryAfter))
 	}
 	l.actions = append(l.actions, action{kind: actionDecline, txn: t, duration: retryAfter})
 }
+
+// Void implements logic.Sink.
 func (l *loop) Void(t logic.TxnID) {
 	if l.traced(t) {
 		l.recorder.Event(l.now, tracepb.Kind_VOID, t, 0, 0, 0)
 	}
 	l.actions = append(l.actions, action{kind: actionVoid, txn: t})
 }
+
+// SetTimer implements logic.Sink.
 func (l *loop) SetTimer(after logic.Nanos, token uint64) {
 	if l.recorder != nil {
 		l.recorder.Event(l.now, tracepb.Kind_REMIND, 0, 0, token, uint64(after))
@@ -601,24 +614,32 @@
 	}
 	l.actions = append(l.actions, action{kind: actionSetTimer, duration: after, token: token, txn: id})
 }
+
+// Vote implements logic.Sink.
 func (l *loop) Vote(v logic.Verdict, rel logic.RelID, stage int) {
 	if l.recorder != nil {
 		l.recorder.Event(l.now, tracepb.Kind_VOTE, 0, int(v), uint64(rel), uint64(stage))
 	}
 	l.castVote(v, rel, stage)
 }
+
+// WatchWorkers implements logic.Sink.
 func (l *loop) WatchWorkers() {
 	if l.recorder != nil {
 		l.recorder.Event(l.now, tracepb.Kind_WATCH, 0, 0, 0, 0)
 	}
 	l.p.source.Refresh()
 }
+
+// SendToPeer implements logic.Sink.
 func (l *loop) SendToPeer(to int, data []byte) {
 	if l.recorder != nil {
 		l.recorder.Tell(l.now, to, data)
 	}
 	l.p.sendToPeer(l.sentryIndex, to, data)
 }
+
+// Log implements logic.Sink.
 func (l *loop) Log(text string) {
 	if l.recorder != nil {
 		l.recorder.Log(l.now, text)
@@ -635,7 +656,7 @@
 	return c != nil && c.traced
 }
 
-// ---- gnet callbacks ----
+// The following methods are callbacks from gnet.
 
 // OnOpen handles a new connection, from a client or to a worker.
 func (l *loop) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
@@ -670,10 +691,10 @@
 		c.Discard(-1)
 		l.lastWake = l.now
 		l.mu.Lock()
-		todo := l.postedFuncs
+		posted := l.postedFuncs
 		l.postedFuncs = nil
 		l.mu.Unlock()
-		for _, do := range todo {
+		for _, do := range posted {
 			do()
 			l.processEvents()
 		}
@@ -699,7 +720,7 @@
 			ctx.handleClose(err)
 		}
 	}
-	// A failed write closes its connection from within the code that wrote. The resulting events wait until the outermost
+	// A failed write closes its connection within the callback that wrote. The resulting events wait until the outermost
 	// callback processes them.
 	if outermost {
 		l.processEvents()
@@ -708,8 +729,8 @@
 	return gnet.None
 }
 
-// halt ends the loop and cuts the connections that it still has. It is called once, from another goroutine, when no new
-// connections are passed to the loop any more.
+// halt ends the loop and cuts its remaining connections. It is called once, from another goroutine, when no new connections
+// are passed to the loop any more.
 func (l *loop) halt() {
 	done := make(chan struct{})
 	l.post(func() { l.stopping = true; close(done) })
@@ -724,13 +745,14 @@
 	}
 }
 
-// gnetLogger logs gnet's messages at debug level, since the caller that handles an error also logs it.
+// gnetLogger logs gnet's messages at debug level, since the code that handles an error also logs it. Fatal messages are
+// logged as errors.
 type gnetLogger struct{ log *zap.Logger }
 
-func (q gnetLogger) Debugf(format string, args ...any) { q.log.Sugar().Debugf(format, args...) }
-func (q gnetLogger) Infof(format string, args ...any)  { q.log.Sugar().Debugf(format, args...) }
-func (q gnetLogger) Warnf(format string, args ...any)  { q.log.Sugar().Debugf(format, args...) }
-func (q gnetLogger) Errorf(format string, args ...any) { q.log.Sugar().Debugf(format, args...) }
-func (q gnetLogger) Fatalf(format string, args ...any) { q.log.Sugar().Errorf(format, args...) }
+func (g gnetLogger) Debugf(format string, args ...any) { g.log.Sugar().Debugf(format, args...) }
+func (g gnetLogger) Infof(format string, args ...any)  { g.log.Sugar().Debugf(format, args...) }
+func (g gnetLogger) Warnf(format string, args ...any)  { g.log.Sugar().Debugf(format, args...) }
+func (g gnetLogger) Errorf(format string, args ...any) { g.log.Sugar().Debugf(format, args...) }
+func (g gnetLogger) Fatalf(format string, args ...any) { g.log.Sugar().Errorf(format, args...) }
 
 var _ logic.Sink = (*loop)(nil)
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -8,13 +8,17 @@
 	"net/netip"
 )
 
-// maxPeerMessage is the maximum size of a message between sentries, in bytes, without the header.
-const maxPeerMessage = 256
+const (
+	// maxPeerMessage is the maximum size of a message between sentries, in bytes, without the header.
+	maxPeerMessage = 256
+	// peerHeaderBytes is the size of the header: the indexes of the sending and the receiving sentry, two bytes each.
+	peerHeaderBytes = 4
+)
 
-// listenPeers opens the socket for other sentries' messages. readPeerMessages reads from it once the loops run.
+// listenPeers opens the socket for messages from other sentries, if messages are allowed.
 func (p *Process) listenPeers() error {
 	if !p.cfg.Module["allow.messages"].(bool) {
-		return nil // the configuration may contain addresses even so
+		return nil // even if the configuration contains addresses
 	}
 	for _, a := range p.cfg.Peers {
 		u, err := net.ResolveUDPAddr("udp", a)
@@ -36,39 +40,40 @@
 	return nil
 }
 
-// readPeerMessages reads other sentries' messages until the socket is closed. Others send at any time, so it must not start
-// before every loop runs: a message that arrived earlier, as after a restart under load, would find no loop to receive it.
+// readPeerMessages reads messages from other sentries until the socket is closed. It must not start before every loop runs:
+// other sentries send at any time, for example to one that restarts under load, and a message read earlier would find no loop
+// to receive it.
 func (p *Process) readPeerMessages() {
-	buf := make([]byte, 4+maxPeerMessage+1)
+	buf := make([]byte, peerHeaderBytes+maxPeerMessage+1) // one byte more, to detect messages that are too long
 	for {
-		n, from, err := p.peerConn.ReadFromUDPAddrPort(buf)
+		n, addr, err := p.peerConn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if p.cfg.PeerListen != "" { // messages have no header: the sender is known by its address
 			if err == nil && n <= maxPeerMessage {
-				p.handlePeerMessage(from, append([]byte(nil), buf[:n]...))
+				p.handlePeerMessage(addr, append([]byte(nil), buf[:n]...))
 			}
 			continue
 		}
-		if err != nil || n < 4 || n > 4+maxPeerMessage {
+		if err != nil || n < peerHeaderBytes || n > peerHeaderBytes+maxPeerMessage {
 			continue
 		}
-		sender, to := int(binary.BigEndian.Uint16(buf)), int(binary.BigEndian.Uint16(buf[2:]))
-		data := append([]byte(nil), buf[4:n]...)
+		sender, receiver := int(binary.BigEndian.Uint16(buf)), int(binary.BigEndian.Uint16(buf[2:]))
+		data := append([]byte(nil), buf[peerHeaderBytes:n]...)
 		for _, l := range p.loops {
-			if l.sentryIndex == to {
+			if l.sentryIndex == receiver {
 				l.post(func() { l.deliverPeerMessage(sender, data) })
 			}
 		}
 	}
 }
 
-// handlePeerMessage passes a message without header to the loop. Messages from unknown addresses are dropped.
-func (p *Process) handlePeerMessage(from netip.AddrPort, data []byte) {
-	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-	for i, a := range p.peerAddrs {
-		if at := a.AddrPort(); netip.AddrPortFrom(at.Addr().Unmap(), at.Port()) == from {
+// handlePeerMessage passes a message without header to the first loop. Messages from unknown addresses are dropped.
+func (p *Process) handlePeerMessage(addr netip.AddrPort, data []byte) {
+	addr = netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
+	for i, peer := range p.peerAddrs {
+		if known := peer.AddrPort(); netip.AddrPortFrom(known.Addr().Unmap(), known.Port()) == addr {
 			l := p.loops[0]
 			l.post(func() { l.deliverPeerMessage(i, data) })
 			return
@@ -76,16 +81,16 @@
 	}
 }
 
-// sendToPeer sends a message to another sentry. Delivery is not guaranteed.
-func (p *Process) sendToPeer(from, to int, data []byte) {
-	if p.peerConn == nil || to < 0 || to >= len(p.peerAddrs) || len(data) > maxPeerMessage {
+// sendToPeer sends a message between the sentries with the given indexes. Delivery is not guaranteed.
+func (p *Process) sendToPeer(sender, receiver int, data []byte) {
+	if p.peerConn == nil || receiver < 0 || receiver >= len(p.peerAddrs) || len(data) > maxPeerMessage {
 		return
 	}
 	if p.cfg.PeerListen != "" {
-		p.peerConn.WriteToUDP(data, p.peerAddrs[to])
+		p.peerConn.WriteToUDP(data, p.peerAddrs[receiver])
 		return
 	}
-	msg := binary.BigEndian.AppendUint16(nil, uint16(from))
-	msg = binary.BigEndian.AppendUint16(msg, uint16(to))
-	p.peerConn.WriteToUDP(append(msg, data...), p.peerAddrs[to])
+	msg := binary.BigEndian.AppendUint16(nil, uint16(sender))
+	msg = binary.BigEndian.AppendUint16(msg, uint16(receiver))
+	p.peerConn.WriteToUDP(append(msg, data...), p.peerAddrs[receiver])
 }
--- a/edge/process.go
+++ b/edge/process.go
@@ -32,7 +32,7 @@
 	kindIDs     map[string]int
 	productIDs  map[string]int
 	source      Source
-	openClients atomic.Int64 // client connections, of all loops
+	openClients atomic.Int64 // open client connections of all loops
 	listener    net.Listener
 	startedAt   time.Time
 	epoch       int64        // wall clock at startedAt, in Unix nanoseconds
@@ -73,30 +73,30 @@
 	return p
 }
 
-// indexNames maps each name to its index, counted from the given first index.
-func indexNames(names []string, from int) map[string]int {
+// indexNames maps each name to its index, counted from firstIndex.
+func indexNames(names []string, firstIndex int) map[string]int {
 	m := map[string]int{}
 	for i, n := range names {
-		m[n] = i + from
+		m[n] = i + firstIndex
 	}
 	return m
 }
 
-// clock returns the process's monotonic time, which starts at the wall clock and never goes back. It is rounded down to
-// microseconds: finer differences are below the cost of a system call and would only enlarge the traces.
+// clock returns a monotonic time that equals the wall clock at the start of the process. It is rounded down to microseconds:
+// finer differences are below the cost of a system call and would only enlarge the traces.
 func (p *Process) clock() logic.Nanos {
 	return logic.Nanos((p.epoch + int64(time.Since(p.startedAt))) / 1000 * 1000)
 }
 
-// Refresh makes the source deliver its full state again, as after a SIGHUP.
+// Refresh requests that the source deliver its full state again, as on a SIGHUP.
 func (p *Process) Refresh() { p.source.Refresh() }
 
 // Run serves until ctx ends, then drains: it accepts no new connections and gives every admitted txn one final answer
 // within the configured drain time. listening, if not nil, is called with the listener's address. The error is nil after
 // a clean drain.
 func (p *Process) Run(ctx context.Context, listening func(net.Addr)) error {
-	// An event loop blocked in a system call can hold its P for up to 10 ms before the runtime retakes it. Without a spare
-	// P every timer and every other loop would be delayed by as much.
+	// An event loop that is blocked in a system call can hold its P (the scheduler's processor) for up to 10 ms before the
+	// runtime retakes it. Without a spare P, this would delay all timers and other loops.
 	if runtime.GOMAXPROCS(0) < p.cfg.Loops+1 {
 		runtime.GOMAXPROCS(p.cfg.Loops + 1)
 	}
@@ -115,9 +115,9 @@
 		p.loops = append(p.loops, l)
 	}
 	if p.peerConn != nil {
-		go p.readPeerMessages() // ends when the socket is closed; earlier datagrams wait in the socket buffer
+		go p.readPeerMessages() // ends when the socket is closed; datagrams that arrived before wait in the socket buffer
 	}
-	admin, err := p.serveAdmin() // before the listener opens, since a failure here would cut accepted connections
+	admin, err := p.serveAdmin() // before the listener opens: a later failure would cut accepted connections
 	if err != nil {
 		p.stopLoops()
 		return err
--- a/edge/relay.go
+++ b/edge/relay.go
@@ -11,16 +11,16 @@
 	"dunegrade/logic"
 )
 
-// returnedWorker is the context with which a worker connection returns from a streamRelay to the event loop.
+// returnedWorker is the context with which a worker connection is enrolled in the event loop after a streamRelay.
 type returnedWorker struct{ pool *pool }
 
 // streamRelay forwards an answer that streams or is too large to be buffered. It runs on its own goroutine with exclusive
 // use of both connections, and blocks while the client reads slowly. The event loop cannot stop reading from a worker, so
-// there a fast worker with a slow client would exhaust memory.
+// on the loop a fast worker with a slow client would exhaust memory.
 type streamRelay struct {
 	l             *loop
 	call          *call
-	subIndex      int // number of the call's submission
+	subIndex      int // index in call.subs
 	pool          *pool
 	worker        net.Conn
 	client        net.Conn
@@ -37,8 +37,8 @@
 	hasLoad       bool
 }
 
-// startRelay hands the answer that hw is receiving to a new streamRelay. It returns false if the relay has to wait until
-// earlier answers have left the client connection, and true if the loop is done with this answer.
+// startRelay hands the answer that hw is receiving to a new streamRelay. It returns false if the relay can't start before
+// earlier answers have left the client connection, and true if the loop has no more to do with this answer.
 func (l *loop) startRelay(hw *httpWorker) bool {
 	wc := hw.wc
 	c, n := wc.call, wc.subIndex
@@ -113,7 +113,7 @@
 	return true
 }
 
-// connFromFD returns a net.Conn for a descriptor, which it takes over.
+// connFromFD returns a net.Conn for a descriptor, of which it takes ownership. It returns err if err is not nil.
 func connFromFD(fd int, err error) (net.Conn, error) {
 	if err != nil {
 		return nil, err
@@ -123,8 +123,8 @@
 	return net.FileConn(f)
 }
 
-// run forwards the answer and then returns the connections to the event loop or closes them. There is one goroutine per
-// relayed answer; it ends with the answer, on a timeout of either side, or when the loop quits.
+// run forwards the answer and then returns the connections to the event loop or closes them. There is one such goroutine per
+// relayed answer; it ends with the answer, on a timeout of either side, or when the loop halts.
 func (r *streamRelay) run() {
 	l := r.l
 	defer l.group.Done()
@@ -139,10 +139,10 @@
 		case <-finished:
 		}
 	}()
-	fromWorker, toClient := r.relayAnswer()
+	workerErr, clientErr := r.relayAnswer()
 	close(finished)
 	<-watcherDone
-	complete := fromWorker == nil && toClient == nil
+	complete := workerErr == nil && clientErr == nil
 	select {
 	case <-l.quit:
 		complete = false
@@ -178,9 +178,9 @@
 	l.post(func() {
 		l.stats.streaming--
 		e := logic.OK
-		if fromWorker != nil {
+		if workerErr != nil {
 			e = logic.Disconnected
-		} else if toClient != nil {
+		} else if clientErr != nil {
 			e = logic.Cancelled
 		}
 		var load *logic.Load
@@ -191,8 +191,8 @@
 	})
 }
 
-// awaitDelivery waits until the client's host has acknowledged the answer. Closing earlier while a request is unread would
-// reset the connection and destroy the answer.
+// awaitDelivery waits until the client's host has acknowledged the answer. Closing the connection earlier, while a request is
+// unread, would reset it and destroy the answer.
 func (r *streamRelay) awaitDelivery() {
 	c, ok := r.client.(*net.TCPConn)
 	if !ok {
@@ -203,10 +203,10 @@
 		return
 	}
 	c.CloseWrite()
-	until := time.Now().Add(r.l.p.cfg.ClientLimits.SlowReaderTimeout)
+	deadline := time.Now().Add(r.l.p.cfg.ClientLimits.SlowReaderTimeout)
 	ticker := time.NewTicker(time.Duration(closingPollInterval))
 	defer ticker.Stop()
-	for time.Now().Before(until) {
+	for time.Now().Before(deadline) {
 		unacked := 0
 		raw.Control(func(fd uintptr) { unacked = unackedBytes(int(fd)) })
 		if unacked <= 0 {
@@ -223,8 +223,8 @@
 // relayBufferBytes is the size of a relay's read buffer.
 const relayBufferBytes = 64 << 10
 
-// relayAnswer forwards the rest of the answer, and returns the error of the side that failed, if any.
-func (r *streamRelay) relayAnswer() (fromWorker, toClient error) {
+// relayAnswer forwards the answer, and returns the error of the side that failed, if any.
+func (r *streamRelay) relayAnswer() (workerErr, clientErr error) {
 	limits := &r.l.p.cfg.ClientLimits
 	write := func(b []byte) error {
 		if len(b) == 0 {
@@ -234,8 +234,8 @@
 		_, err := r.client.Write(b)
 		return err
 	}
-	if toClient = write(r.initial); toClient != nil {
-		return nil, toClient
+	if clientErr = write(r.initial); clientErr != nil {
+		return nil, clientErr
 	}
 	r.initial = nil
 	readBuf := make([]byte, relayBufferBytes)
@@ -251,8 +251,8 @@
 				return nil, nil
 			}
 			n := min(int64(len(pending)), r.remaining)
-			if toClient = write(pending[:n]); toClient != nil {
-				return nil, toClient
+			if clientErr = write(pending[:n]); clientErr != nil {
+				return nil, clientErr
 			}
 			r.remaining -= n
 			pending = pending[n:]
@@ -274,8 +274,8 @@
 				out = append(out, http1.LastChunk...)
 			}
 			pending = pending[consumed:]
-			if toClient = write(out); toClient != nil {
-				return nil, toClient
+			if clientErr = write(out); clientErr != nil {
+				return nil, clientErr
 			}
 			if done {
 				r.buffered = pending
@@ -294,8 +294,8 @@
 			if eof && r.chunkToClient {
 				out = append(out, http1.LastChunk...)
 			}
-			if toClient = write(out); toClient != nil || eof {
-				return nil, toClient
+			if clientErr = write(out); clientErr != nil || eof {
+				return nil, clientErr
 			}
 		}
 		spill = append(spill[:0], pending...) // pending may be a slice of readBuf, which the next read overwrites
--- a/edge/saved_state.go
+++ b/edge/saved_state.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	saveDelay      = 100 * time.Millisecond // how long changes are collected before the state is written
-	saveRetryDelay = time.Second            // after a failed write
+	saveDelay      = 100 * time.Millisecond // time over which changes are collected before the state is written
+	saveRetryDelay = time.Second            // delay after a failed write
 )
 
-// scheduleSave schedules a save of the state for the next start. Changes in quick succession are written once.
+// scheduleSave schedules a save of the state, which the next process restores. Changes in quick succession are written once.
 func (p *Process) scheduleSave() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,20 +44,20 @@
 // savedState is the content of the state file: the last worker list and release state.
 type savedState struct {
 	Version int          `json:"version"`
-	Saved   int64        `json:"saved"`           // when it was saved by the local clock, in Unix nanoseconds
-	Clock   int64        `json:"clock,omitempty"` // the platform's clock at that time, by which workers' start times are given
+	Saved   int64        `json:"saved"`           // time of the save by the local clock, in Unix nanoseconds
+	Clock   int64        `json:"clock,omitempty"` // platform's clock at that time, to which the workers' start times refer
 	Workers []api.Worker `json:"workers"`
 	Release api.Release  `json:"release"`
 }
 
 // validate returns an error if the state has another version or an invalid worker list or release.
-func (k *savedState) validate() error {
-	if k.Version != 1 {
-		return fmt.Errorf("version %d, want 1", k.Version)
+func (s *savedState) validate() error {
+	if s.Version != 1 {
+		return fmt.Errorf("version %d, want 1", s.Version)
 	}
 	seen := map[string]bool{}
-	for i := range k.Workers {
-		w := &k.Workers[i]
+	for i := range s.Workers {
+		w := &s.Workers[i]
 		if err := w.Validate(); err != nil {
 			return fmt.Errorf("entry %d: %w", i+1, err)
 		}
@@ -66,17 +66,18 @@
 		}
 		seen[w.ID] = true
 	}
-	if k.Release == (api.Release{}) { // no release was known
+	if s.Release == (api.Release{}) { // no release was known
 		return nil
 	}
-	return k.Release.Validate()
+	return s.Release.Validate()
 }
 
+// statePath returns the path of the state file.
 func (p *Process) statePath() string { return filepath.Join(p.cfg.StateDir, p.cfg.Name+".list.json") }
 
-// saveState writes the state to a temporary file and renames it, so that a crash leaves either the old file or the new one.
+// saveState writes the state to the state file. final is true for the save at the end of the process.
 func (p *Process) saveState(final bool) {
-	p.saveMu.Lock() // concurrent writers would leave a mixture of both versions in the file
+	p.saveMu.Lock() // concurrent writers would leave a mixture of two versions in the file
 	defer p.saveMu.Unlock()
 	p.mu.Lock()
 	if p.saveTimer = nil; p.saveClosed && !final {
@@ -84,16 +85,16 @@
 		return
 	}
 	now := time.Now().UnixNano()
-	k := savedState{Version: 1, Saved: now, Clock: now + p.clockOffset, Release: p.release}
+	state := savedState{Version: 1, Saved: now, Clock: now + p.clockOffset, Release: p.release}
 	for _, w := range p.workers {
-		k.Workers = append(k.Workers, w)
+		state.Workers = append(state.Workers, w)
 	}
 	p.mu.Unlock()
-	if p.cfg.StateDir == "" || len(k.Workers) == 0 {
+	if p.cfg.StateDir == "" || len(state.Workers) == 0 {
 		return
 	}
-	slices.SortFunc(k.Workers, func(a, b api.Worker) int { return cmp.Compare(a.ID, b.ID) })
-	data, err := json.Marshal(k)
+	slices.SortFunc(state.Workers, func(a, b api.Worker) int { return cmp.Compare(a.ID, b.ID) })
+	data, err := json.Marshal(state)
 	if err == nil {
 		err = replaceFile(p.statePath(), data)
 	}
@@ -109,12 +110,12 @@
 	if p.saveFailed = failed; failed {
 		p.log.Warn("the last list could not be kept", zap.Error(err))
 	} else {
-		p.log.Info("the last list is kept again", zap.Int("workers", len(k.Workers)))
+		p.log.Info("the last list is kept again", zap.Int("workers", len(state.Workers)))
 	}
 }
 
-// replaceFile replaces a file's content by a rename. The new file is synced first; otherwise it could be empty after a power
-// failure.
+// replaceFile writes data to a temporary file and renames it to path, so that a crash leaves either the old file or the new
+// one. The temporary file is synced first; otherwise the file could be empty after a power failure.
 func replaceFile(path string, data []byte) error {
 	f, err := os.Create(path + ".new")
 	if err != nil {
@@ -133,8 +134,8 @@
 	return err
 }
 
-// restoreState reads the saved state and returns it as events, with the platform's clock advanced to the present. An invalid
-// file is logged and ignored.
+// restoreState reads the saved state and returns it as a list event and a release update, or nil if there is none. The event's
+// time is the saved platform time plus the age of the state. An invalid file is logged and ignored.
 func (p *Process) restoreState() (list *api.WorkersEvent, update *logic.ReleaseUpdate) {
 	if p.cfg.StateDir == "" {
 		return nil, nil
@@ -147,37 +148,37 @@
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
-	var k savedState
+	var state savedState
 	if err == nil {
-		err = json.Unmarshal(data, &k)
+		err = json.Unmarshal(data, &state)
 	}
 	if err == nil {
-		err = k.validate()
+		err = state.validate()
 	}
 	if err != nil {
 		p.log.Warn("the kept list is refused", zap.String("file", p.statePath()), zap.Error(err))
 		return nil, nil
 	}
 	now := time.Now().UnixNano()
-	age := max(0, now-k.Saved)
-	list = &api.WorkersEvent{Type: api.Whole, Now: now, Workers: k.Workers}
-	if k.Clock != 0 {
-		list.Now = k.Clock + age
+	age := max(0, now-state.Saved)
+	list = &api.WorkersEvent{Type: api.Whole, Now: now, Workers: state.Workers}
+	if state.Clock != 0 {
+		list.Now = state.Clock + age
 	}
 	p.clockOffset = list.Now - now
-	for _, w := range k.Workers {
+	for _, w := range state.Workers {
 		p.workers[w.ID] = w
 	}
-	p.log.Info("last list restored", zap.Int("workers", len(k.Workers)), zap.Duration("age", time.Duration(age)))
+	p.log.Info("last list restored", zap.Int("workers", len(state.Workers)), zap.Duration("age", time.Duration(age)))
 	// A released build stays released until the platform reports otherwise. A build on trial may have lost its cap in the
 	// meantime, so it gets no txns until then.
-	if k.Release != (api.Release{}) {
-		p.release = k.Release
-		n := toReleaseUpdate(api.ReleaseEvent{Release: k.Release}, false)
-		if n.Phase != logic.Released {
-			n.Cap = 0
+	if state.Release != (api.Release{}) {
+		p.release = state.Release
+		release := toReleaseUpdate(api.ReleaseEvent{Release: state.Release}, false)
+		if release.Phase != logic.Released {
+			release.Cap = 0
 		}
-		update = &n
+		update = &release
 	}
 	return list, update
 }
--- a/edge/source.go
+++ b/edge/source.go
@@ -32,7 +32,7 @@
 	Tally(api.Tally)
 }
 
-// Source delivers worker lists and release states, and accepts votes.
+// Source delivers worker lists, release states, reports and tallies, and accepts votes.
 type Source interface {
 	// Run delivers events to the handler until ctx ends. It leaves no goroutine behind.
 	Run(ctx context.Context, handler EventHandler)
@@ -42,10 +42,11 @@
 	Vote(ctx context.Context, v api.Vote) (api.ReleaseEvent, error)
 }
 
-// apiSource follows an HTTP API by watches. Broken watches are opened again, the one of the worker list at its last revision.
+// apiSource receives events from watches of an HTTP API. A broken watch is opened again; the watch of the worker list then
+// continues at the last revision.
 type apiSource struct {
 	client *api.Client
-	edge   string
+	edge   string // name of this edge
 	log    *zap.Logger
 }
 
@@ -56,10 +57,12 @@
 // Refresh does nothing, as the watches deliver every change anyway.
 func (s *apiSource) Refresh() {}
 
+// Vote casts a vote through the HTTP API.
 func (s *apiSource) Vote(ctx context.Context, v api.Vote) (api.ReleaseEvent, error) {
 	return s.client.Vote(ctx, v)
 }
 
+// Run keeps the watches open until ctx ends.
 func (s *apiSource) Run(ctx context.Context, handler EventHandler) {
 	defer s.client.Close()
 	var group sync.WaitGroup
@@ -128,7 +131,7 @@
 	group.Wait()
 }
 
-// query returns the query parameter that names the edge, and the given pairs of names and values.
+// query returns query parameters with the name of the edge and the given pairs of names and values.
 func (s *apiSource) query(pairs ...string) url.Values {
 	q := url.Values{"edge": {s.edge}}
 	for i := 0; i+1 < len(pairs); i += 2 {
@@ -137,8 +140,13 @@
 	return q
 }
 
-// follow keeps a watch open until ctx ends. Retries back off with jitter, so that a server that comes back is not met by all
-// edges at once.
+const (
+	minWatchBackoff = 50 * time.Millisecond // mean delay before the first retry of a broken watch
+	maxWatchBackoff = 2 * time.Second       // upper limit of the mean delay
+)
+
+// follow keeps a watch open until ctx ends. Retries back off with jitter, so that edges don't all reconnect to a recovered
+// server at the same time.
 func (s *apiSource) follow(ctx context.Context, path string, query func() url.Values, handleLine func([]byte) error) {
 	rng := rand.New(rand.NewSource(int64(xxhash.Sum64String(s.edge + path))))
 	backoff, broken := time.Duration(0), false
@@ -157,7 +165,7 @@
 			s.log.Warn("watch broken", zap.String("path", path), zap.Error(err))
 			broken = true
 		}
-		backoff = min(max(2*backoff, 50*time.Millisecond), 2*time.Second)
+		backoff = min(max(2*backoff, minWatchBackoff), maxWatchBackoff)
 		t := time.NewTimer(backoff/2 + time.Duration(rng.Int63n(int64(backoff))))
 		select {
 		case <-ctx.Done():
@@ -167,7 +175,7 @@
 	}
 }
 
-// fileSource reads the worker list and the release state from a file, and rereads it when it changes.
+// fileSource reads the worker list and the release state from a file, and rereads the file when it changes.
 type fileSource struct {
 	path             string
 	log              *zap.Logger
@@ -178,6 +186,7 @@
 	return &fileSource{path: path, log: log, refreshRequested: make(chan struct{}, 1)}
 }
 
+// Refresh requests that the file be read and delivered again even if it has not changed.
 func (s *fileSource) Refresh() {
 	select {
 	case s.refreshRequested <- struct{}{}:
@@ -185,21 +194,26 @@
 	}
 }
 
-// Vote returns an error, as nothing counts votes: the release state in a file is changed by hand.
+// Vote returns an error, as no platform counts votes: the release state in a file is edited by hand.
 func (s *fileSource) Vote(context.Context, api.Vote) (api.ReleaseEvent, error) {
 	return api.ReleaseEvent{}, errors.New("a list file accepts no votes")
 }
 
-// mtimeSettleTime is how old a modification time must be before it identifies a version of the file. File systems have
-// coarse timestamps, so an earlier time may be shared by the next version.
-const mtimeSettleTime = 2 * time.Second
+const (
+	// filePollInterval is the interval between checks of the file's modification time.
+	filePollInterval = time.Second
+	// mtimeSettleTime is how old a modification time must be to identify a version of the file. File systems have coarse
+	// timestamps, so a more recent time may be shared by the next version.
+	mtimeSettleTime = 2 * time.Second
+)
 
+// Run delivers the contents of the file until ctx ends.
 func (s *fileSource) Run(ctx context.Context, handler EventHandler) {
-	var readModTime time.Time // modification time of the version last read; zero when the file has to be read again
-	var lastText []byte       // text of that version; nil when it has to be published in any case
+	var readModTime time.Time // modification time of the version last read; zero when the file must be read again
+	var lastText []byte       // text of that version; nil when the next read must be published even if the text is the same
 	unreadable := false       // whether the last attempt to read the file failed
 	revision := uint64(0)
-	tick := time.NewTicker(time.Second)
+	tick := time.NewTicker(filePollInterval)
 	defer tick.Stop()
 	for {
 		info, err := os.Stat(s.path)
@@ -216,7 +230,7 @@
 			}
 		}
 		if err != nil {
-			readModTime = time.Time{} // the file may reappear with the same modification time and another text
+			readModTime = time.Time{} // the file may come back with the same modification time but another text
 		}
 		if (err != nil) != unreadable {
 			if unreadable = err != nil; unreadable {
@@ -235,7 +249,7 @@
 	}
 }
 
-// publish delivers the contents of the file. An invalid file is logged, and the previous contents stay in force.
+// publish delivers the contents of the file. An invalid file is only logged, so the previous contents stay in force.
 func (s *fileSource) publish(handler EventHandler, revision uint64, text []byte) {
 	list, err := config.ParseWorkerList(s.path, string(text))
 	if err != nil {
--- a/edge/stats.go
+++ b/edge/stats.go
@@ -16,28 +16,28 @@
 	voided          uint64
 	clientLeft      uint64 // txns whose client left before the answer
 
-	refused       uint64 // malformed or too slow requests
+	refused       uint64 // requests refused as malformed, too slow or otherwise invalid
 	noRoute       uint64
 	overLimit     uint64 // requests declined because too many txns were open, or too late in a drain
 	slowReaders   uint64 // client connections ended because answers were not read
-	overHeldBytes uint64 // connections that had to give up their bytes, as all held too many
-	shed          uint64 // idle client connections ended to make room for new ones
+	overHeldBytes uint64 // client connections that lost their input because all together held too much
+	shed          uint64 // idle client connections ended to stay within the connection limit
 
 	sent             uint64 // submissions written to a worker
 	dials            uint64
 	dialsFailed      uint64
-	malformedAnswers uint64 // also unsolicited bytes
+	malformedAnswers uint64 // malformed answers and unsolicited bytes from workers
 	hostVoided       uint64 // txns voided by expireCall; any is a defect
 	bytesToWorkers   uint64
 	idleClosed       uint64 // worker connections closed at their idle timeout
-	stale            uint64 // idle worker connections found ended, or with unsolicited bytes, on reuse
+	stale            uint64 // idle worker connections that had ended or had unsolicited bytes on reuse
 
-	streamed       uint64 // answers passed to a streamRelay
-	streaming      int64  // answers that streamRelays are forwarding now
-	endings        [16]uint64
+	streamed       uint64                // answers passed to a streamRelay
+	streaming      int64                 // answers that streamRelays are forwarding now
+	endings        [16]uint64            // ended submissions by logic.Ending
 	repliesByClass [6]uint64             // the edge's own HTTP replies by the status's first digit
-	clientEnds     [numEndReasons]uint64 // ended client connections
-	owedAtEnd      [numEndReasons]uint64 // requests unanswered when their connection ended
+	clientEnds     [numEndReasons]uint64 // ended client connections by reason
+	owedAtEnd      [numEndReasons]uint64 // requests unanswered when their connection ended, by its end reason
 
 	// Gauges, filled in by publishStats.
 	openClients     int64
@@ -45,6 +45,7 @@
 	openWorkerConns int64
 }
 
+// endingNames holds the values of the ending label.
 var endingNames = map[logic.Ending]string{logic.OK: "ok", logic.Cancelled: "cancelled", logic.TimedOut: "timed-out",
 	logic.Rejected: "full", logic.Skipped: "moot", logic.Disconnected: "broken", logic.ErrorResponse: "erred",
 	logic.ConnectFailed: "connect-failed", logic.MalformedResponse: "spoilt"}
@@ -59,6 +60,7 @@
 // collector exports the loops' published stats to Prometheus.
 type collector struct{ p *Process }
 
+// desc describes a metric with the label sentry and the given further labels.
 func desc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("dunegrade_edge_"+name, help, append([]string{"sentry"}, labels...), nil)
 }
@@ -77,6 +79,7 @@
 	descHostVoided       = desc("unanswered_total", "Txns that the host had to void at their expiry; any is a defect.")
 )
 
+// Describe implements prometheus.Collector.
 func (c collector) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{descTxns, descAdmitted, descEndings, descSent, descRefused, descDials, descMalformedAnswers,
 		descClientEnds, descOwedAtEnd, descGauge, descHostVoided} {
@@ -84,26 +87,27 @@
 	}
 }
 
+// Collect implements prometheus.Collector.
 func (c collector) Collect(ch chan<- prometheus.Metric) {
 	for _, l := range c.p.loops {
 		s := l.statsSnapshot.Load()
 		if s == nil {
 			continue
 		}
-		name := itoa(l.sentryIndex)
+		sentry := itoa(l.sentryIndex)
 		count := func(d *prometheus.Desc, v uint64, labels ...string) {
-			ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), append([]string{name}, labels...)...)
+			ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, float64(v), append([]string{sentry}, labels...)...)
 		}
 		gauge := func(kind string, v int64) {
-			ch <- prometheus.MustNewConstMetric(descGauge, prometheus.GaugeValue, float64(v), name, kind)
+			ch <- prometheus.MustNewConstMetric(descGauge, prometheus.GaugeValue, float64(v), sentry, kind)
 		}
 		count(descTxns, s.settled, "settled")
 		count(descTxns, s.declined, "declined")
 		count(descTxns, s.voided, "voided")
 		count(descTxns, s.clientLeft, "left")
 		count(descAdmitted, s.admitted)
-		for e, text := range endingNames {
-			count(descEndings, s.endings[e], text)
+		for ending, name := range endingNames {
+			count(descEndings, s.endings[ending], name)
 		}
 		count(descSent, s.sent)
 		for reason, name := range endReasonNames {
--- a/edge/updates.go
+++ b/edge/updates.go
@@ -12,8 +12,8 @@
 	"go.uber.org/zap"
 )
 
-// Workers applies a worker list event. An invalid entry is logged and changes nothing, except that it still takes its worker
-// out of service if it says so; the valid entries are applied.
+// Workers applies a worker list event. The valid entries are applied. An invalid entry is logged and ignored, except that a
+// state other than up still takes its worker out of service.
 func (p *Process) Workers(e api.WorkersEvent) {
 	valid := make([]api.Worker, 0, len(e.Workers))
 	p.mu.Lock()
@@ -59,6 +59,7 @@
 	p.scheduleSave()
 }
 
+// stateByName translates worker states for the module.
 var stateByName = map[string]logic.State{api.Up: logic.Up, api.Draining: logic.Draining, api.Gone: logic.Gone}
 
 // applyWorkerList passes a list event to the module, translated to its ids and to the local clock.
@@ -71,44 +72,44 @@
 		start := l.workerStartTime(id, w, e.Now)
 		state, known := stateByName[w.State]
 		if !known {
-			state = logic.Draining // a state added by a newer platform: the worker gets no new txns
+			state = logic.Draining // a newer platform may add states; the worker gets no new txns
 		}
 		list = append(list, logic.Worker{ID: id, Zone: logic.ZoneID(lookupID(l.p.zoneIDs, w.Zone)), Kind: logic.KindID(lookupID(l.p.kindIDs, w.Kind)),
 			Cell: w.Cell, State: state, Weight: w.Weight, Rel: logic.RelID(w.Build), Start: start})
-		pool := l.poolFor(id, w.Address)
-		if pool.removed = state == logic.Gone; pool.removed {
+		p := l.poolFor(id, w.Address)
+		if p.removed = state == logic.Gone; p.removed {
 			delete(l.workerStarts, id)
 		}
 		if state != logic.Up {
-			l.endPoolWaiters(pool)
+			l.endPoolWaiters(p)
 		}
 	}
 	if mode == logic.Whole {
-		for id, pool := range l.pools {
+		for id, p := range l.pools {
 			if !listed[id] {
-				pool.removed = true
+				p.removed = true
 				delete(l.workerStarts, id)
-				l.endPoolWaiters(pool)
+				l.endPoolWaiters(p)
 			}
 		}
 	}
 	l.listSeen = true
 	l.listCurrent = l.listCurrent || mode != logic.Restored
 	l.deliverWorkers(mode, list)
-	for id, pool := range l.pools {
-		if pool.removed {
-			l.closeIdleConns(pool)
-			if pool.numConns == 0 && len(pool.waiting) == 0 && pool.numDialing == 0 {
+	for id, p := range l.pools {
+		if p.removed {
+			l.closeIdleConns(p)
+			if p.numConns == 0 && len(p.waiting) == 0 && p.numDialing == 0 {
 				delete(l.pools, id)
 			}
 		}
 	}
 }
 
-// workerStartTime returns a worker's start by the local clock, the same each time one process is reported. A process that
-// replaces another without a start time of its own would be taken for warm and blamed for its predecessor's failures. So if
-// the address or the build has changed, or the id appears after the first list, a process without an earlier reported start
-// counts as started now.
+// workerStartTime returns a worker's start time by the local clock, which stays the same for as long as the same process is
+// reported. A process that replaces another without reporting a new start time would otherwise count as warm and be blamed
+// for its predecessor's failures. So if the address or the build has changed, or the id first appears after the first list, a
+// process without a new reported start counts as started now.
 func (l *loop) workerStartTime(id logic.WorkerID, w api.Worker, platformNow int64) logic.Nanos {
 	previous, known := l.workerStarts[id]
 	if known && (w.State != api.Up || previous.reported == w.StartedAt && previous.address == w.Address && previous.build == w.Build) {
@@ -116,9 +117,9 @@
 	}
 	start := workerStart{reported: w.StartedAt, address: w.Address, build: w.Build}
 	switch {
-	case w.StartedAt == 0 && l.startTimesReported: // every start is reported, so this one is long past
+	case w.StartedAt == 0 && l.startTimesReported: // every start is reported, so this one was long ago
 	case w.StartedAt != 0 && (!known || previous.reported != w.StartedAt || l.startTimesReported):
-		// The clocks differ but ages agree. The age is converted only once, or each report would look like a new start.
+		// The clocks differ but ages agree. The age is converted only once, or each report would look like another start.
 		start.startedAt = l.now - logic.Nanos(max(0, platformNow-w.StartedAt))
 	case known || l.listSeen:
 		start.startedAt = l.now
@@ -127,8 +128,8 @@
 	return start.startedAt
 }
 
-// lookupID returns the id of a zone or kind. A name missing from the configuration gets an id of its own. With id 0 it would
-// be taken for the first configured zone, and a repeat restricted to workers of the same zone would leave that zone.
+// lookupID returns the id of a zone or kind. A name that is not configured gets an id of its own. With id 0 it would be taken
+// for the first configured zone, and a repeat that is restricted to workers of the same zone would leave that zone.
 func lookupID(names map[string]int, name string) int {
 	if n, known := names[name]; known || len(names) == 0 && name == "" {
 		return n
@@ -151,6 +152,7 @@
 	return p
 }
 
+// phaseByName translates release phases for the module.
 var phaseByName = map[string]logic.Phase{api.OnTrial: logic.OnTrial, api.GoingBack: logic.GoingBack,
 	api.Released: logic.Released, api.Withdrawn: logic.Withdrawn}
 
@@ -160,24 +162,24 @@
 		Phase: phaseByName[e.Release.Phase], Age: logic.Nanos(max(0, e.Now-e.Release.Since))}
 }
 
-// acceptRelease checks the release state of a push or of a vote's reply. If the state is valid and not outdated, it is stored
-// and passed on by calling pass, and acceptRelease returns true. Pushes and replies arrive on separate connections, so either
-// may be overtaken by the other. A state that began before the one in force, by the platform's clock, must not loosen it
-// again; a stricter one is always accepted. pass is called under the lock, or two concurrent updates could reach a loop in
-// the reverse order.
-func (p *Process) acceptRelease(r api.Release, pass func()) bool {
+// acceptRelease checks the release state of a push or of the reply to a vote. If the state is valid and not outdated, it is
+// stored, forward is called to pass it to the loops, and acceptRelease returns true. Pushes and replies arrive on separate
+// connections, so either may be overtaken by the other. A state that began before the one in force, by the platform's clock,
+// must not allow more exposure again; a stricter state is always accepted. forward is called under the lock, or two
+// concurrent updates could reach a loop in the reverse order.
+func (p *Process) acceptRelease(r api.Release, forward func()) bool {
 	if err := r.Validate(); err != nil {
 		p.log.Error("news of a release not heeded", zap.Error(err))
 		return false
 	}
-	back := func(phase string) bool { return phase == api.GoingBack || phase == api.Withdrawn }
+	isBack := func(phase string) bool { return phase == api.GoingBack || phase == api.Withdrawn }
 	p.mu.Lock()
 	previous := p.release
 	overtaken := r.Since < previous.Since && (r.Build < previous.Build || r.Build == previous.Build &&
-		(r.Cap > previous.Cap || back(previous.Phase) && !back(r.Phase)))
+		(r.Cap > previous.Cap || isBack(previous.Phase) && !isBack(r.Phase)))
 	if !overtaken {
 		p.release = r
-		pass()
+		forward()
 	}
 	p.mu.Unlock()
 	if overtaken {
@@ -228,10 +230,11 @@
 	}
 }
 
+// verdictNames translates the module's verdicts for the platform.
 var verdictNames = map[logic.Verdict]string{logic.VerdictNone: api.VoteNone, logic.VerdictOn: api.VoteOn, logic.VerdictHold: api.VoteHold,
 	logic.VerdictBack: api.VoteBack}
 
-// castVote sends the sentry's vote from a goroutine of its own. Only one vote is in flight at a time; the reply reaches the
+// castVote casts the sentry's vote on a separate goroutine. Only one vote is in flight at a time; its reply reaches the
 // module as a release update.
 func (l *loop) castVote(v logic.Verdict, rel logic.RelID, stage int) {
 	if l.voteInFlight || l.stopping {
@@ -244,7 +247,7 @@
 		defer l.group.Done()
 		ctx, stop := context.WithTimeout(context.Background(), timeout)
 		defer stop()
-		go func() {
+		go func() { // halting the loop cancels the vote
 			select {
 			case <-l.quit:
 				stop()
@@ -254,13 +257,13 @@
 		e, err := l.p.source.Vote(ctx, api.Vote{Edge: l.p.cfg.Name, Sentry: l.sentryIndex, Verdict: verdictNames[v],
 			Build: int(rel), Stage: stage})
 		update := toReleaseUpdate(e, true)
-		pass := func() {
+		forward := func() {
 			l.post(func() {
 				l.voteInFlight = false
 				l.deliverRelease(update)
 			})
 		}
-		if err == nil && l.p.acceptRelease(e.Release, pass) {
+		if err == nil && l.p.acceptRelease(e.Release, forward) {
 			return
 		}
 		switch {
@@ -273,6 +276,6 @@
 		default:
 			update.Ending = logic.ErrorResponse
 		}
-		pass()
+		forward()
 	}()
 }
--- a/edge/worker_http.go
+++ b/edge/worker_http.go
@@ -21,95 +21,95 @@
 	answerUntilClose             // a body that ends with the connection
 )
 
-// httpWorker is the HTTP/1.1 side of a worker connection.
+// httpWorker implements workerProtocol for one HTTP/1.1 connection.
 type httpWorker struct {
 	wc           *workerConn
 	state        answerState
 	status       int             // the answer's status, or statusUnseen
 	workerCloses bool            // the worker closes the connection after this answer
-	closesConn   bool            // the answer announces the end of the client's connection
+	closesConn   bool            // the answer announces the close of the client connection
 	answer       []byte          // the answer as sent to the client: its head, and a body of known length
-	unsizedBody  []byte          // a body of unknown length, as far as received
-	remaining    int64           // bytes of a body of known length still to come
+	unsizedBody  []byte          // received part of a body of unknown length
+	remaining    int64           // in answerFixed: bytes of the body still to be read
 	chunks       http1.Dechunker // decodes a chunked body
 }
 
-func (k *httpWorker) handleOpen() { k.wc.l.handleReady(k.wc) }
+func (hw *httpWorker) handleOpen() { hw.wc.l.handleReady(hw.wc) }
 
-func (k *httpWorker) writeSubmission(c *call, n int) error {
-	k.state, k.answer, k.unsizedBody, k.closesConn = answerHead, k.answer[:0], k.unsizedBody[:0], false
-	k.wc.l.stats.bytesToWorkers += uint64(len(c.request))
-	_, err := k.wc.c.Write(c.request)
+func (hw *httpWorker) writeSubmission(c *call, n int) error {
+	hw.state, hw.answer, hw.unsizedBody, hw.closesConn = answerHead, hw.answer[:0], hw.unsizedBody[:0], false
+	hw.wc.l.stats.bytesToWorkers += uint64(len(c.request))
+	_, err := hw.wc.c.Write(c.request)
 	return err
 }
 
-func (k *httpWorker) hasUnsent() bool { return false }
+func (hw *httpWorker) hasUnsent() bool { return false }
 
-func (k *httpWorker) stale() bool { return false }
+func (hw *httpWorker) stale() bool { return false }
 
-func (k *httpWorker) answerStarted() bool { return false }
-func (k *httpWorker) halfClose() bool     { return false }
+func (hw *httpWorker) answerStarted() bool { return false }
+func (hw *httpWorker) halfClose() bool     { return false }
 
-func (k *httpWorker) releaseBuffers() {
-	if cap(k.answer) > maxReusedBuffer {
-		k.answer = nil
+func (hw *httpWorker) releaseBuffers() {
+	if cap(hw.answer) > maxReusedBuffer {
+		hw.answer = nil
 	}
-	if cap(k.unsizedBody) > maxReusedBuffer {
-		k.unsizedBody = nil
+	if cap(hw.unsizedBody) > maxReusedBuffer {
+		hw.unsizedBody = nil
 	}
 }
 
-func (k *httpWorker) completeOnClose(err error) bool {
-	if k.state != answerUntilClose || !errors.Is(err, io.EOF) {
+func (hw *httpWorker) completeOnClose(err error) bool {
+	if hw.state != answerUntilClose || !errors.Is(err, io.EOF) {
 		return false
 	}
-	k.complete(true)
+	hw.complete(true)
 	return true
 }
 
-func (k *httpWorker) read(in []byte) bool {
-	wc := k.wc
-	if len(in) == 0 && !(k.state == answerFixed && k.remaining == 0 && wc.call != nil) {
+func (hw *httpWorker) read(in []byte) bool {
+	wc := hw.wc
+	if len(in) == 0 && !(hw.state == answerFixed && hw.remaining == 0 && wc.call != nil) {
 		return false
 	}
-	switch k.state {
+	switch hw.state {
 	case answerHead:
-		return k.parseHead(in)
+		return hw.parseHead(in)
 	case answerFixed:
-		n := int(min(k.remaining, int64(len(in))))
-		k.answer = append(k.answer, in[:n]...)
+		n := int(min(hw.remaining, int64(len(in))))
+		hw.answer = append(hw.answer, in[:n]...)
 		if n > 0 {
 			wc.c.Discard(n)
 		}
-		if k.remaining -= int64(n); k.remaining == 0 {
-			k.complete(k.workerCloses)
+		if hw.remaining -= int64(n); hw.remaining == 0 {
+			hw.complete(hw.workerCloses)
 			return false
 		}
-		return !k.maybeRelay(len(k.answer))
+		return !hw.maybeRelay(len(hw.answer))
 	case answerChunked:
-		consumed, data, done, err := k.chunks.Next(in)
+		consumed, data, done, err := hw.chunks.Next(in)
 		if err != nil && err != http1.ErrIncomplete {
 			wc.failMalformed()
 			return false
 		}
-		k.unsizedBody = append(k.unsizedBody, data...)
+		hw.unsizedBody = append(hw.unsizedBody, data...)
 		if consumed > 0 {
 			wc.c.Discard(consumed)
 		}
 		if done {
-			k.complete(k.workerCloses)
+			hw.complete(hw.workerCloses)
 			return false
 		}
-		return !(k.maybeRelay(len(k.unsizedBody)) || err != nil || consumed == 0)
+		return !(hw.maybeRelay(len(hw.unsizedBody)) || err != nil || consumed == 0)
 	}
-	k.unsizedBody = append(k.unsizedBody, in...)
+	hw.unsizedBody = append(hw.unsizedBody, in...)
 	wc.c.Discard(len(in))
-	return !k.maybeRelay(len(k.unsizedBody))
+	return !hw.maybeRelay(len(hw.unsizedBody))
 }
 
-// parseHead reads an answer's head. It reports whether there may be more to read.
-func (k *httpWorker) parseHead(in []byte) bool {
-	wc := k.wc
+// parseHead reads an answer's head, and reports whether more input may be processed.
+func (hw *httpWorker) parseHead(in []byte) bool {
+	wc := hw.wc
 	l, c := wc.l, wc.call
 	r := &l.resp
 	n, err := r.Parse(in, int(l.p.cfg.WorkerLimits.MaxAnswerHeadBytes), c.isHead)
@@ -124,50 +124,50 @@
 		wc.c.Discard(n)
 		return true
 	}
-	k.status, k.workerCloses = r.Status, r.Close
+	hw.status, hw.workerCloses = r.Status, r.Close
 	wc.hasLoad = parseLoadReport(r, &wc.load)
-	k.answer = append(k.answer[:0], "HTTP/1.1 "...)
-	k.answer = strconv.AppendInt(k.answer, int64(r.Status), 10)
-	k.answer = append(k.answer, ' ')
-	k.answer = append(k.answer, r.Reason...)
-	k.answer = append(k.answer, "\r\n"...)
+	hw.answer = append(hw.answer[:0], "HTTP/1.1 "...)
+	hw.answer = strconv.AppendInt(hw.answer, int64(r.Status), 10)
+	hw.answer = append(hw.answer, ' ')
+	hw.answer = append(hw.answer, r.Reason...)
+	hw.answer = append(hw.answer, "\r\n"...)
 	unseen := r.Status == 503 && r.Get("dunegrade-unseen") != nil
-	k.answer = r.AppendFields(k.answer)
-	k.answer = append(k.answer, viaHeader...)
+	hw.answer = r.AppendFields(hw.answer)
+	hw.answer = append(hw.answer, viaHeader...)
 	if unseen {
-		k.status = statusUnseen
+		hw.status = statusUnseen
 	}
 	length := r.Length
 	if c.isHead {
 		if v := r.Get("content-length"); v != nil {
-			k.answer = append(k.answer, "Content-Length: "...)
-			k.answer = append(k.answer, v...)
-			k.answer = append(k.answer, "\r\n"...)
+			hw.answer = append(hw.answer, "Content-Length: "...)
+			hw.answer = append(hw.answer, v...)
+			hw.answer = append(hw.answer, "\r\n"...)
 		}
 	}
 	wc.c.Discard(n)
 	switch {
 	case length == http1.Chunked:
-		k.state, k.chunks = answerChunked, http1.Dechunker{}
+		hw.state, hw.chunks = answerChunked, http1.Dechunker{}
 	case length == http1.UntilClose:
-		k.state = answerUntilClose
+		hw.state = answerUntilClose
 	default:
-		k.state, k.remaining = answerFixed, length
+		hw.state, hw.remaining = answerFixed, length
 		if !c.isHead && r.Status != 204 && r.Status != 304 {
-			k.answer = append(k.answer, "Content-Length: "...)
-			k.answer = strconv.AppendInt(k.answer, length, 10)
-			k.answer = append(k.answer, "\r\n"...)
+			hw.answer = append(hw.answer, "Content-Length: "...)
+			hw.answer = strconv.AppendInt(hw.answer, length, 10)
+			hw.answer = append(hw.answer, "\r\n"...)
 		}
 		if c.client != nil && !c.answered && (!c.keepAlive || l.draining) {
-			k.answer = append(k.answer, "Connection: close\r\n"...)
-			k.closesConn = true
+			hw.answer = append(hw.answer, "Connection: close\r\n"...)
+			hw.closesConn = true
 		} else if c.httpMinor == 0 && c.keepAlive {
-			k.answer = append(k.answer, "Connection: keep-alive\r\n"...)
+			hw.answer = append(hw.answer, "Connection: keep-alive\r\n"...)
 		}
-		k.answer = append(k.answer, "\r\n"...)
+		hw.answer = append(hw.answer, "\r\n"...)
 	}
-	if c.product >= 0 && l.p.cfg.Products[c.product].Stream && length != 0 && settlesTxn(k.status) {
-		return !k.maybeRelay(1 << 62)
+	if c.product >= 0 && l.p.cfg.Products[c.product].Stream && length != 0 && settlesTxn(hw.status) {
+		return !hw.maybeRelay(1 << 62) // a streaming answer is relayed at once: this size exceeds any buffer limit
 	}
 	return true
 }
@@ -178,65 +178,66 @@
 // settlesTxn reports whether an answer of this status settles its txn.
 func settlesTxn(status int) bool { return status < 500 }
 
-// maybeRelay passes an answer that streams or is too large to be buffered to a streamRelay, or drops it if no client is to get
-// it. It reports whether the loop is done with the answer.
-func (k *httpWorker) maybeRelay(size int) bool {
-	wc := k.wc
+// maybeRelay hands an answer that is too large to be buffered to a streamRelay, or drops it if it is not sent to a client. size
+// is the number of bytes buffered so far. It reports whether the loop has no more to do with the answer.
+func (hw *httpWorker) maybeRelay(size int) bool {
+	wc := hw.wc
 	l, c := wc.l, wc.call
 	if int64(size) <= l.p.cfg.ClientLimits.AnswerBufferBytes {
 		return false
 	}
-	if c.answered || c.clientLeft || !settlesTxn(k.status) {
-		// No client waits for this answer, so it must not fill memory.
+	if c.answered || c.clientLeft || !settlesTxn(hw.status) {
+		// This answer is not sent to a client, so it must not take up memory.
 		n := wc.subIndex
 		e := logic.OK
-		if !settlesTxn(k.status) {
+		if !settlesTxn(hw.status) {
 			e = logic.ErrorResponse
 		}
 		l.closeWorkerConn(wc, true)
 		l.endSubmission(c, n, e, nil)
 		return true
 	}
-	return l.startRelay(k)
+	return l.startRelay(hw)
 }
 
-// complete handles a complete answer.
-func (k *httpWorker) complete(mustClose bool) {
-	wc := k.wc
+// complete finishes a complete answer and passes it to loop.completeSubmission.
+func (hw *httpWorker) complete(mustClose bool) {
+	wc := hw.wc
 	l, c := wc.l, wc.call
 	e := logic.OK
 	switch {
-	case k.status == statusUnseen:
+	case hw.status == statusUnseen:
 		e = logic.Rejected
-	case !settlesTxn(k.status):
+	case !settlesTxn(hw.status):
 		e = logic.ErrorResponse
 	}
-	out := k.answer
+	answer := hw.answer
 	if e == logic.OK && !c.answered && !c.clientLeft {
-		c.status = k.status
-		if k.state != answerFixed { // the body's length is known only now
+		c.status = hw.status
+		if hw.state != answerFixed { // the body's length is known only now
 			if c.isHead {
-				out = append(out, "\r\n"...)
+				answer = append(answer, "\r\n"...)
 			} else {
-				out = append(out, "Content-Length: "...)
-				out = strconv.AppendInt(out, int64(len(k.unsizedBody)), 10)
-				out = append(out, "\r\n"...)
+				answer = append(answer, "Content-Length: "...)
+				answer = strconv.AppendInt(answer, int64(len(hw.unsizedBody)), 10)
+				answer = append(answer, "\r\n"...)
 				if !c.keepAlive || l.draining {
-					out = append(out, "Connection: close\r\n"...)
-					k.closesConn = true
+					answer = append(answer, "Connection: close\r\n"...)
+					hw.closesConn = true
 				}
-				out = append(out, "\r\n"...)
-				out = append(out, k.unsizedBody...)
+				answer = append(answer, "\r\n"...)
+				answer = append(answer, hw.unsizedBody...)
 			}
-			k.answer = out
+			hw.answer = answer
 		}
-		c.closesConn = k.closesConn // of the submission that answers: heads of others may have been built before or after it
+		c.closesConn = hw.closesConn // only of the submission that answers: other submissions may have built heads that differ
 	}
-	l.completeSubmission(wc, e, out, mustClose)
+	l.completeSubmission(wc, e, answer, mustClose)
 }
 
-// parseLoadReport reads a load report in the ORCA format: the header endpoint-load-metrics as TEXT or JSON. The queue length
-// and the number of txns being processed are the named metrics queue and busy. A malformed report counts as none.
+// parseLoadReport parses a load report in the ORCA format: the header endpoint-load-metrics as TEXT or JSON. The queue length
+// and the number of txns being processed are the named metrics queue and busy. It returns false if the report is missing or
+// malformed.
 func parseLoadReport(r *http1.Response, load *logic.Load) bool {
 	v := r.Get("endpoint-load-metrics")
 	if v == nil {
