--- a/edge/drain.go
+++ b/edge/drain.go
@@ -50,7 +50,7 @@
 
 // drainClient closes the connection if it is quiescent and has no unread request, or else schedules another check.
 func (l *loop) drainClient(cc *clientConn) {
-	if cc.hasUnread() && l.now < l.answerDeadline { // a request has just arrived: answering it is cheaper for the client than a retry
+	if cc.hasUnread() && l.now < l.answerDeadline { // a request has just arrived: answering it saves the client a retry
 		l.scheduleClientCheck(cc, l.now+unreadCheckInterval)
 		return
 	}
--- a/edge/drain_test.go
+++ b/edge/drain_test.go
@@ -15,34 +15,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// A drain must not drop a pipelined request if the answer before it didn't announce the close of the connection. This
-// happens when that answer began before the drain. The head of a second submission's answer, which is never sent to the
-// client, may announce the close meanwhile and must not count.
+// A drain must not drop a pipelined request if the answer before it didn't announce the close of the connection, as when that
+// answer began before the drain. An announcement in the answer of a second submission, which is never sent to the client,
+// must not count.
 func TestDrainAnswersPipelinedRequests(t *testing.T) {
 	for _, c := range []struct {
-		name, request string
-		second        bool // the answer of a second submission begins during the drain
-	}{{"one attempt", post("/pay"), false}, {"two attempts", get("/ask"), true}} {
-		t.Run(c.name, func(t *testing.T) { testDrainWithPipeline(t, c.request, c.second) })
+		name, request    string
+		secondSubmission bool // the answer of a second submission begins during the drain
+	}{{"one submission", post("/pay"), false}, {"two submissions", get("/ask"), true}} {
+		t.Run(c.name, func(t *testing.T) { testDrainWithPipeline(t, c.request, c.secondSubmission) })
 	}
 }
 
-func testDrainWithPipeline(t *testing.T, request string, second bool) {
+func testDrainWithPipeline(t *testing.T, request string, secondSubmission bool) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab"
 	firstHeadSent, drainStarted, secondHeadRead, testEnd := make(chan struct{}), make(chan struct{}), make(chan struct{}), make(chan struct{})
-	var attempts atomic.Int64
+	var submissions atomic.Int64
 	stub := func(c net.Conn, req *http.Request, b []byte) bool {
-		switch n := attempts.Add(1); {
+		switch n := submissions.Add(1); {
 		case n == 1:
 			io.WriteString(c, head)
 			close(firstHeadSent)
 			<-drainStarted
-			if second {
+			if secondSubmission {
 				<-secondHeadRead
 			}
 			_, err := io.WriteString(c, "cd")
 			return err == nil
-		case n == 2 && second:
+		case n == 2 && secondSubmission:
 			<-drainStarted
 			io.WriteString(c, head)
 			time.Sleep(20 * time.Millisecond) // lets the edge read the head
@@ -59,6 +59,7 @@
 	<-firstHeadSent
 	time.Sleep(20 * time.Millisecond) // lets the edge read the head
 	r.stop()
+	// Wait until the listener is closed.
 	for until := time.Now().Add(2 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		other, err := net.Dial("tcp", r.address)
 		if err != nil {
@@ -75,7 +76,7 @@
 		}
 		io.Copy(io.Discard, resp.Body)
 		if resp.StatusCode != 200 || resp.Close != closes {
-			t.Errorf("answer %d: status %d, closes %v, want 200, %v", i, resp.StatusCode, resp.Close, closes)
+			t.Errorf("answer %d: got status %d, close %v; want 200, %v", i, resp.StatusCode, resp.Close, closes)
 		}
 	}
 	if err := <-r.done; err != nil {
@@ -101,7 +102,7 @@
 			t.Fatalf("client %d: %v", i, err)
 		}
 		if resp.StatusCode < 500 || !resp.Close {
-			t.Errorf("client %d: status %d, closes %v", i, resp.StatusCode, resp.Close)
+			t.Errorf("client %d: got status %d, close %v; want a 5xx status and close", i, resp.StatusCode, resp.Close)
 		}
 	}
 	if err := <-r.done; err != nil {
@@ -109,7 +110,7 @@
 	}
 	r.done = nil
 	if elapsed := time.Since(began); elapsed > 400*time.Millisecond {
-		t.Errorf("the drain took %v", elapsed)
+		t.Errorf("the drain took %v, want at most 400 ms", elapsed)
 	}
 }
 
@@ -137,14 +138,14 @@
 		}
 		io.Copy(io.Discard, resp.Body)
 		if resp.StatusCode != want || resp.Close != (want == 503) {
-			t.Errorf("answer %d: status %d, closes %v, want %d", i, resp.StatusCode, resp.Close, want)
+			t.Errorf("answer %d: got status %d, close %v; want %d, %v", i, resp.StatusCode, resp.Close, want, want == 503)
 		}
 	}
 }
 
 // Clients keep sending requests while a process with two loops stops; some answers are streamed. Each request must be
-// answered or stay unread, which the client sees as a reset. A connection that ended without one would leave the client
-// unable to retry safely.
+// answered or stay unread, which resets the connection. A connection that ended without an answer or a reset would leave the
+// client unable to retry safely.
 func TestDrainUnderSteadyUse(t *testing.T) {
 	for round := range 6 {
 		r := startEdge(t, "(loops 2) (door (answer-buffer 4KiB))", newStubWorker(t, echo), newStubWorker(t, echo))
@@ -172,7 +173,7 @@
 						continue
 					}
 					if !awaitReset(c) {
-						t.Errorf("client %d of round %d: a request ended with %v and no reset", i, round, err)
+						t.Errorf("client %d in round %d: a request ended with %v but without a reset", i, round, err)
 					}
 					resets.Add(1)
 					return
@@ -186,7 +187,7 @@
 			t.Error(err)
 		}
 		r.done = nil
-		t.Logf("%d answers, %d requests not read", answers.Load(), resets.Load())
+		t.Logf("%d answers, %d unread requests", answers.Load(), resets.Load())
 	}
 }
 
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -33,6 +33,7 @@
 // handler answers one request on its connection. It reports whether the connection stays open.
 type handler func(c net.Conn, r *http.Request, body []byte) bool
 
+// newStubWorker starts a worker that handles its requests with do.
 func newStubWorker(t *testing.T, do handler) *stubWorker {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,10 +67,12 @@
 	return s
 }
 
+// respond returns a handler that answers every request with the given bytes.
 func respond(text string) handler {
 	return func(c net.Conn, r *http.Request, body []byte) bool { io.WriteString(c, text); return true }
 }
 
+// echo answers with the path and the body of the request.
 func echo(c net.Conn, r *http.Request, body []byte) bool {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s%s", len(r.URL.Path)+len(body), r.URL.Path, body)
 	return true
@@ -81,6 +84,7 @@
 	return false
 }
 
+// resetConn resets the connection without an answer.
 func resetConn(c net.Conn, r *http.Request, body []byte) bool {
 	c.(*net.TCPConn).SetLinger(0)
 	return false
@@ -104,6 +108,7 @@
 	done    chan error
 }
 
+// configTemplate is the configuration of test edges; %s stands for further settings.
 const configTemplate = `(edge (name "t") (listen "127.0.0.1:0") (source (file "none")) (drain-within 2s) %s
   (product "ask" (sla 200ms) (expiry 600ms) (effect inquiry-like))
   (product "book" (sla 200ms) (expiry 600ms) (effect referenced) (memory 2s))
@@ -111,12 +116,13 @@
   (route (prefix "/ask") (product "ask")) (route (prefix "/book") (product "book")) (route (prefix "/pay") (product "pay"))
   (release (caps 0.1 1) (shares 0.1 1) (window 6s)))`
 
-// startEdge runs an edge in this process with the given further configuration and workers. It stops at the end of the test.
+// startEdge runs an edge in this process with the given workers and further settings. It stops at the end of the test.
 func startEdge(t *testing.T, extra string, workers ...*stubWorker) *testEdge {
 	t.Helper()
 	return startLogged(t, zap.NewNop(), extra, workers...)
 }
 
+// startLogged is startEdge with a logger.
 func startLogged(t *testing.T, log *zap.Logger, extra string, workers ...*stubWorker) *testEdge {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
@@ -178,6 +184,7 @@
 	return s
 }
 
+// dial connects a client to the edge.
 func (r *testEdge) dial() net.Conn {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.address)
@@ -214,6 +221,7 @@
 	return "POST " + path + " HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\n\r\n"
 }
 
+// Answers of every framing must reach the client complete; a failed or missing answer must become the matching status.
 func TestAnswers(t *testing.T) {
 	big := strings.Repeat("0123456789abcdef", 1<<17) // 2 MiB: too large to buffer, so forwarded by a streamRelay
 	cases := []struct {
@@ -224,7 +232,7 @@
 		status int
 		body   string
 	}{
-		{"with a length", respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), get("/ask"), "GET", 200, "hi"},
+		{"fixed length", respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), get("/ask"), "GET", 200, "hi"},
 		{"chunked", respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), get("/ask"), "GET", 200, "hi"},
 		{"until close", func(c net.Conn, r *http.Request, b []byte) bool {
 			io.WriteString(c, "HTTP/1.0 200 OK\r\n\r\nhi")
@@ -243,16 +251,16 @@
 			get("/ask"), "GET", 200, big},
 		{"client error", respond("HTTP/1.1 422 No\r\nContent-Length: 2\r\n\r\nno"), get("/ask"), "GET", 422, "no"},
 		{"server error", respond("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
-		{"garbage", respond("\x00\x01\r\n\r\n"), post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
+		{"malformed answer", respond("\x00\x01\r\n\r\n"), post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
 		{"truncated body", func(c net.Conn, r *http.Request, b []byte) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi")
 			return false
 		}, post("/pay"), "POST", 502, "voided: it may have had its effect\n"},
 		{"rejected unseen", respond("HTTP/1.1 503 No\r\nDunegrade-Unseen: 1\r\nContent-Length: 0\r\n\r\n"), post("/pay"), "POST", 503, declinedBody},
-		{"nothing", hang, post("/pay"), "POST", 504, "voided: no answer in time; it may have had its effect\n"},
+		{"no answer", hang, post("/pay"), "POST", 504, "voided: no answer in time; it may have had its effect\n"},
 		{"no route", echo, get("/other"), "GET", 404, "no route fits this request\n"},
-		{"a body", echo, "POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 3\r\n\r\nabc", "POST", 200, "/payabc"},
-		{"a chunked body", echo, "POST /pay HTTP/1.1\r\nHost: t\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n", "POST", 200, "/payabcde"},
+		{"request with a body", echo, "POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 3\r\n\r\nabc", "POST", 200, "/payabc"},
+		{"request with a chunked body", echo, "POST /pay HTTP/1.1\r\nHost: t\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n", "POST", 200, "/payabcde"},
 		{"absolute target", echo, "GET http://t/ask/x?y HTTP/1.1\r\nHost: t\r\n\r\n", "GET", 200, "/ask/x"},
 		{"HTTP/1.0 client", echo, "GET /ask HTTP/1.0\r\n\r\n", "GET", 200, "/ask"},
 	}
@@ -261,22 +269,22 @@
 			r := startEdge(t, "", newStubWorker(t, c.worker))
 			answers, bodies := r.roundTrip(c.raw, c.method)
 			if answers[0].StatusCode != c.status || bodies[0] != c.body {
-				t.Errorf("got %d %.80q (%d bytes)", answers[0].StatusCode, bodies[0], len(bodies[0]))
+				t.Errorf("got status %d, body %.80q (%d bytes); want %d, %.80q", answers[0].StatusCode, bodies[0], len(bodies[0]), c.status, c.body)
 			}
-			if out := answers[0].Header.Get("Dunegrade-Outcome"); (c.status == 503) != (out == "declined") || (c.status == 502 || c.status == 504) != (out == "voided") {
-				t.Errorf("outcome %q with %d", out, c.status)
+			if outcome := answers[0].Header.Get("Dunegrade-Outcome"); (c.status == 503) != (outcome == "declined") || (c.status == 502 || c.status == 504) != (outcome == "voided") {
+				t.Errorf("got outcome header %q with status %d", outcome, c.status)
 			}
 		})
 	}
 }
 
-// A submission that may have run must be repeated only if that does no harm, whatever its ending.
+// A submission that may have run must be repeated only if a repetition does no harm, whatever the submission's ending.
 func TestResubmission(t *testing.T) {
 	for _, c := range []struct {
 		name, raw string
 		first     handler
 		status    int
-		seen      int64
+		want      int64 // submissions that reach workers
 	}{
 		{"inquiry, reset", get("/ask"), resetConn, 200, 2},
 		{"referenced, reset", post("/book"), resetConn, 200, 2},
@@ -287,17 +295,17 @@
 		{"inquiry, no answer: a second copy", get("/ask"), hang, 200, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var seen atomic.Int64
+			var submissions atomic.Int64
 			do := func(conn net.Conn, r *http.Request, body []byte) bool {
-				if seen.Add(1) == 1 {
+				if submissions.Add(1) == 1 {
 					return c.first(conn, r, body)
 				}
 				return echo(conn, r, body)
 			}
 			r := startEdge(t, "", newStubWorker(t, do), newStubWorker(t, do))
 			answers, _ := r.roundTrip(c.raw, "GET")
-			if answers[0].StatusCode != c.status || seen.Load() != c.seen {
-				t.Errorf("got %d after %d submissions, want %d after %d", answers[0].StatusCode, seen.Load(), c.status, c.seen)
+			if answers[0].StatusCode != c.status || submissions.Load() != c.want {
+				t.Errorf("got status %d after %d submissions, want %d after %d", answers[0].StatusCode, submissions.Load(), c.status, c.want)
 			}
 		})
 	}
@@ -308,7 +316,7 @@
 	answers, _ := r.roundTrip(get("/ask"), "GET")
 	h := answers[0].Header
 	if answers[0].StatusCode != 503 || h.Get("Retry-After") == "" || h.Get("Dunegrade-Retry-After-Ms") == "" {
-		t.Errorf("got %d with %v", answers[0].StatusCode, h)
+		t.Errorf("got status %d with headers %v, want 503 with retry headers", answers[0].StatusCode, h)
 	}
 }
 
@@ -318,7 +326,7 @@
 	closed.group.Wait()
 	r := startEdge(t, "", closed)
 	if answers, _ := r.roundTrip(post("/pay"), "POST"); answers[0].StatusCode != 503 {
-		t.Errorf("a once-only txn that reached no worker got %d, want 503", answers[0].StatusCode)
+		t.Errorf("a once-only txn that reached no worker got status %d, want 503", answers[0].StatusCode)
 	}
 }
 
@@ -332,11 +340,12 @@
 	_, bodies := r.roundTrip(raw, methods...)
 	for i, b := range bodies {
 		if b != fmt.Sprintf("/ask/%d", i) {
-			t.Fatalf("answer %d is %q", i, b)
+			t.Fatalf("answer %d is %q, want that of request %d", i, b, i)
 		}
 	}
 }
 
+// A request that was pipelined behind a streamed answer must be answered after it.
 func TestRequestAfterStreamedAnswer(t *testing.T) {
 	requests := 0
 	r := startEdge(t, "(door (answer-buffer 1KiB))", newStubWorker(t, func(c net.Conn, r *http.Request, b []byte) bool {
@@ -347,7 +356,7 @@
 	}))
 	_, bodies := r.roundTrip(get("/ask")+get("/ask/2"), "GET", "GET")
 	if len(bodies[0]) != 4000 || bodies[1] != "/ask/2" {
-		t.Errorf("got %d bytes, then %q", len(bodies[0]), bodies[1])
+		t.Errorf("got a body of %d bytes, then %q; want 4000, then /ask/2", len(bodies[0]), bodies[1])
 	}
 }
 
@@ -361,18 +370,19 @@
 	io.WriteString(c, "ok")
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil || !strings.Contains(line, "100") || resp.StatusCode != 200 {
-		t.Errorf("got %q, then %v %v", line, resp, err)
+		t.Errorf("got %q, then %v, %v; want a 100 Continue, then status 200", line, resp, err)
 	}
 }
 
+// A malformed, oversized or slow request must end its connection without reaching a worker, and must not affect later clients.
 func TestHostileClients(t *testing.T) {
 	const limits = "(door (head 1KiB) (body 4KiB) (slow-head 150ms) (slow-body 150ms) (idle 300ms) (pipeline 1KiB) (unsent 64KiB) (slow-reader 200ms))"
 	for _, c := range []struct {
 		name, raw string
-		status    int // of the answer before the connection ends; 0 when it just ends
+		status    int // of the answer before the connection ends; 0 when no answer is sent
 	}{
 		{"two lengths", "POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400},
-		{"length and coding", "POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /ask HTTP/1.1\r\n", 400},
+		{"length and transfer coding", "POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /ask HTTP/1.1\r\n", 400},
 		{"large head", "GET /ask HTTP/1.1\r\nHost: t\r\nA: " + strings.Repeat("a", 2000), 431},
 		{"large body", "POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 5000\r\n\r\n", 413},
 		{"large chunked body", "POST /pay HTTP/1.1\r\nHost: t\r\nTransfer-Encoding: chunked\r\n\r\n1400\r\n" + strings.Repeat("x", 0x1400), 413},
@@ -380,8 +390,8 @@
 		{"slow head", "GET /ask HTTP/1.1\r\nHo", 408},
 		{"slow body", "POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 5\r\n\r\nab", 408},
 		{"idle", "", 0},
-		{"odd expectation", "POST /pay HTTP/1.1\r\nHost: t\r\nExpect: gold\r\nContent-Length: 1\r\n\r\n", 417},
-		{"binary", "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n", 400},
+		{"unknown expectation", "POST /pay HTTP/1.1\r\nHost: t\r\nExpect: gold\r\nContent-Length: 1\r\n\r\n", 417},
+		{"TLS handshake", "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n", 400},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newStubWorker(t, echo)
@@ -390,18 +400,19 @@
 			io.WriteString(conn, c.raw)
 			got, err := io.ReadAll(conn) // the edge must end the connection
 			if err != nil && c.status == 0 || c.status > 0 && !strings.HasPrefix(string(got), fmt.Sprintf("HTTP/1.1 %d ", c.status)) {
-				t.Errorf("got %q, %v", got, err)
+				t.Errorf("got %q, %v; want status %d", got, err, c.status)
 			}
 			if w.requests.Load() != 0 {
 				t.Error("the request reached a worker")
 			}
 			if answers, _ := r.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
-				t.Errorf("a valid request got %d", answers[0].StatusCode)
+				t.Errorf("a later valid request got status %d, want 200", answers[0].StatusCode)
 			}
 		})
 	}
 }
 
+// A client that pipelines requests without end behind an unanswered one must not get them admitted.
 func TestPipelineFloodIsBounded(t *testing.T) {
 	r := startEdge(t, "(door (pipeline 1KiB))", newStubWorker(t, hang))
 	c := r.dial()
@@ -418,7 +429,7 @@
 		t.Log("closed cleanly")
 	}
 	if admitted := r.stats().admitted; admitted > 40 {
-		t.Errorf("%d txns admitted that were pipelined behind one without an answer", admitted)
+		t.Errorf("%d txns were admitted, want at most 40", admitted)
 	}
 }
 
@@ -451,25 +462,25 @@
 	if n, err := io.Copy(io.Discard, c); err == nil || n >= size {
 		t.Errorf("the truncated answer looks complete: %d bytes, %v", n, err)
 	}
-	// The only worker has failed its only txn, so the module may avoid it for a moment.
+	// The only worker has failed its only txn, so the module may avoid the worker for a moment.
 	for until := time.Now().Add(5 * time.Second); ; {
 		answers, _ := r.roundTrip(get("/ask"), "GET")
 		if answers[0].StatusCode == 200 {
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatalf("a later request got %d", answers[0].StatusCode)
+			t.Fatalf("a later request got status %d, want 200", answers[0].StatusCode)
 		}
 	}
 }
 
 func TestClientDisconnectCancelsSubmission(t *testing.T) {
-	asked := make(chan struct{}, 8)
-	w := newStubWorker(t, func(c net.Conn, r *http.Request, b []byte) bool { asked <- struct{}{}; return hang(c, r, b) })
+	requested := make(chan struct{}, 8)
+	w := newStubWorker(t, func(c net.Conn, r *http.Request, b []byte) bool { requested <- struct{}{}; return hang(c, r, b) })
 	r := startEdge(t, "", w)
 	c := r.dial()
 	io.WriteString(c, post("/pay"))
-	<-asked
+	<-requested
 	c.Close()
 	until := time.Now().Add(300 * time.Millisecond) // well before the expiry
 	for r.stats().clientLeft == 0 || r.stats().endings[1] == 0 {
@@ -485,25 +496,25 @@
 	began := time.Now()
 	answers, _ := r.roundTrip("POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\nx-envoy-upstream-rq-timeout-ms: 100\r\n\r\n", "POST")
 	if took := time.Since(began); answers[0].StatusCode != 504 || took > 400*time.Millisecond {
-		t.Errorf("got %d after %v", answers[0].StatusCode, took)
+		t.Errorf("with a timeout of 100 ms: got status %d after %v, want 504 within 400 ms", answers[0].StatusCode, took)
 	}
 	answers, _ = r.roundTrip("POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 0\r\nx-envoy-upstream-rq-timeout-ms: 60000\r\n\r\n", "POST")
 	if took := time.Since(began); answers[0].StatusCode != 504 || took > 3*time.Second {
-		t.Errorf("with a timeout longer than the expiry: got %d after %v", answers[0].StatusCode, took)
+		t.Errorf("with a timeout longer than the expiry: got status %d after %v, want 504 within 3 s", answers[0].StatusCode, took)
 	}
 }
 
+// If a worker sends each answer twice, the second copy must not be taken for the next txn's answer.
 func TestUnsolicitedBytes(t *testing.T) {
-	// The worker sends each answer twice. The second copy must not be taken for the next txn's answer.
 	r := startEdge(t, "", newStubWorker(t, func(c net.Conn, req *http.Request, b []byte) bool {
-		a := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(req.URL.Path), req.URL.Path)
-		io.WriteString(c, a+a)
+		answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(req.URL.Path), req.URL.Path)
+		io.WriteString(c, answer+answer)
 		return true
 	}))
 	for i := 0; i < 20; i++ {
 		path := fmt.Sprintf("/ask/%02d", i)
 		if _, bodies := r.roundTrip(get(path), "GET"); bodies[0] != path {
-			t.Fatalf("txn %s got %q", path, bodies[0])
+			t.Fatalf("request %s got body %q", path, bodies[0])
 		}
 	}
 	if r.stats().malformedAnswers == 0 {
@@ -511,16 +522,17 @@
 	}
 }
 
+// A drain must end idle connections, accept no new ones and answer the open txn.
 func TestDrain(t *testing.T) {
-	asked, release := make(chan struct{}), make(chan struct{})
+	requested, release := make(chan struct{}), make(chan struct{})
 	r := startEdge(t, "", newStubWorker(t, func(c net.Conn, req *http.Request, b []byte) bool {
-		close(asked)
+		close(requested)
 		<-release
 		return echo(c, req, b)
 	}))
 	idle, busy := r.dial(), r.dial()
 	io.WriteString(busy, post("/pay"))
-	<-asked
+	<-requested
 	r.stop()
 	if rest, err := io.ReadAll(idle); err != nil || len(rest) > 0 {
 		t.Errorf("the idle connection got %q, %v", rest, err)
@@ -532,7 +544,7 @@
 	close(release)
 	resp, err := http.ReadResponse(bufio.NewReader(busy), nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("the open txn got %v, %v", resp, err)
+		t.Errorf("the open txn got %v, %v; want status 200 and close", resp, err)
 	}
 	if err := <-r.done; err != nil {
 		t.Error(err)
@@ -551,7 +563,7 @@
 	r.done = nil
 	restarted := startEdge(t, state) // its source delivers no worker list
 	if answers, _ := restarted.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
-		t.Errorf("got %d", answers[0].StatusCode)
+		t.Errorf("after a restart: got status %d, want 200", answers[0].StatusCode)
 	}
 }
 
@@ -564,7 +576,7 @@
 	before := a.requests.Load()
 	r.roundTrip(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
 	if a.requests.Load() != before || before == 0 {
-		t.Errorf("requests of a draining worker: %d before, %d after", before, a.requests.Load())
+		t.Errorf("worker had %d requests before it drained and %d after", before, a.requests.Load())
 	}
 }
 
@@ -583,6 +595,7 @@
 	}
 }
 
+// Handling a txn must not allocate once buffers and free lists have grown.
 func TestRequestPathDoesNotAllocate(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -623,6 +636,6 @@
 	runtime.ReadMemStats(&after)
 	// The housekeeping tick, the alarm and the runtime allocate in proportion to time, not to txns.
 	if perTxn := float64(after.Mallocs-before.Mallocs) / txns; perTxn > 0.1 {
-		t.Errorf("%.3f allocations per txn", perTxn)
+		t.Errorf("%.3f allocations per txn, want at most 0.1", perTxn)
 	}
 }
--- a/edge/harden_test.go
+++ b/edge/harden_test.go
@@ -22,18 +22,18 @@
 	"dunegrade/logic"
 )
 
-// unusableReasons returns, for each worker the sentry knows, why it cannot be used; empty: it can.
+// unusableReasons returns the reason why each known worker cannot be used; the reason is empty for a usable worker.
 func (r *testEdge) unusableReasons() map[logic.WorkerID]string {
-	out, done := map[logic.WorkerID]string{}, make(chan struct{})
+	reasons, done := map[logic.WorkerID]string{}, make(chan struct{})
 	l := r.p.loops[0]
 	l.post(func() {
 		for _, s := range l.sentry.Explain(0, 0, 0) {
-			out[s.Worker] = s.Reason
+			reasons[s.Worker] = s.Reason
 		}
 		close(done)
 	})
 	<-done
-	return out
+	return reasons
 }
 
 // waitFor polls until a condition holds, and fails the test after 10 s.
@@ -48,17 +48,18 @@
 	}
 }
 
+// upWorker returns a valid list entry of a worker in state up.
 func upWorker(id string, build int) api.Worker {
 	return api.Worker{ID: id, Address: "127.0.0.1:1", State: api.Up, Build: build, Weight: 1}
 }
 
-// A malformed line in a worker list must not change its worker, and must not keep the valid lines, such as another worker's
-// drain, from taking effect. Only a state other than "up" is taken from a malformed line.
-func TestMalformedWorkerLinesAreIgnored(t *testing.T) {
+// A malformed entry of a worker list must not change its worker, and must not prevent valid entries, such as another worker's
+// drain, from taking effect. Only a state other than up is applied from a malformed entry.
+func TestMalformedWorkerEntriesAreIgnored(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		corrupt    func(w *api.Worker)
-		wantReason string // why the worker cannot be used afterwards
+		wantReason string // why the worker cannot be used afterwards; empty: it can
 	}{
 		{"no address", func(w *api.Worker) { w.Address = "" }, ""},
 		{"no port", func(w *api.Worker) { w.Address = "127.0.0.1" }, ""},
@@ -81,24 +82,24 @@
 				r.p.Workers(api.WorkersEvent{Type: mode, Revision: 2, Now: 1, Workers: []api.Worker{bad, draining, unknown, upWorker("c", 1)}})
 				got := r.unusableReasons()
 				if got["a"] != c.wantReason || got["b"] != "not up" || got["c"] != "" {
-					t.Errorf("reasons are %v, want a %q, b not up, c none", got, c.wantReason)
+					t.Errorf("got reasons %v; want %q for a, not up for b, none for c", got, c.wantReason)
 				}
 				if _, known := got["d"]; known {
-					t.Error("a malformed line added an unknown worker")
+					t.Error("a malformed entry added an unknown worker")
 				}
 			})
 		}
 	}
 }
 
-// A malformed release update must not take effect: a cap of 40, meant as a percentage, would allow everything, and one of -1
-// nothing. An update that is older than the release in force must not raise its exposure.
+// A malformed release update must not take effect: a cap of 40, meant as a percentage, would allow everything, and a negative
+// one nothing. An update that is older than the release in force must not raise its exposure.
 func TestMalformedReleaseUpdatesAreIgnored(t *testing.T) {
 	valid := api.Release{Build: 2, Stage: 1, Phase: api.OnTrial, Cap: 0.4, Since: 100}
 	for _, c := range []struct {
 		name string
 		next func(r *api.Release)
-		want bool
+		want bool // next is accepted
 	}{
 		{"repeated update", func(r *api.Release) {}, true},
 		{"cap over one", func(r *api.Release) { r.Cap = 40 }, false},
@@ -122,30 +123,30 @@
 			next := valid
 			c.next(&next)
 			if got := p.acceptRelease(next, func() {}); got != c.want {
-				t.Errorf("accepted: %t", got)
+				t.Errorf("accepted: %t, want %t", got, c.want)
 			}
 			want := valid
 			if c.want {
 				want = next
 			}
 			if p.release != want {
-				t.Errorf("in force: %+v, want %+v", p.release, want)
+				t.Errorf("release in force is %+v, want %+v", p.release, want)
 			}
 		})
 	}
 	t.Run("a vote reply after the build was withdrawn", func(t *testing.T) {
 		p := New(parseTestConfig(t, ""), zap.NewNop())
-		gone := valid
-		gone.Phase, gone.Cap, gone.Since = api.Withdrawn, 0, 300
-		p.acceptRelease(gone, func() {})
+		withdrawn := valid
+		withdrawn.Phase, withdrawn.Cap, withdrawn.Since = api.Withdrawn, 0, 300
+		p.acceptRelease(withdrawn, func() {})
 		if p.acceptRelease(valid, func() {}) {
 			t.Error("the withdrawn trial is in force again")
 		}
 	})
 }
 
-// Release updates must be forwarded to the loops under the lock that orders them. Otherwise an update could be checked first
-// but reach a loop after a newer one.
+// Release updates must be forwarded to the loops under the lock under which they are checked. Otherwise an update could be
+// checked before a newer one but reach a loop after it.
 func TestReleaseUpdatesAreForwardedInOrder(t *testing.T) {
 	p := New(parseTestConfig(t, ""), zap.NewNop())
 	forwarded := false
@@ -156,7 +157,7 @@
 		}
 	})
 	if !forwarded {
-		t.Error("not forwarded")
+		t.Error("the update was not forwarded")
 	}
 }
 
@@ -170,8 +171,8 @@
 	return e
 }
 
-// A new process under a known worker id must count as new. Taken for the old process it would count as warm and trusted, and
-// be blamed for what the old one did.
+// A new process under a known worker id must count as new. Taken for the old process, it would count as warm and trusted, and
+// be blamed for the failures of the old one.
 func TestWorkerStartIdentifiesProcess(t *testing.T) {
 	const sec = int64(time.Second)
 	first := api.Worker{ID: "a", Address: "127.0.0.1:1", State: api.Up, Build: 1}
@@ -181,8 +182,8 @@
 		name       string
 		previous   *api.Worker // in the first list; nil: the id appears later
 		next       func(w *api.Worker)
-		age        logic.Nanos // expected at the second list; -1: started long ago
-		newProcess bool        // the start differs from the one after the first list
+		age        logic.Nanos // expected age at the second list; -1: started long ago
+		newProcess bool        // the start differs from the start after the first list
 	}{
 		{"unchanged, without a start", &first, func(w *api.Worker) {}, -1, false},
 		{"unchanged, with a start", &withStart, func(w *api.Worker) {}, 15 * logic.Second, false},
@@ -191,7 +192,7 @@
 		{"another address with the same start", &withStart, func(w *api.Worker) { w.Address = "127.0.0.1:2" }, 0, true},
 		{"another build, without a start", &first, func(w *api.Worker) { w.Build = 2 }, 0, true},
 		{"another build and start", &withStart, func(w *api.Worker) { w.Build, w.StartedAt = 2, 103*sec }, 2 * logic.Second, true},
-		{"draining, and the line has no address", &withStart, func(w *api.Worker) { w.Address, w.State = "", api.Draining }, 15 * logic.Second, false},
+		{"draining, without an address", &withStart, func(w *api.Worker) { w.Address, w.State = "", api.Draining }, 15 * logic.Second, false},
 		{"an id that appears later, without a start", nil, func(w *api.Worker) {}, 0, false},
 		{"an id that appears later, with a start", nil, func(w *api.Worker) { w.StartedAt = 100 * sec }, 5 * logic.Second, false},
 		{"a start in the future", nil, func(w *api.Worker) { w.StartedAt = 200 * sec }, 0, false},
@@ -209,14 +210,14 @@
 			c.next(&w)
 			got := l.workerStartTime("a", w, 105*sec)
 			if want := l.now - c.age; c.age >= 0 && got != want || c.age < 0 && got != 0 {
-				t.Errorf("started %v ago, want %v", l.now-got, c.age)
+				t.Errorf("the process started %v ago, want %v", l.now-got, c.age)
 			}
 			if (got != before) != c.newProcess && c.previous != nil {
-				t.Errorf("start differs: %t", got != before)
+				t.Errorf("start differs: %t, want %t", got != before, c.newProcess)
 			}
 			l.now += logic.Second
 			if again := l.workerStartTime("a", w, 106*sec); again != got {
-				t.Errorf("on a repeated list, the start is %v, before %v", again, got)
+				t.Errorf("the start is %v after a repeated list, was %v", again, got)
 			}
 		})
 	}
@@ -228,9 +229,9 @@
 	for i := 0; i < 300; i++ {
 		e := api.WorkersEvent{Type: api.Whole, Revision: uint64(i), Now: 1, Workers: []api.Worker{upWorker(fmt.Sprintf("w%d", i), 1)}}
 		if i%2 == 0 { // every other worker is removed by a change event
-			gone := upWorker(fmt.Sprintf("w%d", i-1), 1)
-			gone.State = api.Gone
-			e.Type, e.Workers = api.Change, append(e.Workers, gone)
+			removed := upWorker(fmt.Sprintf("w%d", i-1), 1)
+			removed.State = api.Gone
+			e.Type, e.Workers = api.Change, append(e.Workers, removed)
 		}
 		r.p.Workers(e)
 	}
@@ -238,7 +239,7 @@
 	l := r.p.loops[0]
 	l.post(func() { done <- [3]int{len(l.workerStarts), len(l.pools), len(r.p.workers)} })
 	if got := <-done; got != [3]int{1, 1, 1} {
-		t.Errorf("starts, pools and workers: %v, want one each", got)
+		t.Errorf("got %v starts, pools and workers, want one each", got)
 	}
 }
 
@@ -248,17 +249,18 @@
 	names := indexNames([]string{"north", "south"}, 0)
 	seen := map[int]string{}
 	for _, n := range []string{"north", "south", "east", "west", ""} {
-		at := lookupID(names, n)
-		if seen[at] != "" || n == "south" && at != 1 {
-			t.Errorf("%q has id %d, like %q", n, at, seen[at])
+		id := lookupID(names, n)
+		if seen[id] != "" || n == "south" && id != 1 {
+			t.Errorf("zone %q got id %d; zone with this id so far: %q", n, id, seen[id])
 		}
-		seen[at] = n + "."
+		seen[id] = n + "." // not empty even for the empty name
 	}
 	if lookupID(nil, "") != 0 {
 		t.Error("without configured zones, the empty name is not the local zone")
 	}
 }
 
+// savedStateFormat is a valid state file; its verbs stand for the times of saved, clock and startedAt.
 const savedStateFormat = `{"version":1,"saved":%d,"clock":%d,"workers":[
  {"id":"a","address":"127.0.0.1:1","state":"up","build":1,"weight":1},
  {"id":"b","address":"127.0.0.1:2","state":"up","build":1,"startedAt":%d,"weight":1}],
@@ -273,7 +275,7 @@
 
 // A saved state that is malformed or truncated must be rejected as a whole, not restored in part.
 func TestSavedStateIsValidOrRejected(t *testing.T) {
-	for _, c := range []struct{ name, from, to string }{
+	for _, c := range []struct{ name, original, replacement string }{
 		{"unchanged, valid", "", ""},
 		{"another version", `"version":1`, `"version":2`},
 		{"no address", `"127.0.0.1:1"`, `""`},
@@ -288,10 +290,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			p := New(parseTestConfig(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
-			writeFile(t, p.statePath(), strings.Replace(savedStateJSON(), c.from, c.to, 1))
+			writeFile(t, p.statePath(), strings.Replace(savedStateJSON(), c.original, c.replacement, 1))
 			list, release := p.restoreState()
-			if valid := c.from == ""; (list != nil) != valid || (release != nil) != valid {
-				t.Errorf("restored %v, %v", list, release)
+			if valid := c.original == ""; (list != nil) != valid || (release != nil) != valid {
+				t.Errorf("restored list %v and release %v, want both: %t", list, release, valid)
 			}
 		})
 	}
@@ -308,6 +310,7 @@
 	})
 }
 
+// writeFile writes a file or fails the test.
 func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -315,8 +318,8 @@
 	}
 }
 
-// Worker starts in the saved state are in the platform's time. Read by the local clock, a worker that has just started would
-// look warm. When the platform's list arrives after the restart, the same process must keep its start.
+// Worker starts in the saved state are in the platform's time. Compared with the local clock, a worker that has just started
+// would look warm. When the platform's list arrives after the restart, the same process must keep its start.
 func TestRestoredListKeepsWorkerAges(t *testing.T) {
 	dir := t.TempDir()
 	writeFile(t, filepath.Join(dir, "t.list.json"), strings.Replace(savedStateJSON(), `"state":"up","build":1,"weight"`, `"state":"resting","build":1,"weight"`, 1))
@@ -331,7 +334,7 @@
 		t.Errorf("restored with an age of %v, want 4 s", got)
 	}
 	if got := r.unusableReasons(); got["a"] != "not up" {
-		t.Errorf("the reason for an unknown state is %q", got["a"])
+		t.Errorf("the reason for an unknown state is %q, want not up", got["a"])
 	}
 	starts := make(chan workerStart, 2)
 	l.post(func() { starts <- l.workerStarts["b"] })
@@ -339,13 +342,13 @@
 	b := r.p.workers["b"]
 	r.p.Workers(api.WorkersEvent{Type: api.Whole, Revision: 1, Now: now, Workers: []api.Worker{b}})
 	l.post(func() { starts <- l.workerStarts["b"] })
-	if x, y := <-starts, <-starts; x != y {
-		t.Errorf("the start of the same process is %+v, then %+v", x, y)
+	if restored, listed := <-starts, <-starts; restored != listed {
+		t.Errorf("the start of the same process is %+v, then %+v", restored, listed)
 	}
 }
 
-// A malformed line must not get into the saved state, which would be rejected as a whole at the next start.
-func TestMalformedWorkerLineIsNotSaved(t *testing.T) {
+// A malformed list entry must not get into the saved state, which would be rejected as a whole at the next start.
+func TestMalformedWorkerEntryIsNotSaved(t *testing.T) {
 	dir := t.TempDir()
 	p := New(parseTestConfig(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
 	for _, state := range []string{api.Up, "", "resting", api.Draining} {
@@ -355,7 +358,7 @@
 		p.Workers(api.WorkersEvent{Type: api.Change, Now: 1, Workers: []api.Worker{bad}})
 		p.saveState(false)
 		if list, _ := New(parseTestConfig(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop()).restoreState(); list == nil || len(list.Workers) != 2 {
-			t.Errorf("after a malformed line with state %q: restored %v", state, list)
+			t.Errorf("after a malformed entry with state %q: restored %v", state, list)
 		}
 	}
 }
@@ -374,8 +377,8 @@
 				}
 				p.Workers(api.WorkersEvent{Type: api.Whole, Now: 1, Workers: list})
 				p.saveState(false)
-				again := New(parseTestConfig(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
-				if got, _ := again.restoreState(); got == nil {
+				restarted := New(parseTestConfig(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
+				if got, _ := restarted.restoreState(); got == nil {
 					t.Error("the saved state was rejected")
 				}
 			}
@@ -383,10 +386,10 @@
 	}
 	group.Wait()
 	p.saveFinal()
-	p.saveState(false) // like a delayed timer
+	p.saveState(false) // as a delayed timer would
 	info, err := os.Stat(p.statePath() + ".new")
 	if err == nil {
-		t.Errorf("%s is left behind", info.Name())
+		t.Errorf("temporary file %s was not removed", info.Name())
 	}
 }
 
@@ -407,10 +410,10 @@
 	r.p.saveState(false)
 	after, err := os.ReadFile(r.p.statePath())
 	if err != nil || string(after) != string(before) {
-		t.Errorf("the previously saved state is gone: %v", err)
+		t.Errorf("the previously saved state has changed; read error: %v", err)
 	}
 	if answers, _ := r.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
-		t.Errorf("got %d", answers[0].StatusCode)
+		t.Errorf("got status %d, want 200", answers[0].StatusCode)
 	}
 	os.Remove(r.p.statePath() + ".new")
 }
@@ -425,14 +428,14 @@
 		t.Fatal(err)
 	}
 	p.Workers(api.WorkersEvent{Type: api.Whole, Now: 1, Workers: []api.Worker{upWorker("a", 1)}})
-	waitFor(t, "the first log line", func() bool { return logs.FilterMessage("the last list could not be kept").Len() > 0 })
+	waitFor(t, "the failure in the log", func() bool { return logs.FilterMessage("the last list could not be kept").Len() > 0 })
 	if err := os.Remove(p.statePath() + ".new"); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "the saved file", func() bool { _, err := os.Stat(p.statePath()); return err == nil })
-	waitFor(t, "the second log line", func() bool { return logs.FilterMessage("the last list is kept again").Len() > 0 })
+	waitFor(t, "the recovery in the log", func() bool { return logs.FilterMessage("the last list is kept again").Len() > 0 })
 	if n := logs.Len(); n != 2 {
-		t.Errorf("%d log lines, want one for each change", n)
+		t.Errorf("got %d log lines, want one for the failure and one for the recovery", n)
 	}
 }
 
@@ -441,19 +444,19 @@
 func TestListFileChangeWithSameTimestampIsRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.sexp")
 	stamp := time.Now()
-	put := func(text string) {
+	write := func(text string) {
 		writeFile(t, path, text)
 		if err := os.Chtimes(path, stamp, stamp); err != nil {
 			t.Fatal(err)
 		}
 	}
-	put(`(worker a (address "127.0.0.1:1")) (release (build 1))`)
+	write(`(worker a (address "127.0.0.1:1")) (release (build 1))`)
 	s := newFileSource(path, zap.NewNop())
-	e := runSource(t, s)
-	await(t, e.lists)
-	put(`(worker a (address "127.0.0.1:1")) (worker b (address "127.0.0.1:2")) (release (build 1))`)
-	if got := await(t, e.lists); len(got.Workers) != 2 {
-		t.Errorf("got %+v", got)
+	h := runSource(t, s)
+	await(t, h.lists)
+	write(`(worker a (address "127.0.0.1:1")) (worker b (address "127.0.0.1:2")) (release (build 1))`)
+	if got := await(t, h.lists); len(got.Workers) != 2 {
+		t.Errorf("got list %+v, want 2 workers", got)
 	}
 }
 
@@ -471,8 +474,8 @@
 	}
 	setTimestamp()
 	core, logs := observer.New(zap.InfoLevel)
-	e := runSource(t, newFileSource(path, zap.New(core)))
-	waitFor(t, "the first log line", func() bool { return logs.FilterMessage("list file cannot be read").Len() > 0 })
+	h := runSource(t, newFileSource(path, zap.New(core)))
+	waitFor(t, "the failure in the log", func() bool { return logs.FilterMessage("list file cannot be read").Len() > 0 })
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
@@ -481,21 +484,21 @@
 		t.Fatal(err)
 	}
 	setTimestamp()
-	if got := await(t, e.lists); len(got.Workers) != 1 {
-		t.Errorf("got %+v", got)
+	if got := await(t, h.lists); len(got.Workers) != 1 {
+		t.Errorf("got list %+v, want 1 worker", got)
 	}
-	waitFor(t, "the second log line", func() bool { return logs.FilterMessage("list file is read again").Len() > 0 })
+	waitFor(t, "the recovery in the log", func() bool { return logs.FilterMessage("list file is read again").Len() > 0 })
 	if n := logs.Len(); n != 2 {
-		t.Errorf("%d log lines, want one for each change", n)
+		t.Errorf("got %d log lines, want one for the failure and one for the recovery", n)
 	}
 }
 
-// Peer addresses are ignored if the configuration forbids messages between sentries.
+// Peer addresses must be ignored if the configuration forbids messages between sentries.
 func TestPeersWithoutMessages(t *testing.T) {
 	w := newStubWorker(t, echo)
 	r := startEdge(t, fmt.Sprintf("(sentries 3) (index 2) (peers %s) (allow (messages false))", freeUDPAddress(t)), w)
 	if answers, _ := r.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
-		t.Errorf("got %d", answers[0].StatusCode)
+		t.Errorf("got status %d, want 200", answers[0].StatusCode)
 	}
 }
 
@@ -508,15 +511,15 @@
 	}
 	requested := serveWatch(t, ln, `{"type":"whole","revision":5,"workers":[]}`, `{"type":"patch","revision":6}`, `{"type":"change","revision":7}`)
 	s := newAPISource("http://"+ln.Addr().String(), "edge-0", zap.NewNop())
-	e := runSource(t, s)
-	if got := await(t, e.lists); got.Revision != 5 {
-		t.Errorf("got %+v", got)
+	h := runSource(t, s)
+	if got := await(t, h.lists); got.Revision != 5 {
+		t.Errorf("got %+v, want revision 5", got)
 	}
 	if a, b := await(t, requested), await(t, requested); a != "0" || b != "0" {
-		t.Errorf("requested from revision %s, then %s", a, b)
+		t.Errorf("watches start at revisions %s and %s, want 0 and 0", a, b)
 	}
-	if got := await(t, e.lists); got.Type != api.Whole {
-		t.Errorf("got %+v after an event of unknown type", got)
+	if got := await(t, h.lists); got.Type != api.Whole {
+		t.Errorf("got %+v after an event of unknown type, want a whole list", got)
 	}
 }
 
@@ -526,15 +529,15 @@
 	failures int
 }
 
-func (s *failingListener) Accept() (net.Conn, error) {
-	if s.failures--; s.failures >= 0 {
+func (l *failingListener) Accept() (net.Conn, error) {
+	if l.failures--; l.failures >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
-	return s.Listener.Accept()
+	return l.Listener.Accept()
 }
 
-// A process without free descriptors fails to accept a hundred times a second. It must log the first failure and the recovery
-// only; a line for each failure would fill the disk.
+// A process without free descriptors fails to accept a hundred times a second. It must log only the first failure and the
+// recovery; a line for each failure would fill the disk.
 func TestAcceptFailureIsLoggedOnce(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -561,11 +564,11 @@
 		lines = append(lines, fmt.Sprint(l.Message, l.ContextMap()["failed"]))
 	}
 	if got := strings.Join(lines, ", "); got != "accept failed<nil>, accepts again5" {
-		t.Errorf("logged %s", got)
+		t.Errorf("got log %s, want one failure and one recovery after 5", got)
 	}
 }
 
-// A txn that the module has lost track of would never be answered. The host must void it at its expiry and count it.
+// The loop must void a txn at its expiry if the module has lost track of it, and count it. It would never be answered otherwise.
 func TestHostVoidsForgottenTxn(t *testing.T) {
 	requested := make(chan struct{}, 1)
 	r := startEdge(t, "", newStubWorker(t, func(c net.Conn, req *http.Request, b []byte) bool {
@@ -580,22 +583,22 @@
 	began := time.Now()
 	answers, _ := r.roundTrip(post("/pay"), "POST")
 	if answers[0].StatusCode != 504 || time.Since(began) > 800*time.Millisecond {
-		t.Errorf("got %d after %v", answers[0].StatusCode, time.Since(began))
+		t.Errorf("got status %d after %v, want 504 within 800 ms", answers[0].StatusCode, time.Since(began))
 	}
 	if s := r.stats(); s.hostVoided != 1 {
 		t.Errorf("%d txns counted as voided by the host, want 1", s.hostVoided)
 	}
 }
 
-// The module must answer a txn by its expiry on its own; a txn that the host has to void is a defect.
+// The module must answer a txn by its expiry itself; a txn that the loop has to void is a defect.
 func TestModuleAnswersAtExpiry(t *testing.T) {
 	for _, raw := range []string{get("/ask"), post("/book"), post("/pay")} {
 		r := startEdge(t, "", newStubWorker(t, hang))
 		if answers, _ := r.roundTrip(raw, raw[:4]); answers[0].StatusCode < 503 {
-			t.Errorf("got %d", answers[0].StatusCode)
+			t.Errorf("got status %d, want 503 or 504", answers[0].StatusCode)
 		}
 		if s := r.stats(); s.hostVoided != 0 || s.voided+s.declined != 1 {
-			t.Errorf("%d voided by the host, %d voided, %d declined", s.hostVoided, s.voided, s.declined)
+			t.Errorf("%d voided by the host, %d voided, %d declined; want 0 by the host and 1 in all", s.hostVoided, s.voided, s.declined)
 		}
 	}
 }
@@ -633,7 +636,7 @@
 			}
 		}
 		if held != l.heldBytes {
-			t.Errorf("%d bytes are held, but %d are counted", held, l.heldBytes)
+			t.Errorf("%d bytes are held, but heldBytes is %d", held, l.heldBytes)
 		}
 		close(done)
 	})
--- a/edge/loop.go
+++ b/edge/loop.go
@@ -666,7 +666,7 @@
 		l.openClient(c, ctx)
 	case *pool:
 		l.openWorkerConn(c, ctx)
-	case *returnedWorker:
+	case *returnedWorker: // counted like a dialed connection until openWorkerConn has made it ready
 		ctx.pool.numConns++
 		l.numConns++
 		ctx.pool.numDialing++
--- a/edge/reuse_test.go
+++ b/edge/reuse_test.go
@@ -7,16 +7,16 @@
 	"dunegrade/logic"
 )
 
-// The reuse limit must fall to about the idle time after which connections are dropped, and must stay high if resets are
-// unrelated to idle time.
+// The reuse limit must fall to about the idle time after which connections are dropped, and must stay high if resets don't
+// depend on the idle time.
 func TestIdleConnectionReuseLimit(t *testing.T) {
 	const ms = logic.Millisecond
 	for _, c := range []struct {
 		name      string
-		baseRate  float64     // share of connections reset whatever their idle time
-		dropAfter logic.Nanos // of those idle for longer, half are reset; 0 when none are
-		minLimit  logic.Nanos // bounds of the mean limit
-		maxLimit  logic.Nanos
+		baseRate  float64     // share of connections reset at any idle time
+		dropAfter logic.Nanos // half of the connections idle for longer are reset; 0: none
+		minLimit  logic.Nanos // lower bound of the mean limit
+		maxLimit  logic.Nanos // upper bound of the mean limit
 	}{
 		{"no resets", 0, 0, 3000 * ms, 3000 * ms},
 		{"one in seven reset at any idle time", 0.14, 0, 1000 * ms, 3000 * ms},
--- a/edge/source_test.go
+++ b/edge/source_test.go
@@ -22,7 +22,7 @@
 	"dunegrade/logic"
 )
 
-// recordingHandler keeps the events of a source.
+// recordingHandler is an EventHandler that queues the events.
 type recordingHandler struct {
 	lists    chan api.WorkersEvent
 	releases chan api.ReleaseEvent
@@ -33,34 +33,36 @@
 func newRecordingHandler() *recordingHandler {
 	return &recordingHandler{make(chan api.WorkersEvent, 64), make(chan api.ReleaseEvent, 64), make(chan api.Report, 64), make(chan api.Tally, 64)}
 }
-func (e *recordingHandler) Workers(x api.WorkersEvent) { e.lists <- x }
-func (e *recordingHandler) Release(x api.ReleaseEvent) { e.releases <- x }
-func (e *recordingHandler) Report(x api.Report)        { e.reports <- x }
-func (e *recordingHandler) Tally(x api.Tally)          { e.tallies <- x }
+func (h *recordingHandler) Workers(e api.WorkersEvent) { h.lists <- e }
+func (h *recordingHandler) Release(e api.ReleaseEvent) { h.releases <- e }
+func (h *recordingHandler) Report(r api.Report)        { h.reports <- r }
+func (h *recordingHandler) Tally(t api.Tally)          { h.tallies <- t }
 
 // runSource runs a source until the end of the test and returns its events.
 func runSource(t *testing.T, s Source) *recordingHandler {
-	e, done := newRecordingHandler(), make(chan struct{})
+	h, done := newRecordingHandler(), make(chan struct{})
 	ctx, stop := context.WithCancel(context.Background())
-	go func() { s.Run(ctx, e); close(done) }()
+	go func() { s.Run(ctx, h); close(done) }()
 	t.Cleanup(func() { stop(); <-done })
-	return e
+	return h
 }
 
-// await returns the next value, or fails the test after 10 s.
+// await returns the next value of a channel, or fails the test after 10 s.
 func await[T any](t *testing.T, c chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing arrived")
+		t.Fatal("timed out waiting for a value")
 	}
 	return v
 }
 
+// A watch that ends, falls silent or delivers malformed events must be resumed at the last revision. After a change that skips
+// a revision, the whole list must be requested.
 func TestWatchResumesAndDetectsGaps(t *testing.T) {
 	before := goleak.IgnoreCurrent()
-	asked := make(chan string, 64)
+	requested := make(chan string, 64)
 	scripts := make(chan []string, 8)
 	scripts <- []string{`{"type":"whole","revision":5,"workers":[{"id":"a","state":"up"}]}`, `{"type":"change","revision":6}`, `{"type":"change","revision":8}`, "hold"}
 	scripts <- []string{`{"type":"whole","revision":9}`, `{"type":"bookmark","revision":9}`} // then the watch ends
@@ -72,7 +74,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		asked <- r.URL.Query().Get("revision")
+		requested <- r.URL.Query().Get("revision")
 		w.(http.Flusher).Flush()
 		for _, line := range <-scripts {
 			if line == "hold" || line == "silence" {
@@ -87,15 +89,15 @@
 	s.client.WatchIdleTimeout = 300 * time.Millisecond
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	e := newRecordingHandler()
-	go func() { s.Run(ctx, e); close(done) }()
+	h := newRecordingHandler()
+	go func() { s.Run(ctx, h); close(done) }()
 	for i, want := range []uint64{5, 6, 9, 10, 11, 12} {
-		if got := await(t, e.lists); got.Revision != want {
-			t.Errorf("event %d is of revision %d, want %d", i, got.Revision, want)
+		if got := await(t, h.lists); got.Revision != want {
+			t.Errorf("event %d has revision %d, want %d", i, got.Revision, want)
 		}
 	}
 	for i, want := range []string{"0", "0", "9", "10", "11"} {
-		if got := await(t, asked); got != want {
+		if got := await(t, requested); got != want {
 			t.Errorf("watch %d starts at revision %s, want %s", i, got, want)
 		}
 	}
@@ -105,6 +107,8 @@
 	goleak.VerifyNone(t, before)
 }
 
+// A vote that is refused or gets no reply must return the matching error. Any other status, or a reply that can't be decoded,
+// must return an error, too.
 func TestVoteResults(t *testing.T) {
 	for _, c := range []struct {
 		status int
@@ -114,7 +118,7 @@
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			var v api.Vote
 			if json.NewDecoder(r.Body).Decode(&v) != nil || v.Verdict != api.VoteBack || r.URL.Path != "/v1/releases/7/votes" {
-				t.Errorf("got vote %+v at %s", v, r.URL.Path)
+				t.Errorf("got vote %+v at path %s", v, r.URL.Path)
 			}
 			if c.status == 0 {
 				<-r.Context().Done()
@@ -129,9 +133,9 @@
 		stop()
 		switch {
 		case c.want != nil && !errors.Is(err, c.want):
-			t.Errorf("%d: got %v, want %v", c.status, err, c.want)
+			t.Errorf("status %d: got error %v, want %v", c.status, err, c.want)
 		case c.want == nil && c.status == 200 && strings.HasPrefix(c.body, "{") && (err != nil || e.Release.Build != 7):
-			t.Errorf("got %+v, %v", e, err)
+			t.Errorf("got %+v, %v; want the release of build 7", e, err)
 		case c.want == nil && (c.status != 200 || !strings.HasPrefix(c.body, "{")) && err == nil:
 			t.Errorf("status %d with body %q was accepted", c.status, c.body)
 		}
@@ -140,6 +144,7 @@
 	}
 }
 
+// A changed list file must be delivered on a refresh, and an invalid one must not.
 func TestFileSourceReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.sexp")
 	write := func(text string) {
@@ -149,8 +154,8 @@
 	}
 	write(`(worker a (address "127.0.0.1:1")) (release (build 1))`)
 	s := newFileSource(path, zap.NewNop())
-	e := runSource(t, s)
-	if got := await(t, e.lists); len(got.Workers) != 1 {
+	h := runSource(t, s)
+	if got := await(t, h.lists); len(got.Workers) != 1 {
 		t.Errorf("got list %+v, want 1 worker", got)
 	}
 	write(`(worker a`)
@@ -160,11 +165,11 @@
 	}
 	write(`(worker a (address "127.0.0.1:1")) (worker b (address "127.0.0.1:2")) (release (build 2) (phase on-trial) (cap 10%))`)
 	s.Refresh()
-	if got := await(t, e.lists); len(got.Workers) != 2 {
+	if got := await(t, h.lists); len(got.Workers) != 2 {
 		t.Errorf("got list %+v, want 2 workers", got)
 	}
-	await(t, e.releases)
-	if got := await(t, e.releases); got.Release.Cap != 0.1 || got.Release.Phase != api.OnTrial {
+	await(t, h.releases)
+	if got := await(t, h.releases); got.Release.Cap != 0.1 || got.Release.Phase != api.OnTrial {
 		t.Errorf("got release %+v, want a build on trial with a cap of 0.1", got)
 	}
 }
@@ -193,11 +198,12 @@
 		}
 		var got logic.Load
 		if ok := parseLoadReport(&r, &got); ok != c.ok || ok && got != c.want {
-			t.Errorf("%s: got %+v, %t", c.header, got, ok)
+			t.Errorf("%s: got %+v, %t; want %+v, %t", c.header, got, ok, c.want, c.ok)
 		}
 	}
 }
 
+// A client's trace context must reach the worker unchanged; a request without one must get a generated one.
 func TestTraceContext(t *testing.T) {
 	seen := make(chan string, 4)
 	r := startEdge(t, "", newStubWorker(t, func(c net.Conn, req *http.Request, b []byte) bool {
@@ -222,7 +228,7 @@
 	r := startEdge(t, fmt.Sprintf("(loops 2) (sentries 3) (peers %s %s %s) (allow (messages true))", a, a, b), w)
 	for i := 0; i < 8; i++ {
 		if answers, _ := r.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
-			t.Fatalf("got %d", answers[0].StatusCode)
+			t.Fatalf("got status %d, want 200", answers[0].StatusCode)
 		}
 	}
 	r.waitForLoops()
@@ -245,17 +251,18 @@
 	third.SetReadDeadline(time.Now().Add(5 * time.Second))
 	n, _, err := third.ReadFromUDP(buf)
 	if err != nil || string(buf[:n]) != "\x00\x01\x00\x02seen" {
-		t.Errorf("got %q, %v", buf[:n], err)
+		t.Errorf("the third sentry got %q, %v", buf[:n], err)
 	}
 	// Invalid messages on the same port must do no harm.
 	for _, invalid := range []string{"", "x", "\x00\x02\x00\x00" + strings.Repeat("x", 300), "\x00\x63\x00\x01evidence", "\xff\xff\xff\xff"} {
 		third.WriteToUDP([]byte(invalid), r.p.peerAddrs[0])
 	}
 	if answers, _ := r.roundTrip(get("/ask"), "GET"); answers[0].StatusCode != 200 {
-		t.Errorf("after invalid messages: got %d", answers[0].StatusCode)
+		t.Errorf("after invalid messages: got status %d, want 200", answers[0].StatusCode)
 	}
 }
 
+// freeUDPAddress returns a local address whose port is free.
 func freeUDPAddress(t *testing.T) string {
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -265,15 +272,16 @@
 	return c.LocalAddr().String()
 }
 
-// serveWatch answers each watch of the worker list with the given lines. The channel gets the revision that each one starts at.
+// serveWatch answers each watch of the worker list with the given lines. It returns a channel of the revisions at which the
+// watches start.
 func serveWatch(t *testing.T, ln net.Listener, lines ...string) chan string {
-	asked := make(chan string, 64)
+	requested := make(chan string, 64)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/v1/workers" {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		asked <- r.URL.Query().Get("revision")
+		requested <- r.URL.Query().Get("revision")
 		for _, line := range lines {
 			fmt.Fprintln(w, line)
 		}
@@ -282,5 +290,5 @@
 	})}
 	go server.Serve(ln)
 	t.Cleanup(func() { server.Close() })
-	return asked
+	return requested
 }
