--- a/edge/drain_test.go
+++ b/edge/drain_test.go
@@ -138,7 +138,7 @@
 		}
 		io.Copy(io.Discard, resp.Body)
 		if resp.StatusCode != want || resp.Close != (want == 503) {
-			t.Errorf("answer %d: got status %d, close %v; want %d, %v", i, resp.StatusCode, resp.Close, want, want == 503)
+			t.Errorf("answer %d: got status %d, close %v; want %d, and close after a 503", i, resp.StatusCode, resp.Close, want)
 		}
 	}
 }
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -269,7 +269,7 @@
 			r := startEdge(t, "", newStubWorker(t, c.worker))
 			answers, bodies := r.roundTrip(c.raw, c.method)
 			if answers[0].StatusCode != c.status || bodies[0] != c.body {
-				t.Errorf("got status %d, body %.80q (%d bytes); want %d, %.80q", answers[0].StatusCode, bodies[0], len(bodies[0]), c.status, c.body)
+				t.Errorf("got status %d, body %.80q (%d bytes)", answers[0].StatusCode, bodies[0], len(bodies[0]))
 			}
 			if outcome := answers[0].Header.Get("Dunegrade-Outcome"); (c.status == 503) != (outcome == "declined") || (c.status == 502 || c.status == 504) != (outcome == "voided") {
 				t.Errorf("got outcome header %q with status %d", outcome, c.status)
@@ -340,7 +340,7 @@
 	_, bodies := r.roundTrip(raw, methods...)
 	for i, b := range bodies {
 		if b != fmt.Sprintf("/ask/%d", i) {
-			t.Fatalf("answer %d is %q, want that of request %d", i, b, i)
+			t.Fatalf("answer %d is %q", i, b)
 		}
 	}
 }
@@ -391,7 +391,7 @@
 		{"slow body", "POST /pay HTTP/1.1\r\nHost: t\r\nContent-Length: 5\r\n\r\nab", 408},
 		{"idle", "", 0},
 		{"unknown expectation", "POST /pay HTTP/1.1\r\nHost: t\r\nExpect: gold\r\nContent-Length: 1\r\n\r\n", 417},
-		{"TLS handshake", "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n", 400},
+		{"binary", "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n", 400},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newStubWorker(t, echo)
@@ -400,7 +400,7 @@
 			io.WriteString(conn, c.raw)
 			got, err := io.ReadAll(conn) // the edge must end the connection
 			if err != nil && c.status == 0 || c.status > 0 && !strings.HasPrefix(string(got), fmt.Sprintf("HTTP/1.1 %d ", c.status)) {
-				t.Errorf("got %q, %v; want status %d", got, err, c.status)
+				t.Errorf("got answer %q, error %v", got, err)
 			}
 			if w.requests.Load() != 0 {
 				t.Error("the request reached a worker")
--- a/edge/harden_test.go
+++ b/edge/harden_test.go
@@ -123,7 +123,7 @@
 			next := valid
 			c.next(&next)
 			if got := p.acceptRelease(next, func() {}); got != c.want {
-				t.Errorf("accepted: %t, want %t", got, c.want)
+				t.Errorf("accepted: %t, want the opposite", got)
 			}
 			want := valid
 			if c.want {
@@ -213,7 +213,7 @@
 				t.Errorf("the process started %v ago, want %v", l.now-got, c.age)
 			}
 			if (got != before) != c.newProcess && c.previous != nil {
-				t.Errorf("start differs: %t, want %t", got != before, c.newProcess)
+				t.Errorf("start differs: %t, want the opposite", got != before)
 			}
 			l.now += logic.Second
 			if again := l.workerStartTime("a", w, 106*sec); again != got {
@@ -293,7 +293,7 @@
 			writeFile(t, p.statePath(), strings.Replace(savedStateJSON(), c.original, c.replacement, 1))
 			list, release := p.restoreState()
 			if valid := c.original == ""; (list != nil) != valid || (release != nil) != valid {
-				t.Errorf("restored list %v and release %v, want both: %t", list, release, valid)
+				t.Errorf("restored list %v and release %v, want both if the file is valid, else none", list, release)
 			}
 		})
 	}
--- a/edge/source_test.go
+++ b/edge/source_test.go
@@ -198,7 +198,7 @@
 		}
 		var got logic.Load
 		if ok := parseLoadReport(&r, &got); ok != c.ok || ok && got != c.want {
-			t.Errorf("%s: got %+v, %t; want %+v, %t", c.header, got, ok, c.want, c.ok)
+			t.Errorf("%s: got load %+v, valid %t", c.header, got, ok)
 		}
 	}
 }
--- a/edge/trace_test.go
+++ b/edge/trace_test.go
@@ -107,11 +107,11 @@
 				recorded += p.Taken
 			}
 			if recorded != c.recorded || recorded+int(s.LeftOut) != 40 {
-				t.Errorf("%d txns recorded and %d left out, want %d and %d", recorded, s.LeftOut, c.recorded, 40-c.recorded)
+				t.Errorf("%d txns recorded and %d left out of 40", recorded, s.LeftOut)
 			}
 			for _, l := range all {
 				if result, err := trace.Replay(l); (err == nil && result.Differs == "") != c.replay {
-					t.Errorf("replay of sentry %d: got %+v, %v; want a match: %t", l.Sentry, result, err, c.replay)
+					t.Errorf("replay of sentry %d: got %+v, %v", l.Sentry, result, err)
 				}
 			}
 		})
