--- a/edge/admin.go
+++ b/edge/admin.go
@@ -23,7 +23,7 @@
 	mux.HandleFunc("/healthz", func(w http.ResponseWriter, r *http.Request) { fmt.Fprintln(w, "ok") })
 	mux.HandleFunc("/readyz", func(w http.ResponseWriter, r *http.Request) {
 		if !p.listReceived.Load() {
-			http.Error(w, "no worker list yet", http.StatusServiceUnavailable)
+			http.Error(w, "no list of workers yet", http.StatusServiceUnavailable)
 			return
 		}
 		fmt.Fprintln(w, "ok")
--- a/edge/closing.go
+++ b/edge/closing.go
@@ -28,8 +28,8 @@
 	unknownDeliveryWait = 200 * logic.Millisecond
 )
 
-// close closes the connection once all written data has left this process. Calls that are unanswered by
-// then are abandoned.
+// close closes the connection once all written data has left this process. Calls that are unanswered by then are
+// abandoned.
 func (cc *clientConn) close(reason endReason) {
 	if cc.closed || cc.leaveLoop(reason) {
 		return
--- a/edge/loop.go
+++ b/edge/loop.go
@@ -632,11 +632,11 @@
 }
 
 // SendToPeer implements logic.Sink.
-func (l *loop) SendToPeer(to int, data []byte) {
+func (l *loop) SendToPeer(receiver int, data []byte) {
 	if l.recorder != nil {
-		l.recorder.Tell(l.now, to, data)
+		l.recorder.Tell(l.now, receiver, data)
 	}
-	l.p.sendToPeer(l.sentryIndex, to, data)
+	l.p.sendToPeer(l.sentryIndex, receiver, data)
 }
 
 // Log implements logic.Sink.
@@ -666,7 +666,7 @@
 		l.openClient(c, ctx)
 	case *pool:
 		l.openWorkerConn(c, ctx)
-	case *returnedWorker: // counted like a dialed connection until openWorkerConn has made it ready
+	case *returnedWorker: // counted like a dialed connection, as handleReady expects
 		ctx.pool.numConns++
 		l.numConns++
 		ctx.pool.numDialing++
