--- a/trace/clock.go
+++ b/trace/clock.go
@@ -14,130 +14,131 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Clock says what a life's clock showed beside the first life's: true time is what the first one shows.
+// Clock estimates the wall clock of a run relative to the reference clock, which is that of the first run.
 type Clock struct {
-	Middle int64   // moment of the life's own wall clock, nanoseconds since 1970
-	Offset float64 // nanoseconds that it was ahead at that moment
-	Drift  float64 // nanoseconds that it gained in each
-	Unsure int64   // the offset may be off by so much, anywhere in what was recorded; negative: nothing binds it
-	Bounds int     // events that bound it
-	Broken int     // bounds that contradict the others, and were left aside
+	Middle int64   // the run's own wall clock at the middle of the recording, nanoseconds since 1970
+	Offset float64 // nanoseconds ahead of the reference clock at Middle
+	Drift  float64 // nanoseconds gained on the reference clock per nanosecond
+	Unsure int64   // largest error of the offset anywhere in the recording, nanoseconds; negative: unbounded
+	Bounds int     // number of events that bound the estimate
+	Broken int     // number of bounds ignored because they contradict the others
 }
 
-// True turns a moment of the life's own wall clock into one of the first life's.
-func (c Clock) True(at int64) int64 {
+// ToReference converts a time of the run's own wall clock to the reference clock.
+func (c Clock) ToReference(at int64) int64 {
 	return at - int64(math.Round(c.Offset+c.Drift*float64(at-c.Middle)))
 }
 
-// String is for people.
+// String returns the estimate in human-readable form.
 func (c Clock) String() string {
 	if c.Unsure < 0 {
-		return "nothing binds its clock to the others'"
+		return "no event relates its clock to the others"
 	}
 	return fmt.Sprintf("ahead by %v, drift %.1f ppm, within %v, from %d events", time.Duration(c.Offset).Round(time.Microsecond),
 		c.Drift*1e6, time.Duration(c.Unsure).Round(time.Microsecond), c.Bounds)
 }
 
-// Fastest is how fast two clocks may part at the most: crystals are far better than this.
-const Fastest = 500e-6
+// MaxDrift is the largest assumed relative drift of two clocks, as a ratio. Quartz oscillators stay far below it.
+const MaxDrift = 500e-6
 
-// bound is one thing known of a clock that is j's less i's, at a moment of j's: at most, or at least, so much.
-type bound struct {
-	at    int64
-	limit float64
-	least bool
+// offsetBound limits the offset of clock j relative to clock i at one moment.
+type offsetBound struct {
+	at    int64   // clock j, nanoseconds since 1970
+	limit float64 // nanoseconds
+	lower bool    // limit is the least offset rather than the largest
 }
 
-// point is a candidate: offset and drift.
-type point struct{ a, b float64 }
+// candidate is a possible offset and drift of a clock.
+type candidate struct{ offset, drift float64 }
 
-// region is the set of candidates that fit all bounds: a convex polygon. Each bound cuts a half off it.
+// region is the set of candidates that satisfy all bounds, a convex polygon. Each bound is a half-plane.
 type region struct {
-	middle  int64
-	corners []point
+	middle  int64       // time at which the candidates' offsets hold
+	corners []candidate // counterclockwise
 }
 
-// farthest is how far clocks may be apart at the most, in nanoseconds: a week.
-const farthest = float64(7 * 24 * 3600 * 1e9)
+// maxClockOffset is the largest offset considered between two clocks, in nanoseconds (one week).
+const maxClockOffset = float64(7 * 24 * 3600 * 1e9)
 
 func newRegion(middle int64) region {
-	return region{middle, []point{{-farthest, -Fastest}, {farthest, -Fastest}, {farthest, Fastest}, {-farthest, Fastest}}}
+	return region{middle, []candidate{{-maxClockOffset, -MaxDrift}, {maxClockOffset, -MaxDrift}, {maxClockOffset, MaxDrift}, {-maxClockOffset, MaxDrift}}}
 }
 
-// cut leaves what fits a bound; empty: nothing did, and the region is as it was.
-func (r *region) cut(x bound) (ok bool) {
+// clip intersects the region with a bound. It returns false and leaves the region unchanged if the result is empty.
+func (r *region) clip(x offsetBound) (ok bool) {
 	t := float64(x.at - r.middle)
-	over := func(p point) float64 { // above 0: it does not fit
-		d := p.a + p.b*t - x.limit
-		if x.least {
+	excess := func(p candidate) float64 { // positive if p violates the bound
+		d := p.offset + p.drift*t - x.limit
+		if x.lower {
 			return -d
 		}
 		return d
 	}
-	var out []point
+	var clipped []candidate
 	for i, p := range r.corners {
 		q := r.corners[(i+1)%len(r.corners)]
-		dp, dq := over(p), over(q)
+		dp, dq := excess(p), excess(q)
 		if dp <= 0 {
-			out = append(out, p)
+			clipped = append(clipped, p)
 		}
 		if dp < 0 && dq > 0 || dp > 0 && dq < 0 {
 			k := dp / (dp - dq)
-			out = append(out, point{p.a + k*(q.a-p.a), p.b + k*(q.b-p.b)})
+			clipped = append(clipped, candidate{p.offset + k*(q.offset-p.offset), p.drift + k*(q.drift-p.drift)})
 		}
 	}
-	if len(out) == 0 {
+	if len(clipped) == 0 {
 		return false
 	}
-	r.corners = out
+	r.corners = clipped
 	return true
 }
 
-// center is the mean of the corners: inside, as the region is convex.
-func (r *region) center() (c point) {
+// center returns the mean of the corners, which lies inside the region because it is convex.
+func (r *region) center() (c candidate) {
 	for _, p := range r.corners {
-		c.a += p.a / float64(len(r.corners))
-		c.b += p.b / float64(len(r.corners))
+		c.offset += p.offset / float64(len(r.corners))
+		c.drift += p.drift / float64(len(r.corners))
 	}
 	return c
 }
 
-// spread is how far a candidate's offset can be from any other's within a span.
-func (r *region) spread(c point, from, till int64) float64 {
-	most := 0.0
-	for _, at := range []int64{from, till} {
+// maxDeviation returns the largest difference between c's offset and that of any other candidate from start to end.
+func (r *region) maxDeviation(c candidate, start, end int64) float64 {
+	largest := 0.0
+	for _, at := range []int64{start, end} {
 		t := float64(at - r.middle)
 		for _, p := range r.corners {
-			most = max(most, math.Abs(p.a-c.a+(p.b-c.b)*t))
+			largest = max(largest, math.Abs(p.offset-c.offset+(p.drift-c.drift)*t))
 		}
 	}
-	return most
+	return largest
 }
 
-// fitLine is the line of the median slope and offset (Theil and Sen): half the points may be wrong.
-func fitLine(middle int64, at []int64, d []float64) point {
-	var slopes, rest []float64
+// fitLine fits a line by the median slope and offset (Theil–Sen estimator), which tolerates many outliers. It samples
+// the points so that the number of slopes stays bounded.
+func fitLine(middle int64, at []int64, diffs []float64) candidate {
+	var slopes, residuals []float64
 	step := 1 + len(at)/300
 	for i := 0; i < len(at); i += step {
 		for k := i + 1; k < len(at); k += step {
 			if dt := float64(at[k] - at[i]); math.Abs(dt) > 1e9 {
-				slopes = append(slopes, (d[k]-d[i])/dt)
+				slopes = append(slopes, (diffs[k]-diffs[i])/dt)
 			}
 		}
 	}
-	c := point{}
+	c := candidate{}
 	if len(slopes) >= 10 {
-		c.b = min(Fastest, max(-Fastest, median(slopes)))
+		c.drift = min(MaxDrift, max(-MaxDrift, median(slopes)))
 	}
 	for i := range at {
-		rest = append(rest, d[i]-c.b*float64(at[i]-middle))
+		residuals = append(residuals, diffs[i]-c.drift*float64(at[i]-middle))
 	}
-	c.a = median(rest)
+	c.offset = median(residuals)
 	return c
 }
 
-func median(v []float64) float64 {
-	s := append([]float64(nil), v...)
+func median(values []float64) float64 {
+	s := append([]float64(nil), values...)
 	sort.Float64s(s)
 	if len(s) == 0 {
 		return 0
@@ -145,102 +146,105 @@
 	return (s[(len(s)-1)/2] + s[len(s)/2]) / 2
 }
 
-// spot is where a record stands: whose it is, at which of its moments, and as which of its records.
-type spot struct {
-	life int
-	at   int64 // own wall clock, nanoseconds since 1970
-	n    int   // of the life's records
+// recordRef identifies a record by its run and its position there.
+type recordRef struct {
+	run   int
+	at    int64 // the run's own wall clock, nanoseconds since 1970
+	index int   // among the run's records
 }
 
-// cause binds two records: the one was before the other, whatever the clocks say.
-type cause struct{ before, after spot }
+// happensBefore relates two records whose order is certain whatever the clocks show.
+type happensBefore struct{ before, after recordRef }
 
-// tried is a try of a client, by a trace id that it sent.
-type tried struct {
-	taken, ended spot // ended.n 0: it is not known to have
-	repeat       bool // the client said so
+// attempt is a client's request that carried a trace id.
+type attempt struct {
+	taken, ended recordRef // ended.index is 0 if no end was recorded
+	repeat       bool      // the client marked it as a repeat
 }
 
-// signs is what scanning some lives gathers to hold their clocks against each other.
-type signs struct {
-	from, till []int64 // of each life
-	told       map[uint64][]spot
-	tell       map[uint64][]spot
-	tries      map[[2]uint64][]tried
-	news       []map[string][]spot // by life: what the platform told, and when
+// clockEvidence holds the events by which the clocks of several runs can be compared.
+type clockEvidence struct {
+	start    []int64                  // first time by run, the run's own wall clock, nanoseconds since 1970
+	end      []int64                  // last time by run, likewise
+	received map[uint64][]recordRef   // peer messages received, by messageKey
+	sent     map[uint64][]recordRef   // peer messages sent, by messageKey
+	attempts map[[2]uint64][]attempt  // by trace id
+	updates  []map[string][]recordRef // by run: release and worker updates from the platform
 }
 
-// scan reads the lives once.
-func scan(lives []*Life, hurt func(string, Damage)) (*signs, error) {
-	s := &signs{from: make([]int64, len(lives)), till: make([]int64, len(lives)), told: map[uint64][]spot{}, tell: map[uint64][]spot{},
-		tries: map[[2]uint64][]tried{}}
-	for i, l := range lives {
+// collectEvidence reads all records of the runs once.
+func collectEvidence(runs []*Life, onDamage func(string, Damage)) (*clockEvidence, error) {
+	s := &clockEvidence{start: make([]int64, len(runs)), end: make([]int64, len(runs)), received: map[uint64][]recordRef{}, sent: map[uint64][]recordRef{},
+		attempts: map[[2]uint64][]attempt{}}
+	for i, l := range runs {
 		offset := l.Headers[0].Wall - l.Headers[0].Start
-		n, first := 0, true
-		type opened struct {
-			id [2]uint64
-			at int
+		index, first := 0, true
+		type attemptRef struct {
+			traceID [2]uint64
+			index   int // in clockEvidence.attempts
 		}
-		open := map[uint64]opened{}
+		open := map[uint64]attemptRef{}
 		ends := map[uint64]string{}
-		news := map[string][]spot{}
-		said := 0
+		updates := map[string][]recordRef{}
+		releaseUpdates := 0
 		err := l.Each(func(r *Record, _ []string) bool {
 			at := r.At + offset
 			if first {
-				s.from[i], s.till[i], first = at, at, false
+				s.start[i], s.end[i], first = at, at, false
 			}
-			s.from[i], s.till[i] = min(s.from[i], at), max(s.till[i], at)
-			here := spot{i, at, n}
-			n++
+			s.start[i], s.end[i] = min(s.start[i], at), max(s.end[i], at)
+			ref := recordRef{i, at, index}
+			index++
 			switch r.Kind {
 			case tracepb.Kind_TELL:
 				k := messageKey(l.Sentry, r.Number, r.Body)
-				s.tell[k] = append(s.tell[k], here)
+				s.sent[k] = append(s.sent[k], ref)
 			case tracepb.Kind_TOLD:
 				k := messageKey(r.Number, l.Sentry, r.Body)
-				s.told[k] = append(s.told[k], here)
+				s.received[k] = append(s.received[k], ref)
 			case tracepb.Kind_NEWS:
 				var m tracepb.News
-				if said++; said > 1 && proto.Unmarshal(r.Body, &m) == nil && !m.Answer { // the first is what was so at the start
-					// Its age is told with it, by the platform's clock; that far back it was so.
+				// The first update carries the state at start-up rather than a change.
+				if releaseUpdates++; releaseUpdates > 1 && proto.Unmarshal(r.Body, &m) == nil && !m.Answer {
+					// The update carries its age by the platform's clock: the release changed that long ago.
 					k := fmt.Sprintf("release %d %d %d %g", m.Build, m.Stage, m.Phase, m.Cap)
-					news[k] = append(news[k], spot{i, at - m.Age, n - 1})
+					updates[k] = append(updates[k], recordRef{i, at - m.Age, index - 1})
 				}
 			case tracepb.Kind_LIST:
 				var m tracepb.List
 				if logic.ListMode(r.Number) == logic.Changes && proto.Unmarshal(r.Body, &m) == nil {
 					for _, w := range m.Workers {
 						k := fmt.Sprintf("worker %s %d %d", w.Id, w.Build, w.State)
-						news[k] = append(news[k], here)
+						updates[k] = append(updates[k], ref)
 					}
 				}
 			case tracepb.Kind_TAKE:
 				if r.TraceID != [2]uint64{} {
-					open[r.Txn] = opened{r.TraceID, len(s.tries[r.TraceID])}
-					s.tries[r.TraceID] = append(s.tries[r.TraceID], tried{taken: here, repeat: r.Repeat})
+					open[r.Txn] = attemptRef{r.TraceID, len(s.attempts[r.TraceID])}
+					s.attempts[r.TraceID] = append(s.attempts[r.TraceID], attempt{taken: ref, repeat: r.Repeat})
 					ends[r.Txn] = "cut"
 				}
 			}
 			if o, known := open[r.Txn]; known && r.Txn != 0 {
 				if end := endAfter(ends[r.Txn], r); end != "cut" {
-					if end != "left" { // a client that left may have sent the next one before
-						s.tries[o.id][o.at].ended = here
+					if end != "left" { // a client that left may have sent its next attempt before that
+						s.attempts[o.traceID][o.index].ended = ref
 					}
 					delete(open, r.Txn)
 					delete(ends, r.Txn)
 				}
 			}
 			return true
-		}, hurt)
+		}, onDamage)
 		if err != nil {
 			return nil, err
 		}
-		s.news = append(s.news, news)
+		s.updates = append(s.updates, updates)
 	}
 	return s, nil
 }
 
+// messageKey identifies a peer message by its sender, its receiver and its content.
 func messageKey(from, to uint32, body []byte) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -249,132 +253,138 @@
 	return d.Sum64()
 }
 
-// causes lists what is certain whatever the clocks say: a message was sent before it came, and a repeat that its client
-// marks as one came after the try before it had begun, or ended if it was answered.
-func (s *signs) causes() (out []cause) {
-	for k, to := range s.told {
-		if from := s.tell[k]; len(from) == 1 && len(to) == 1 && from[0].life != to[0].life {
-			out = append(out, cause{from[0], to[0]})
+// certainOrder returns the relations that hold whatever the clocks show: a message was sent before it was received, and
+// a request that its client marks as a repeat came after the end of the previous attempt, or after its start if no end
+// was recorded.
+func (s *clockEvidence) certainOrder() (relations []happensBefore) {
+	for k, to := range s.received {
+		if from := s.sent[k]; len(from) == 1 && len(to) == 1 && from[0].run != to[0].run {
+			relations = append(relations, happensBefore{from[0], to[0]})
 		}
 	}
-	for _, list := range s.tries {
-		if len(list) == 2 && list[0].repeat != list[1].repeat {
-			a, b := list[0], list[1]
+	for _, attempts := range s.attempts {
+		if len(attempts) == 2 && attempts[0].repeat != attempts[1].repeat {
+			a, b := attempts[0], attempts[1]
 			if a.repeat {
 				a, b = b, a
 			}
-			out = append(out, orderOf(a, b))
+			relations = append(relations, attemptOrder(a, b))
 		}
 	}
-	sortCauses(out)
-	return out
+	sortRelations(relations)
+	return relations
 }
 
-func sortCauses(list []cause) {
-	sort.Slice(list, func(i, j int) bool {
-		a, b := list[i].after, list[j].after
-		return a.life < b.life || a.life == b.life && (a.n < b.n || a.n == b.n && list[i].before.life < list[j].before.life)
+// sortRelations sorts by the later record, which makes results independent of map order.
+func sortRelations(relations []happensBefore) {
+	sort.Slice(relations, func(i, j int) bool {
+		a, b := relations[i].after, relations[j].after
+		return a.run < b.run || a.run == b.run && (a.index < b.index || a.index == b.index && relations[i].before.run < relations[j].before.run)
 	})
 }
 
-func orderOf(a, b tried) cause {
-	if a.ended.n > 0 {
-		return cause{a.ended, b.taken}
+// attemptOrder relates an attempt to the one after it.
+func attemptOrder(a, b attempt) happensBefore {
+	if a.ended.index > 0 {
+		return happensBefore{a.ended, b.taken}
 	}
-	return cause{a.taken, b.taken}
+	return happensBefore{a.taken, b.taken}
 }
 
-// Clocks estimates each life's clock against the first one's, from events that bound each other: messages and client's
-// repeats, whose order is certain, and what the platform told all, which came to all at about the same time. The bounds
-// of two lives leave a region of offsets and drifts (a convex polygon, as in Duda, Harrus, Haddad and Bernard, "Estimating
-// global time in distributed systems", ICDCS 1987); its middle is the estimate, its width what is not known. Lives that
-// share no event with the first are bound through others, by the way that leaves the least unknown.
-func Clocks(lives []*Life, hurt func(path string, d Damage)) ([]Clock, error) {
-	s, err := scan(lives, hurt)
+// EstimateClocks estimates each run's clock against that of the first. Messages and client repeats bound the difference
+// of two clocks because their order is certain; updates that the platform sends to all sentries bound it because they
+// arrive at about the same time. The bounds leave a region of offsets and drifts, a convex polygon, as in Duda, Harrus,
+// Haddad and Bernard, "Estimating global time in distributed systems", ICDCS 1987. The estimate is a point inside the
+// region, and the region's extent is the uncertainty. Runs that share no event with the first are related to it through
+// others, along the path of least uncertainty.
+func Clocks(runs []*Life, onDamage func(path string, d Damage)) ([]Clock, error) {
+	s, err := collectEvidence(runs, onDamage)
 	if err != nil {
 		return nil, err
 	}
-	clocks, _ := s.clocks()
+	clocks, _ := s.estimateClocks()
 	return clocks, nil
 }
 
-// clocks also gives the causes that are certain once the clocks are known.
-func (s *signs) clocks() ([]Clock, []cause) {
-	sure := s.causes()
-	clocks := s.solve(sure)
-	// Tries of one trace id whose order the clocks leave no doubt of bound them further, though no client marked them.
-	more := sure
-	for _, list := range s.tries {
-		sort.Slice(list, func(i, j int) bool {
-			a, b := list[i].taken, list[j].taken
-			return clocks[a.life].True(a.at) < clocks[b.life].True(b.at)
+// estimateClocks also returns the relations that are certain once the clocks are estimated.
+func (s *clockEvidence) estimateClocks() ([]Clock, []happensBefore) {
+	certain := s.certainOrder()
+	clocks := s.solve(certain)
+	// Attempts with the same trace id add bounds where the estimate leaves no doubt about their order, even though no
+	// client marked them as repeats.
+	extended := certain
+	for _, attempts := range s.attempts {
+		sort.Slice(attempts, func(i, j int) bool {
+			a, b := attempts[i].taken, attempts[j].taken
+			return clocks[a.run].ToReference(a.at) < clocks[b.run].ToReference(b.at)
 		})
-		for k := 1; k < len(list); k++ {
-			a, b := list[k-1], list[k]
-			ca, cb := clocks[a.taken.life], clocks[b.taken.life]
-			if a.taken.life == b.taken.life || len(list) == 2 && list[0].repeat != list[1].repeat || ca.Unsure < 0 || cb.Unsure < 0 {
+		for k := 1; k < len(attempts); k++ {
+			a, b := attempts[k-1], attempts[k]
+			ca, cb := clocks[a.taken.run], clocks[b.taken.run]
+			if a.taken.run == b.taken.run || len(attempts) == 2 && attempts[0].repeat != attempts[1].repeat || ca.Unsure < 0 || cb.Unsure < 0 {
 				continue
 			}
-			if cb.True(b.taken.at)-ca.True(a.taken.at) > 2*(ca.Unsure+cb.Unsure) {
-				more = append(more, orderOf(a, b))
+			if cb.ToReference(b.taken.at)-ca.ToReference(a.taken.at) > 2*(ca.Unsure+cb.Unsure) {
+				extended = append(extended, attemptOrder(a, b))
 			}
 		}
 	}
-	if len(more) == len(sure) {
-		return clocks, sure
+	if len(extended) == len(certain) {
+		return clocks, certain
 	}
-	sortCauses(more)
-	return s.solve(more), more
+	sortRelations(extended)
+	return s.solve(extended), extended
 }
 
-// pairing is what is known of two lives' clocks: the second's less the first's.
-type pairing struct {
+// pairEstimate estimates the clock of one run relative to that of another.
+type pairEstimate struct {
 	region
-	line   *point // that fits what both were told; nil: nothing does
-	est    point
-	unsure float64
-	bounds int
-	broken int
+	fitted       *candidate // fits the updates that both received; nil if none does
+	best         candidate
+	uncertainty  float64 // largest error of best's offset, nanoseconds
+	bounds       int     // events that bound the estimate
+	contradicted int     // bounds ignored because they contradict the others
 }
 
-// pair holds the clock of life j against that of life i.
-func (s *signs) pair(i, j int, certain []bound) *pairing {
-	from, till := max(s.from[i], s.from[j]), min(s.till[i], s.till[j])
-	if till <= from { // never alive together, by their clocks
-		from, till = s.from[j], s.till[j]
+// estimatePair estimates the clock of run j relative to that of run i.
+func (s *clockEvidence) estimatePair(i, j int, certain []offsetBound) *pairEstimate {
+	start, end := max(s.start[i], s.start[j]), min(s.end[i], s.end[j])
+	if end <= start { // by their clocks, the runs do not overlap
+		start, end = s.start[j], s.end[j]
 	}
-	p := &pairing{region: newRegion((s.from[j] + s.till[j]) / 2)}
-	p.certain(certain)
-	if p.broken == 0 {
-		p.told(s.news[i], s.news[j])
+	p := &pairEstimate{region: newRegion((s.start[j] + s.end[j]) / 2)}
+	p.applyBounds(certain)
+	if p.contradicted == 0 {
+		p.applyUpdates(s.updates[i], s.updates[j])
 	} else {
-		// One of them must be wrong, and the first is as likely to be it as any. What the platform told goes first
-		// then: the most of it agrees.
-		*p = pairing{region: newRegion(p.middle)}
-		p.told(s.news[i], s.news[j])
-		p.certain(certain)
+		// At least one certain bound is wrong, and it may be the first as well as any other. Start over from the
+		// platform's updates, most of which agree, so that the wrong bound is the one that contradicts them.
+		*p = pairEstimate{region: newRegion(p.middle)}
+		p.applyUpdates(s.updates[i], s.updates[j])
+		p.applyBounds(certain)
 	}
-	if p.est = p.center(); p.line != nil && p.holds(*p.line) {
-		p.est = *p.line
+	if p.best = p.center(); p.fitted != nil && p.contains(*p.fitted) {
+		p.best = *p.fitted
 	}
-	p.unsure = p.spread(p.est, from, till)
+	p.uncertainty = p.maxDeviation(p.best, start, end)
 	return p
 }
 
-// certain cuts off what does not fit bounds that hold whatever the clocks show.
-func (p *pairing) certain(list []bound) {
-	for _, x := range list {
+// applyBounds clips the region by bounds whose order is certain, and counts those that contradict it.
+func (p *pairEstimate) applyBounds(bounds []offsetBound) {
+	for _, x := range bounds {
 		p.bounds++
-		if !p.cut(x) {
-			p.broken++
+		if !p.clip(x) {
+			p.contradicted++
 		}
 	}
 }
 
-// told does the same by what both were told: once by each, so that there is no doubt which is which.
-func (p *pairing) told(first, second map[string][]spot) {
+// applyUpdates clips the region by the platform's updates that each run received exactly once, so that the two
+// receptions belong together beyond doubt.
+func (p *pairEstimate) applyUpdates(first, second map[string][]recordRef) {
 	var at []int64
-	var d []float64
+	var diffs []float64
 	keys := make([]string, 0, len(second))
 	for k := range second {
 		keys = append(keys, k)
@@ -382,106 +392,107 @@
 	sort.Strings(keys)
 	for _, k := range keys {
 		if a, b := first[k], second[k]; len(a) == 1 && len(b) == 1 {
-			at, d = append(at, b[0].at), append(d, float64(b[0].at-a[0].at))
+			at, diffs = append(at, b[0].at), append(diffs, float64(b[0].at-a[0].at))
 		}
 	}
 	if len(at) == 0 {
 		return
 	}
-	line := fitLine(p.middle, at, d)
-	var off []float64
+	line := fitLine(p.middle, at, diffs)
+	var residuals []float64
 	for k := range at {
-		off = append(off, math.Abs(d[k]-line.a-line.b*float64(at[k]-p.middle)))
-	}
-	wide := max(5*median(off), toldWithin)
-	if len(at) < 5 { // a few events say little of how late one can be
-		wide = max(wide, 2*toldWithin)
-	}
-	// Danger: a band around each event would leave less the more events there are, and soon not the truth. What is
-	// told is late by chance, so it is the line that is known, within a band. What came late to one of the two is far
-	// off it, and does not count.
-	from, till := slices.Min(at), slices.Max(at)
-	for try := 0; try < 20; try, wide = try+1, wide*2 {
-		trial, ok := region{p.middle, p.corners}, true
-		for _, t := range []int64{from, till + 1} {
-			mid := line.a + line.b*float64(t-p.middle)
-			ok = ok && trial.cut(bound{t, mid + wide, false}) && trial.cut(bound{t, mid - wide, true})
+		residuals = append(residuals, math.Abs(diffs[k]-line.offset-line.drift*float64(at[k]-p.middle)))
+	}
+	margin := max(5*median(residuals), maxUpdateSkew)
+	if len(at) < 5 { // too few events to show how late one can be
+		margin = max(margin, 2*maxUpdateSkew)
+	}
+	// A band around each event would shrink the region with every event until it excluded the true clock, because
+	// updates are late at random. The band is therefore around the fitted line; updates that reached one of the two
+	// late lie far outside it and do not count.
+	start, end := slices.Min(at), slices.Max(at)
+	for try := 0; try < 20; try, margin = try+1, margin*2 {
+		clipped, ok := region{p.middle, p.corners}, true
+		for _, t := range []int64{start, end + 1} {
+			mid := line.offset + line.drift*float64(t-p.middle)
+			ok = ok && clipped.clip(offsetBound{t, mid + margin, false}) && clipped.clip(offsetBound{t, mid - margin, true})
 		}
 		if !ok {
 			continue
 		}
 		for k := range at {
-			if off[k] <= wide {
+			if residuals[k] <= margin {
 				p.bounds++
 			}
 		}
-		p.region, p.line = trial, &line
+		p.region, p.fitted = clipped, &line
 		return
 	}
 }
 
-// toldWithin is how much later than another a sentry may be told all the same: the events cannot show that one is always
-// told first, as where the platform serves them in turn. It is taken on trust, in nanoseconds.
-const toldWithin = 50e6
+// maxUpdateSkew is an assumed bound, in nanoseconds, on how much later one sentry receives an update than another. The
+// events cannot reveal a systematic lag, such as that of a platform that serves its sentries in turn.
+const maxUpdateSkew = 50e6
 
-// holds tells whether a candidate is in the region; the corners go round it against the clock.
-func (r *region) holds(c point) bool {
+// contains reports whether a candidate is in the region, whose corners are in counterclockwise order.
+func (r *region) contains(c candidate) bool {
 	for i, p := range r.corners {
 		q := r.corners[(i+1)%len(r.corners)]
-		if (q.a-p.a)*(c.b-p.b)-(q.b-p.b)*(c.a-p.a) < 0 {
+		if (q.offset-p.offset)*(c.drift-p.drift)-(q.drift-p.drift)*(c.offset-p.offset) < 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// solve binds all lives to the first, each by the way of least doubt.
-func (s *signs) solve(causes []cause) []Clock {
-	n := len(s.from)
-	certain := map[[2]int][]bound{}
-	for _, c := range causes {
-		i, j := c.before.life, c.after.life
-		// The later's clock less the earlier's is at most the difference of what they showed.
-		certain[[2]int{i, j}] = append(certain[[2]int{i, j}], bound{c.after.at, float64(c.after.at - c.before.at), false})
-		certain[[2]int{j, i}] = append(certain[[2]int{j, i}], bound{c.before.at, float64(c.before.at - c.after.at), true})
+// solve estimates all clocks relative to the first, each along the path of least uncertainty (as Prim's algorithm grows
+// a tree).
+func (s *clockEvidence) solve(relations []happensBefore) []Clock {
+	n := len(s.start)
+	certain := map[[2]int][]offsetBound{}
+	for _, c := range relations {
+		i, j := c.before.run, c.after.run
+		// The later record's clock is ahead of the earlier one's by at most the difference of their times.
+		certain[[2]int{i, j}] = append(certain[[2]int{i, j}], offsetBound{c.after.at, float64(c.after.at - c.before.at), false})
+		certain[[2]int{j, i}] = append(certain[[2]int{j, i}], offsetBound{c.before.at, float64(c.before.at - c.after.at), true})
 	}
 	clocks := make([]Clock, n)
-	bound := make([]bool, n)
+	solved := make([]bool, n)
 	for i := range clocks {
-		clocks[i] = Clock{Middle: (s.from[i] + s.till[i]) / 2, Unsure: -1}
+		clocks[i] = Clock{Middle: (s.start[i] + s.end[i]) / 2, Unsure: -1}
 	}
 	if n == 0 {
 		return clocks
 	}
-	clocks[0].Unsure, bound[0] = 0, true
-	pairs := map[[2]int]*pairing{}
+	clocks[0].Unsure, solved[0] = 0, true
+	pairs := map[[2]int]*pairEstimate{}
 	for {
-		best, from := -1, -1
-		least := math.Inf(1)
+		best, reference := -1, -1
+		lowest := math.Inf(1)
 		for i := range clocks {
 			for j := range clocks {
-				if !bound[i] || bound[j] {
+				if !solved[i] || solved[j] {
 					continue
 				}
 				p := pairs[[2]int{i, j}]
 				if p == nil {
-					p = s.pair(i, j, certain[[2]int{i, j}])
+					p = s.estimatePair(i, j, certain[[2]int{i, j}])
 					pairs[[2]int{i, j}] = p
 				}
-				if sum := float64(clocks[i].Unsure) + p.unsure; p.unsure < farthest/2 && sum < least {
-					best, from, least = j, i, sum
+				if sum := float64(clocks[i].Unsure) + p.uncertainty; p.uncertainty < maxClockOffset/2 && sum < lowest {
+					best, reference, lowest = j, i, sum
 				}
 			}
 		}
 		if best < 0 {
 			return clocks
 		}
-		// The way through another: first to that one's clock, then on from there.
-		p, via := pairs[[2]int{from, best}], clocks[from]
-		at := float64(p.middle) - p.est.a // what via's clock showed
-		offset := p.est.a + via.Offset + via.Drift*(at-float64(via.Middle))
-		clocks[best] = Clock{Middle: p.middle, Offset: offset, Drift: p.est.b + via.Drift*(1-p.est.b), Unsure: int64(math.Ceil(least)), Bounds: p.bounds,
-			Broken: p.broken}
-		bound[best] = true
+		// Compose the estimate relative to via's clock with via's own estimate.
+		p, via := pairs[[2]int{reference, best}], clocks[reference]
+		at := float64(p.middle) - p.best.offset // via's clock at p.middle
+		offset := p.best.offset + via.Offset + via.Drift*(at-float64(via.Middle))
+		clocks[best] = Clock{Middle: p.middle, Offset: offset, Drift: p.best.drift + via.Drift*(1-p.best.drift), Unsure: int64(math.Ceil(lowest)), Bounds: p.bounds,
+			Broken: p.contradicted}
+		solved[best] = true
 	}
 }
--- a/trace/merge.go
+++ b/trace/merge.go
@@ -74,7 +74,7 @@
 		return
 	}
 	s.n++
-	s.at = max(s.floor, s.clock.True(s.head.At+s.shift))
+	s.at = max(s.floor, s.clock.ToReference(s.head.At+s.shift))
 	s.floor = s.at
 }
 
@@ -82,17 +82,17 @@
 type merging struct {
 	out     Merged
 	streams []*stream
-	waits   []map[int][]spot // by life: the causes that its record number n waits for
+	waits   []map[int][]recordRef // by life: the causes that its record number n waits for
 }
 
 // merge gives each record of the lives, with its life's place and its time, in one order. What the clocks leave in
 // doubt is within their Unsure.
 func merge(lives []*Life, hurt func(string, Damage), do func(life int, at int64, r *Record, worker string) error) (*Merged, error) {
-	s, err := scan(lives, hurt)
+	s, err := collectEvidence(lives, hurt)
 	if err != nil {
 		return nil, err
 	}
-	clocks, causes := s.clocks()
+	clocks, causes := s.estimateClocks()
 	m := &merging{out: Merged{Clocks: clocks}}
 	quiet := func(string, Damage) {}
 	if hurt == nil {
@@ -103,12 +103,12 @@
 		x.next, x.stop = iter.Pull2(l.records(quiet, &x.fault))
 		defer x.stop()
 		m.streams = append(m.streams, x)
-		m.waits = append(m.waits, map[int][]spot{})
+		m.waits = append(m.waits, map[int][]recordRef{})
 	}
 	// Positions in a sorted file are not those of the scan: such files take part by their clocks alone.
 	for _, c := range causes {
-		if lives[c.before.life].whole() && lives[c.after.life].whole() {
-			m.waits[c.after.life][c.after.n] = append(m.waits[c.after.life][c.after.n], c.before)
+		if lives[c.before.run].whole() && lives[c.after.run].whole() {
+			m.waits[c.after.run][c.after.index] = append(m.waits[c.after.run][c.after.index], c.before)
 		}
 	}
 	for _, x := range m.streams {
@@ -167,7 +167,7 @@
 	x := m.streams[k]
 	list := m.waits[k][x.n]
 	for _, c := range list {
-		if y := m.streams[c.life]; !y.done && y.n <= c.n {
+		if y := m.streams[c.run]; !y.done && y.n <= c.index {
 			return false
 		}
 	}
@@ -176,7 +176,7 @@
 	}
 	late := x.at
 	for _, c := range list {
-		late = max(late, m.streams[c.life].clock.True(c.at))
+		late = max(late, m.streams[c.run].clock.ToReference(c.at))
 	}
 	if late > x.at {
 		m.out.Held++
@@ -202,11 +202,11 @@
 				lives[0].Paths[0], h.Products)
 		}
 	}
-	s, err := scan(lives, hurt)
+	s, err := collectEvidence(lives, hurt)
 	if err != nil {
 		return nil, err
 	}
-	clocks, _ := s.clocks()
+	clocks, _ := s.estimateClocks()
 	for i, l := range lives {
 		x := l.Headers[0]
 		h.Origins = append(h.Origins, &tracepb.Header_Origin{Edge: l.Edge, Sentry: l.Sentry, Life: l.ID, Offset: int64(clocks[i].Offset),
--- a/trace/merge_test.go
+++ b/trace/merge_test.go
@@ -219,7 +219,7 @@
 			}
 			for i := range w.recs {
 				for _, at := range []int64{began, began + int64(5*time.Minute)} {
-					was := m.Clocks[i].True(w.shown(i, at)) - w.shown(0, at)
+					was := m.Clocks[i].ToReference(w.shown(i, at)) - w.shown(0, at)
 					worst = max(worst, math.Abs(float64(was)))
 					if math.Abs(float64(was)) > float64(m.Clocks[i].Unsure)+1 {
 						t.Errorf("sentry %d is off by %v, and says %v", i, time.Duration(was), m.Clocks[i])
--- a/trace/otel.go
+++ b/trace/otel.go
@@ -29,7 +29,7 @@
 	for i, l := range lives {
 		e := &spanner{life: l, out: out, open: map[uint64]*Story{}, shift: func(at int64) int64 { return at }}
 		if clocks != nil {
-			e.shift = clocks[i].True
+			e.shift = clocks[i].ToReference
 		}
 		e.news, e.builds = &tracepb.News{}, map[string]int64{}
 		err := l.Each(func(r *Record, names []string) bool { return e.record(r, names) == nil }, hurt)
--- a/trace/tale.go
+++ b/trace/tale.go
@@ -36,7 +36,7 @@
 		shift, unsure := int64(0), s.Unsure
 		for k, l := range lives {
 			if l == s.life && clocks != nil {
-				shift, unsure = clocks[k].True(s.Wall.UnixNano())-s.Wall.UnixNano(), time.Duration(clocks[k].Unsure)
+				shift, unsure = clocks[k].ToReference(s.Wall.UnixNano())-s.Wall.UnixNano(), time.Duration(clocks[k].Unsure)
 			}
 		}
 		s.Unsure = unsure
