--- a/trace/merge.go
+++ b/trace/merge.go
@@ -11,141 +11,145 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Merged is what a merge came to.
+// MergeResult describes a merge of several runs.
 type Merged struct {
-	Clocks  []Clock
-	Records int
-	Held    int // records that the clocks would have put before their cause
-	Loops   int // causes that contradict each other, so that one of them was not kept
+	Clocks  []Clock // by run
+	Records int     // written
+	Held    int     // delayed because their clock put them before a predecessor
+	Loops   int     // cycles of contradicting relations, each resolved by ignoring one relation
 }
 
-// stream is a life's records in the order of its own clock.
-type stream struct {
-	next  func() (Record, string, bool)
-	stop  func()
-	clock Clock
-	shift int64 // from the sentry's clock to its wall clock
-	head  Record
-	name  string // of the head's worker
-	at    int64  // of the head, by the first life's clock
-	floor int64  // nothing of it comes before this any more
-	n     int    // of the head
-	done  bool
-	fault error
+// runStream yields a run's records in the order of its own clock.
+type runStream struct {
+	next       func() (Record, string, bool)
+	stop       func()
+	clock      Clock
+	wallOffset int64  // the sentry's wall clock less its monotonic clock, nanoseconds
+	record     Record // the current record
+	worker     string // name of the record's worker
+	at         int64  // time of the record by the reference clock
+	minTime    int64  // time of the previous record: later ones cannot precede it
+	index      int    // of the record
+	done       bool
+	err        error
 }
 
-// records gives a life's records in order, with the name of each one's worker. Files whose txns were written when they
-// had ended are sorted.
-func (l *Life) records(hurt func(string, Damage), fault *error) iter.Seq2[Record, string] {
+// orderedRecords returns a run's records in order, each with the name of its worker. It sorts the records of files that
+// hold a part of the txns, because those write a txn's records together, after its end.
+func (l *Life) orderedRecords(onDamage func(string, Damage), err *error) iter.Seq2[Record, string] {
 	ordered := true
 	for _, h := range l.Headers {
 		ordered = ordered && h.Level == LevelWhole
 	}
 	if ordered {
 		return func(yield func(Record, string) bool) {
-			*fault = l.Each(func(r *Record, names []string) bool { return yield(*r, names[r.Worker]) }, hurt)
+			*err = l.Each(func(r *Record, names []string) bool { return yield(*r, names[r.Worker]) }, onDamage)
 		}
 	}
 	return func(yield func(Record, string) bool) {
-		type one struct {
-			r    Record
-			name string
+		type workerRecord struct {
+			record Record
+			worker string
 		}
-		var all []one
-		*fault = l.Each(func(r *Record, names []string) bool {
+		var all []workerRecord
+		*err = l.Each(func(r *Record, names []string) bool {
 			x := *r
 			x.Body = append([]byte(nil), r.Body...)
-			all = append(all, one{x, names[r.Worker]})
+			all = append(all, workerRecord{x, names[r.Worker]})
 			return true
-		}, hurt)
-		sort.SliceStable(all, func(i, j int) bool { return all[i].r.At < all[j].r.At })
+		}, onDamage)
+		sort.SliceStable(all, func(i, j int) bool { return all[i].record.At < all[j].record.At })
 		for i := range all {
-			if !yield(all[i].r, all[i].name) {
+			if !yield(all[i].record, all[i].worker) {
 				return
 			}
 		}
 	}
 }
 
-func (s *stream) advance() {
+// advance moves to the next record.
+func (s *runStream) advance() {
 	var ok bool
-	if s.head, s.name, ok = s.next(); !ok {
+	if s.record, s.worker, ok = s.next(); !ok {
 		s.done = true
 		return
 	}
-	s.n++
-	s.at = max(s.floor, s.clock.ToReference(s.head.At+s.shift))
-	s.floor = s.at
+	s.index++
+	s.at = max(s.minTime, s.clock.ToReference(s.record.At+s.wallOffset))
+	s.minTime = s.at
 }
 
-// merging walks some lives in one order: by the first one's clock, and never an effect before its cause.
-type merging struct {
-	out     Merged
-	streams []*stream
-	waits   []map[int][]recordRef // by life: the causes that its record number n waits for
+// merger orders the records of several runs by the reference clock, and never puts a record before a predecessor.
+type merger struct {
+	result       Merged
+	streams      []*runStream
+	predecessors []map[int][]recordRef // by run and record index: the records that must come first
 }
 
-// merge gives each record of the lives, with its life's place and its time, in one order. What the clocks leave in
-// doubt is within their Unsure.
-func merge(lives []*Life, hurt func(string, Damage), do func(life int, at int64, r *Record, worker string) error) (*Merged, error) {
-	s, err := collectEvidence(lives, hurt)
+// mergeRecords calls do for each record of the runs in one order, with the index of its run and its time by the
+// reference clock. The error of a time is within its clock's Unsure.
+func mergeRecords(runs []*Life, onDamage func(string, Damage), do func(run int, at int64, r *Record, worker string) error) (*Merged, error) {
+	s, err := collectEvidence(runs, onDamage)
 	if err != nil {
 		return nil, err
 	}
-	clocks, causes := s.estimateClocks()
-	m := &merging{out: Merged{Clocks: clocks}}
-	quiet := func(string, Damage) {}
-	if hurt == nil {
-		quiet = nil
+	clocks, relations := s.estimateClocks()
+	m := &merger{result: Merged{Clocks: clocks}}
+	// The first pass has reported all damage. A nil callback stays nil, which makes damage an error.
+	ignoreDamage := func(string, Damage) {}
+	if onDamage == nil {
+		ignoreDamage = nil
 	}
-	for i, l := range lives {
-		x := &stream{clock: clocks[i], shift: l.Headers[0].Wall - l.Headers[0].Start, n: -1, floor: -1 << 62}
-		x.next, x.stop = iter.Pull2(l.records(quiet, &x.fault))
+	for i, l := range runs {
+		x := &runStream{clock: clocks[i], wallOffset: l.Headers[0].Wall - l.Headers[0].Start, index: -1, minTime: -1 << 62}
+		x.next, x.stop = iter.Pull2(l.orderedRecords(ignoreDamage, &x.err))
 		defer x.stop()
 		m.streams = append(m.streams, x)
-		m.waits = append(m.waits, map[int][]recordRef{})
+		m.predecessors = append(m.predecessors, map[int][]recordRef{})
 	}
-	// Positions in a sorted file are not those of the scan: such files take part by their clocks alone.
-	for _, c := range causes {
-		if lives[c.before.run].whole() && lives[c.after.run].whole() {
-			m.waits[c.after.run][c.after.index] = append(m.waits[c.after.run][c.after.index], c.before)
+	// Sorting changes the indexes that collectEvidence saw, so files that are sorted take part by their clocks alone.
+	for _, c := range relations {
+		if runs[c.before.run].isWhole() && runs[c.after.run].isWhole() {
+			m.predecessors[c.after.run][c.after.index] = append(m.predecessors[c.after.run][c.after.index], c.before)
 		}
 	}
 	for _, x := range m.streams {
 		x.advance()
 	}
 	for {
-		k := m.first()
+		k := m.nextStream()
 		if k < 0 {
 			break
 		}
 		x := m.streams[k]
-		if x.head.Kind != tracepb.Kind_WORKER && x.head.Kind != tracepb.Kind_BACK {
-			m.out.Records++
-			if err := do(k, x.at, &x.head, x.name); err != nil {
+		if x.record.Kind != tracepb.Kind_WORKER && x.record.Kind != tracepb.Kind_BACK {
+			m.result.Records++
+			if err := do(k, x.at, &x.record, x.worker); err != nil {
 				return nil, err
 			}
 		}
 		x.advance()
 	}
 	for _, x := range m.streams {
-		if x.fault != nil {
-			return nil, x.fault
+		if x.err != nil {
+			return nil, x.err
 		}
 	}
-	return &m.out, nil
+	return &m.result, nil
 }
 
-func (l *Life) whole() bool { return l.Headers[0].Level == LevelWhole && l.origin == 0 }
+// isWhole reports whether the run's own file holds all of its records in order.
+func (l *Life) isWhole() bool { return l.Headers[0].Level == LevelWhole && l.origin == 0 }
 
-// first picks the stream whose head is next: the earliest whose causes are all through. -1: all are through.
-func (m *merging) first() int {
+// nextStream returns the index of the stream whose record comes next, which is the earliest record without a pending
+// predecessor, or -1 at the end. If every record has one, the relations form a cycle; the earliest record breaks it.
+func (m *merger) nextStream() int {
 	best, blocked := -1, -1
 	for k, x := range m.streams {
 		if x.done {
 			continue
 		}
-		if !m.free(k) {
+		if !m.isReady(k) {
 			if blocked < 0 || x.at < m.streams[blocked].at {
 				blocked = k
 			}
@@ -156,58 +160,59 @@
 		}
 	}
 	if best < 0 && blocked >= 0 {
-		m.out.Loops++
+		m.result.Loops++
 		return blocked
 	}
 	return best
 }
 
-// free tells whether a head's causes are through, and moves it behind them.
-func (m *merging) free(k int) bool {
+// isReady reports whether all predecessors of a stream's record have passed. If so, it delays the record to the time of
+// the latest one where its own clock puts it earlier.
+func (m *merger) isReady(k int) bool {
 	x := m.streams[k]
-	list := m.waits[k][x.n]
-	for _, c := range list {
-		if y := m.streams[c.run]; !y.done && y.n <= c.index {
+	predecessors := m.predecessors[k][x.index]
+	for _, c := range predecessors {
+		if y := m.streams[c.run]; !y.done && y.index <= c.index {
 			return false
 		}
 	}
-	if len(list) == 0 {
+	if len(predecessors) == 0 {
 		return true
 	}
-	late := x.at
-	for _, c := range list {
-		late = max(late, m.streams[c.run].clock.ToReference(c.at))
+	earliest := x.at
+	for _, c := range predecessors {
+		earliest = max(earliest, m.streams[c.run].clock.ToReference(c.at))
 	}
-	if late > x.at {
-		m.out.Held++
-		x.at, x.floor = late, late
+	if earliest > x.at {
+		m.result.Held++
+		x.at, x.minTime = earliest, earliest
 	}
-	delete(m.waits[k], x.n)
+	delete(m.predecessors[k], x.index)
 	return true
 }
 
-// Merge writes some lives as one file, in one order, by the first one's clock. The file is a part: it cannot be
-// replayed, as its times are no longer those that the decisions were made on.
-func Merge(lives []*Life, w io.Writer, hurt func(path string, d Damage)) (*Merged, error) {
-	if len(lives) == 0 {
+// Merge writes several runs to one file, ordered by the reference clock. The file is marked as partial and cannot be
+// replayed, because its times are no longer those on which the decisions were made.
+func Merge(runs []*Life, w io.Writer, onDamage func(path string, d Damage)) (*Merged, error) {
+	if len(runs) == 0 {
 		return nil, fmt.Errorf("trace: nothing to merge")
 	}
-	h := &tracepb.Header{Version: Version, Edge: "merged", Level: LevelPart, Products: lives[0].Headers[0].Products, Customers: lives[0].Headers[0].Customers}
-	for _, l := range lives {
+	h := &tracepb.Header{Version: Version, Edge: "merged", Level: LevelPart, Products: runs[0].Headers[0].Products, Customers: runs[0].Headers[0].Customers}
+	for _, l := range runs {
 		if l.origin != 0 {
-			return nil, fmt.Errorf("trace: %s is a merged file already; merge the files that it was made of", l.Paths[0])
+			return nil, fmt.Errorf("trace: %s is already a merged file; merge its source files instead", l.Paths[0])
 		}
 		if fmt.Sprint(l.Headers[0].Products) != fmt.Sprint(h.Products) {
-			return nil, fmt.Errorf("trace: %s has the products %v, %s has %v; such files cannot be merged", l.Paths[0], l.Headers[0].Products,
-				lives[0].Paths[0], h.Products)
+			return nil, fmt.Errorf("trace: %s has the products %v but %s has %v; only files with the same products can be merged", l.Paths[0], l.Headers[0].Products,
+				runs[0].Paths[0], h.Products)
 		}
 	}
-	s, err := collectEvidence(lives, hurt)
+	s, err := collectEvidence(runs, onDamage)
 	if err != nil {
 		return nil, err
 	}
 	clocks, _ := s.estimateClocks()
-	for i, l := range lives {
+	for i, l := range runs {
 		x := l.Headers[0]
 		h.Origins = append(h.Origins, &tracepb.Header_Origin{Edge: l.Edge, Sentry: l.Sentry, Life: l.ID, Offset: int64(clocks[i].Offset),
 			Drift: clocks[i].Drift, Middle: clocks[i].Middle, Unsure: clocks[i].Unsure, Settings: x.Settings, Module: x.Module, Level: x.Level, OneIn: x.OneIn})
@@ -216,26 +221,26 @@
 	if err != nil {
 		return nil, err
 	}
-	out, err := merge(lives, hurt, func(life int, at int64, r *Record, worker string) error {
+	result, err := mergeRecords(runs, onDamage, func(run int, at int64, r *Record, worker string) error {
 		x := *r
-		x.At, x.Origin = at, uint32(life+1)
+		x.At, x.Origin = at, uint32(run+1)
 		return p.add(x, worker)
 	})
 	if err != nil {
 		return nil, err
 	}
-	return out, p.close()
+	return result, p.close()
 }
 
-// splitMergedFile takes a merged file apart into the lives that it was made of. Their clock is the first one's.
+// splitMergedFile returns the runs that a merged file was made of. Their times are by the reference clock.
 func splitMergedFile(path string, h *tracepb.Header) []*Life {
-	var out []*Life
+	var runs []*Life
 	for i, o := range h.Origins {
 		x := proto.Clone(h).(*tracepb.Header)
 		x.Origins, x.Edge, x.Sentry, x.Life, x.Settings, x.Module = nil, o.Edge, o.Sentry, o.Life, o.Settings, o.Module
 		x.Wall, x.Start, x.OneIn = 0, 0, o.OneIn
-		out = append(out, &Life{ID: o.Life, Edge: o.Edge, Sentry: o.Sentry, Paths: []string{path}, Headers: []*tracepb.Header{x}, origin: uint32(i + 1),
+		runs = append(runs, &Life{ID: o.Life, Edge: o.Edge, Sentry: o.Sentry, Paths: []string{path}, Headers: []*tracepb.Header{x}, origin: uint32(i + 1),
 			ClockUncertainty: o.Unsure, sourceLevel: o.Level})
 	}
-	return out
+	return runs
 }
--- a/trace/merge_test.go
+++ b/trace/merge_test.go
@@ -206,7 +206,7 @@
 				raw = append(raw, x.k)
 			}
 			worst, last := 0.0, int64(math.MinInt64)
-			m, err := merge(lives, nil, func(life int, at int64, r *Record, _ string) error {
+			m, err := mergeRecords(lives, nil, func(life int, at int64, r *Record, _ string) error {
 				if at < last {
 					t.Fatalf("time goes back from %d to %d", last, at)
 				}
--- a/trace/rules.go
+++ b/trace/rules.go
@@ -62,7 +62,7 @@
 	if plan.Cores <= 0 {
 		out.Not = append(out.Not, "rule 4: what a worker can do is in no trace; tell how many cores one has")
 	}
-	m, err := merge(lives, hurt, func(life int, at int64, r *Record, worker string) error {
+	m, err := mergeRecords(lives, hurt, func(life int, at int64, r *Record, worker string) error {
 		s := sentries[life]
 		s.at = at
 		if plan.Cores > 0 {
