--- a/trace/anonymise.go
+++ b/trace/anonymise.go
@@ -163,7 +163,7 @@
 		if _, known := tracepb.Kind_name[int32(r.Kind)]; !known {
 			return true
 		}
-		fault = p.add(out, s.name("worker", names[r.Worker]))
+		fault = p.writeRecord(out, s.name("worker", names[r.Worker]))
 		return fault == nil
 	}, hurt)
 	if err == nil {
--- a/trace/anonymise_test.go
+++ b/trace/anonymise_test.go
@@ -54,7 +54,7 @@
 			if r.Kind == tracepb.Kind_SUBMIT {
 				name = say()
 			}
-			if err := p.add(r, name); err != nil {
+			if err := p.writeRecord(r, name); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/trace/clock.go
+++ b/trace/clock.go
@@ -226,7 +226,7 @@
 				}
 			}
 			if o, known := open[r.Txn]; known && r.Txn != 0 {
-				if end := endAfter(ends[r.Txn], r); end != "cut" {
+				if end := endingAfter(ends[r.Txn], r); end != "cut" {
 					if end != "left" { // a client that left may have sent its next attempt before that
 						s.attempts[o.traceID][o.index].ended = ref
 					}
--- a/trace/cut.go
+++ b/trace/cut.go
@@ -9,71 +9,72 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Filter chooses txns. What is empty chooses all; what is given must all fit.
+// Filter selects txns. An empty field matches every txn; a txn must match all fields that are set.
 type Filter struct {
-	From, Till int64 // wall clock, nanoseconds since 1970, of the taking; 0: open
-	Query      *Query
-	Product    string
-	Worker     string // that a submission went to
-	Build      int64  // that a submission went to; 0: any
-	End        string // settled, declined, voided, left or cut
+	From    int64 // earliest time taken, wall clock, nanoseconds since 1970; 0: unbounded
+	Till    int64 // latest time taken, likewise
+	Query   *Query
+	Product string
+	Worker  string // received a submission
+	Build   int64  // received a submission; 0: any
+	End     string // settled, declined, voided, left or cut
 }
 
-// chosen is what is known of a txn while it is decided whether it fits.
-type chosen struct {
-	serial uint64
-	end    string
-	worker bool
-	build  bool
-	out    int
+// candidateTxn is a txn that matches the filter by its TAKE record and whose other records are still being read.
+type candidateTxn struct {
+	serial        uint64
+	ending        string
+	workerMatches bool
+	buildMatches  bool
+	pending       int // submissions without an outcome
 }
 
-// Cut writes the chosen txns of a life as one file of its own: all their records, and what the platform told. It gives how
-// many txns it holds. The rest is left out, so the file says that it is a part.
-func Cut(l *Life, f Filter, w io.Writer, hurt func(path string, d Damage)) (int, error) {
+// Cut writes the matching txns of a run to one file: all of their records, and the platform's updates. It returns the
+// number of txns. The file is marked as partial, because the other txns are missing.
+func Cut(l *Life, f Filter, w io.Writer, onDamage func(path string, d Damage)) (int, error) {
 	if l.origin != 0 {
-		return 0, fmt.Errorf("trace: %s is a merged file; cut the files that it was made of, and merge what comes out", l.Paths[0])
+		return 0, fmt.Errorf("trace: %s is a merged file; cut its source files and merge the results", l.Paths[0])
 	}
-	fit, err := l.choose(f, hurt)
+	matching, err := l.matchingSerials(f, onDamage)
 	if err != nil {
 		return 0, err
 	}
 	h := proto.Clone(l.Headers[0]).(*tracepb.Header)
 	h.Level = LevelPart
-	p, err := newFileWriter(w, h)
+	fw, err := newFileWriter(w, h)
 	if err != nil {
 		return 0, err
 	}
-	open := map[uint64]bool{}
-	var fault error
+	selected := map[uint64]bool{}
+	var writeErr error
 	err = l.Each(func(r *Record, names []string) bool {
 		if r.Kind == tracepb.Kind_TAKE {
-			open[r.Txn] = fit[r.Serial]
+			selected[r.Txn] = matching[r.Serial]
 		}
 		switch {
-		case r.Kind == tracepb.Kind_WORKER, r.Kind == tracepb.Kind_BACK: // named, and set back, anew where it is needed
-		case r.Txn != 0 && open[r.Txn],
+		case r.Kind == tracepb.Kind_WORKER, r.Kind == tracepb.Kind_BACK: // the writer adds its own
+		case r.Txn != 0 && selected[r.Txn],
 			r.Txn == 0 && r.Kind != tracepb.Kind_TIMER && r.Kind != tracepb.Kind_REMIND:
-			fault = p.add(*r, names[r.Worker])
+			writeErr = fw.writeRecord(*r, names[r.Worker])
 		}
-		return fault == nil
-	}, hurt)
+		return writeErr == nil
+	}, onDamage)
 	if err == nil {
-		err = fault
+		err = writeErr
 	}
 	if err != nil {
 		return 0, err
 	}
-	return len(fit), p.close()
+	return len(matching), fw.close()
 }
 
-// may tells from the index whether a block can hold the taking of a txn that fits, or a list.
-func (f *Filter) may(l *Life, q Query, file *File, i int) bool {
+// mayMatch reports, from the index, whether a block can hold the TAKE record of a matching txn or a worker list.
+func (f *Filter) mayMatch(l *Life, q Query, file *File, i int) bool {
 	b := file.Blocks[i].Block
 	if b.Kinds == 0 || b.Kinds&(1<<tracepb.Kind_LIST) != 0 {
-		return true // made before such things were told, or news of builds
+		return true // indexed without record kinds by an older version, or holds the workers' builds
 	}
-	shift := l.Headers[0].Wall - l.Headers[0].Start
+	wallOffset := l.Headers[0].Wall - l.Headers[0].Start
 	first := b.First
 	if b.Earliest != 0 {
 		first = b.Earliest
@@ -84,21 +85,21 @@
 			product = 1 << min(k, 63)
 		}
 	}
-	return b.Kinds&(1<<tracepb.Kind_TAKE) != 0 && (f.From == 0 || b.Last+shift >= f.From) && (f.Till == 0 || first+shift <= f.Till) &&
-		(f.Product == "" || b.Products&product != 0) && (f.Query == nil || q.may(file, i))
+	return b.Kinds&(1<<tracepb.Kind_TAKE) != 0 && (f.From == 0 || b.Last+wallOffset >= f.From) && (f.Till == 0 || first+wallOffset <= f.Till) &&
+		(f.Product == "" || b.Products&product != 0) && (f.Query == nil || q.mayMatch(file, i))
 }
 
-// choose finds the serials of the txns that fit.
-func (l *Life) choose(f Filter, hurt func(string, Damage)) (map[uint64]bool, error) {
-	fit, open, builds := map[uint64]bool{}, map[uint64]*chosen{}, map[string]int64{}
-	offset := l.Headers[0].Wall - l.Headers[0].Start
+// matchingSerials returns the serials of the txns that match the filter.
+func (l *Life) matchingSerials(f Filter, onDamage func(string, Damage)) (map[uint64]bool, error) {
+	matching, open, builds := map[uint64]bool{}, map[uint64]*candidateTxn{}, map[string]int64{}
+	wallOffset := l.Headers[0].Wall - l.Headers[0].Start
 	q := Query{}
 	if f.Query != nil {
-		q = f.Query.in(l)
+		q = f.Query.forRun(l)
 	}
-	decide := func(c *chosen) {
-		if (f.Worker == "" || c.worker) && (f.Build == 0 || c.build) && (f.End == "" || f.End == c.end) {
-			fit[c.serial] = true
+	addIfMatching := func(c *candidateTxn) {
+		if (f.Worker == "" || c.workerMatches) && (f.Build == 0 || c.buildMatches) && (f.End == "" || f.End == c.ending) {
+			matching[c.serial] = true
 		}
 	}
 	err := l.eachSkipping(func(r *Record, names []string) bool {
@@ -111,12 +112,12 @@
 				}
 			}
 		case tracepb.Kind_TAKE:
-			when := r.At + offset
-			if f.From != 0 && when < f.From || f.Till != 0 && when > f.Till || f.Query != nil && !q.fits(r) ||
+			taken := r.At + wallOffset
+			if f.From != 0 && taken < f.From || f.Till != 0 && taken > f.Till || f.Query != nil && !q.matches(r) ||
 				f.Product != "" && (int(r.Product) >= len(l.Headers[0].Products) || l.Headers[0].Products[r.Product] != f.Product) {
 				return true
 			}
-			open[r.Txn] = &chosen{serial: r.Serial, end: "cut"}
+			open[r.Txn] = &candidateTxn{serial: r.Serial, ending: "cut"}
 		}
 		c := open[r.Txn]
 		if c == nil || r.Txn == 0 {
@@ -124,110 +125,114 @@
 		}
 		switch r.Kind {
 		case tracepb.Kind_SUBMIT:
-			c.out++
-			c.worker = c.worker || names[r.Worker] == f.Worker
-			c.build = c.build || builds[names[r.Worker]] == f.Build
+			c.pending++
+			c.workerMatches = c.workerMatches || names[r.Worker] == f.Worker
+			c.buildMatches = c.buildMatches || builds[names[r.Worker]] == f.Build
 		case tracepb.Kind_OUTCOME:
-			c.out--
+			c.pending--
 		}
-		c.end = endAfter(c.end, r)
-		if c.end != "cut" && c.out == 0 {
-			decide(c)
+		c.ending = endingAfter(c.ending, r)
+		if c.ending != "cut" && c.pending == 0 {
+			addIfMatching(c)
 			delete(open, r.Txn)
 		}
 		return true
-	}, hurt, func(file *File, i int) bool { return len(open) == 0 && !f.may(l, q, file, i) })
+	}, onDamage, func(file *File, i int) bool { return len(open) == 0 && !f.mayMatch(l, q, file, i) })
 	for _, c := range open {
-		decide(c)
+		addIfMatching(c)
 	}
-	return fit, err
+	return matching, err
 }
 
-// fileWriter writes records as a file.
+// fileWriter writes records to a trace file.
 type fileWriter struct {
 	w           io.Writer
 	enc         *encoder
-	buf         []byte
-	first, last int64
-	names       map[string]uint32
+	records     []byte            // of the current block, encoded
+	first, last int64             // times of the block's first record and of its latest
+	workers     map[string]uint32 // worker numbers in the block, by name
 	index       tracepb.Index
-	size        uint64
+	size        uint64 // bytes written
 }
 
+// newFileWriter writes the header and returns a writer for the records.
 func newFileWriter(w io.Writer, h *tracepb.Header) (*fileWriter, error) {
 	enc, err := newEncoder()
 	if err != nil {
 		return nil, err
 	}
-	p := &fileWriter{w: w, enc: enc, names: map[string]uint32{}}
+	fw := &fileWriter{w: w, enc: enc, workers: map[string]uint32{}}
 	frame, err := headerFrame(h)
 	if err != nil {
 		return nil, err
 	}
-	return p, p.write(frame)
+	return fw, fw.write(frame)
 }
 
-func (p *fileWriter) write(b []byte) error {
-	n, err := p.w.Write(b)
-	p.size += uint64(n)
+func (fw *fileWriter) write(b []byte) error {
+	n, err := fw.w.Write(b)
+	fw.size += uint64(n)
 	if err != nil {
 		return fmt.Errorf("trace: %w", err)
 	}
 	return nil
 }
 
-// add appends a record; worker is the name that its number stands for.
-func (p *fileWriter) add(r Record, worker string) error {
-	if len(p.buf) >= blockBytes {
-		if err := p.flush(); err != nil {
+// writeRecord appends a record, with a WORKER record before it where the block has none for its worker yet, and a BACK
+// record where its time is earlier than that of the previous one. The worker is given by name.
+func (fw *fileWriter) writeRecord(r Record, worker string) error {
+	if len(fw.records) >= blockBytes {
+		if err := fw.flush(); err != nil {
 			return err
 		}
 	}
-	if len(p.buf) == 0 {
-		p.first, p.last = r.At, r.At
+	if len(fw.records) == 0 {
+		fw.first, fw.last = r.At, r.At
 	}
-	if r.At < p.last {
-		back := Record{Kind: tracepb.Kind_BACK, At: p.last, Span: uint64(p.last - r.At)}
-		p.buf = back.Append(p.buf, p.last)
-		p.last = r.At
+	if r.At < fw.last {
+		back := Record{Kind: tracepb.Kind_BACK, At: fw.last, Span: uint64(fw.last - r.At)}
+		fw.records = back.Append(fw.records, fw.last)
+		fw.last = r.At
 	}
 	if r.Worker = 0; worker != "" {
-		n, known := p.names[worker]
+		n, known := fw.workers[worker]
 		if !known {
-			n = uint32(len(p.names) + 1)
-			p.names[worker] = n
-			name := Record{Kind: tracepb.Kind_WORKER, At: r.At, Worker: n, Text: worker}
-			p.buf = name.Append(p.buf, p.last)
-			p.last = r.At
+			n = uint32(len(fw.workers) + 1)
+			fw.workers[worker] = n
+			workerRecord := Record{Kind: tracepb.Kind_WORKER, At: r.At, Worker: n, Text: worker}
+			fw.records = workerRecord.Append(fw.records, fw.last)
+			fw.last = r.At
 		}
 		r.Worker = n
 	}
-	p.buf = r.Append(p.buf, p.last)
-	p.last = r.At
+	fw.records = r.Append(fw.records, fw.last)
+	fw.last = r.At
 	return nil
 }
 
-func (p *fileWriter) flush() error {
-	if len(p.buf) == 0 {
+// flush writes the current block.
+func (fw *fileWriter) flush() error {
+	if len(fw.records) == 0 {
 		return nil
 	}
-	frame, info, err := p.enc.encodeBlock(p.first, p.buf)
+	frame, info, err := fw.enc.encodeBlock(fw.first, fw.records)
 	if err != nil {
 		return err
 	}
-	p.index.Blocks = append(p.index.Blocks, p.enc.indexEntry(p.size, info))
-	p.buf = p.buf[:0]
-	clear(p.names)
-	return p.write(frame)
+	fw.index.Blocks = append(fw.index.Blocks, fw.enc.indexEntry(fw.size, info))
+	fw.records = fw.records[:0]
+	clear(fw.workers)
+	return fw.write(frame)
 }
 
-func (p *fileWriter) close() error {
-	if err := p.flush(); err != nil {
+// close writes the last block and the index. It does not close the underlying writer.
+func (fw *fileWriter) close() error {
+	if err := fw.flush(); err != nil {
 		return err
 	}
-	frame, err := indexFrame(&p.index)
+	frame, err := indexFrame(&fw.index)
 	if err != nil {
 		return err
 	}
-	return p.write(frame)
+	return fw.write(frame)
 }
--- a/trace/follow.go
+++ b/trace/follow.go
@@ -16,7 +16,7 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Query names txns: by their name (s1-4711: sentry 1, serial 4711), by their key, or by their trace context.
+// Query selects txns by name (s1-4711 is sentry 1, serial 4711), by key or by trace id.
 type Query struct {
 	Sentry  int // -1: any
 	Serial  uint64
@@ -24,15 +24,15 @@
 	TraceID [2]uint64
 }
 
-// ParseQuery reads a query: a txn's name, a W3C traceparent or trace id, or else a key as clients write it.
+// ParseQuery parses a txn's name, a W3C traceparent or a trace id. Any other text is a key as clients send it.
 func ParseQuery(text string) Query {
 	q := Query{Sentry: -1}
 	if rest, found := strings.CutPrefix(text, "s"); found {
 		sentry, serial, ok := strings.Cut(rest, "-")
 		n, err1 := strconv.Atoi(sentry)
-		k, err2 := strconv.ParseUint(serial, 10, 64)
+		number, err2 := strconv.ParseUint(serial, 10, 64)
 		if ok && err1 == nil && err2 == nil {
-			q.Sentry, q.Serial = n, k
+			q.Sentry, q.Serial = n, number
 			return q
 		}
 	}
@@ -52,24 +52,26 @@
 	return q
 }
 
-// Trace ids that the edge gives name the txn: the sentry's life, and its serial, mixed. So they need not be kept.
+// A trace id that the edge generates consists of the sentry's run id and the txn's serial, multiplied by an odd constant
+// to spread its bits. It identifies the txn by itself and is therefore not recorded.
 const (
-	mixer   = 0x9e3779b97f4a7c15
-	unmixer = 0xf1de83e19937733d // mixer * unmixer = 1, modulo 2^64
+	mixer         = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
+	serialInverse = 0xf1de83e19937733d // the multiplicative inverse, modulo 2^64
 )
 
-// MixSerial is the lower half of a trace id that the edge gives.
+// MixSerial returns the lower half of a trace id that the edge generates.
 func MixSerial(serial uint64) uint64 { return serial * mixer }
 
-// in is the query as it stands for one life.
-func (q Query) in(l *Life) Query {
+// forRun translates a trace id that the edge generated for a txn of the run into that txn's serial.
+func (q Query) forRun(l *Life) Query {
 	if q.TraceID[0] == l.ID && l.ID != 0 {
-		return Query{Sentry: int(l.Sentry), Serial: q.TraceID[1] * unmixer}
+		return Query{Sentry: int(l.Sentry), Serial: q.TraceID[1] * serialInverse}
 	}
 	return q
 }
 
-func (q Query) fits(r *Record) bool {
+// matches reports whether a TAKE record is that of a selected txn.
+func (q Query) matches(r *Record) bool {
 	switch {
 	case q.Serial != 0:
 		return r.Serial == q.Serial
@@ -79,8 +81,8 @@
 	return r.Key == q.Key
 }
 
-// may tells whether a block may hold the start of a txn that is asked for.
-func (q Query) may(f *File, i int) bool {
+// mayMatch reports whether a block may hold the TAKE record of a selected txn.
+func (q Query) mayMatch(f *File, i int) bool {
 	b := f.Blocks[i].Block
 	switch {
 	case b.FirstSerial == 0:
@@ -93,82 +95,84 @@
 	return f.MayContain(i, q.Key) && f.ContainsBytes(i, q.Key)
 }
 
-// Story is all that was recorded of one txn.
-type Story struct {
+// TxnHistory is everything recorded about one txn.
+type TxnHistory struct {
 	Edge    string
 	Sentry  uint32
 	Serial  uint64
 	Product string
 	Key     uint64
 	TraceID [2]uint64
-	Wall    time.Time // about when it was taken, by the edge's wall clock
-	Taken   int64     // the sentry's clock
-	Expiry  int64
+	Wall    time.Time // when it was taken, by the edge's wall clock, approximate
+	Taken   int64     // likewise by the sentry's monotonic clock, nanoseconds
+	Expiry  int64     // the sentry's monotonic clock, nanoseconds
 	Steps   []Step
-	End     string        // settled, declined, voided, left, or cut: the trace ends before it did
-	Unsure  time.Duration `json:",omitempty"` // Wall may be off by so much against other sentries; negative: by any
-	life    *Life
+	End     string        // settled, declined, voided, left, or cut if the trace ends before the txn
+	Unsure  time.Duration `json:",omitempty"` // largest error of Wall relative to other sentries; negative: unbounded
+	run     *Life
 	product int
 	id      uint64
-	out     int
-	done    bool
+	pending int  // submissions without an outcome
+	done    bool // ended, and no submission is pending
 }
 
-// Name is what follow finds the txn by.
-func (s *Story) Name() string { return fmt.Sprintf("s%d-%d", s.Sentry, s.Serial) }
+// Name returns the name by which a query finds the txn.
+func (h *TxnHistory) Name() string { return fmt.Sprintf("s%d-%d", h.Sentry, h.Serial) }
 
-// Step is one thing that was decided on a txn, or happened to it.
+// Step is one decision about a txn, or one event.
 type Step struct {
 	At      int64
 	Kind    Kind
 	Number  uint32
 	Worker  string
 	Build   int64
-	Trial   bool // that build was on trial then, as far as the sentry knew
+	Trial   bool // the build was on trial at the time, as far as the sentry knew
 	Ending  logic.Ending
 	Elapsed time.Duration
 	Token   uint64
 	Span    time.Duration
-	What    string // for people, as is Why
-	Why     string
+	What    string // human-readable description
+	Why     string // human-readable reason
 }
 
+// endingTexts names the endings of submissions in reports and exports.
 var endingTexts = map[logic.Ending]string{logic.OK: "ok", logic.Cancelled: "called off", logic.TimedOut: "timed out", logic.Rejected: "turned away unseen",
 	logic.Skipped: "not sent", logic.Disconnected: "connection broke", logic.ErrorResponse: "error", logic.ConnectFailed: "no connection",
 	logic.MalformedResponse: "spoilt"}
 
-// Follow finds the stories of the txns that fit, looking only into blocks that may hold them. Damage is passed
-// over and named to hurt.
-func Follow(lives []*Life, q Query, hurt func(path string, d Damage)) ([]*Story, error) {
-	var out []*Story
-	for _, l := range lives {
+// Follow returns the histories of the selected txns. It reads only blocks that may hold them, skips damaged parts and
+// reports these to onDamage.
+func Follow(runs []*Life, q Query, onDamage func(path string, d Damage)) ([]*TxnHistory, error) {
+	var histories []*TxnHistory
+	for _, l := range runs {
 		if q.Sentry >= 0 && uint32(q.Sentry) != l.Sentry {
 			continue
 		}
-		found, err := l.follow(q.in(l), hurt)
+		found, err := l.findTxns(q.forRun(l), onDamage)
 		if err != nil {
-			return out, err
+			return histories, err
 		}
-		out = append(out, found...)
+		histories = append(histories, found...)
 	}
-	return out, nil
+	return histories, nil
 }
 
-func (l *Life) follow(q Query, hurt func(string, Damage)) ([]*Story, error) {
-	var out []*Story
-	open := map[uint64]*Story{}
-	number := uint64(0)
+// findTxns returns the histories of the run's selected txns.
+func (l *Life) findTxns(q Query, onDamage func(string, Damage)) ([]*TxnHistory, error) {
+	var histories []*TxnHistory
+	open := map[uint64]*TxnHistory{}
+	lastBlock := uint64(0)
 	for k, path := range l.Paths {
-		f, done, err := OpenPath(path)
+		f, closeFile, err := OpenPath(path)
 		if err != nil {
-			return out, err
+			return histories, err
 		}
 		for _, d := range f.Damages {
-			hurt(path, d)
+			onDamage(path, d)
 		}
-		var news tracepb.News
+		var release tracepb.News
 		for i := range f.Blocks {
-			if f.isDuplicate(i, &number) || len(open) == 0 && !q.may(f, i) {
+			if f.isDuplicate(i, &lastBlock) || len(open) == 0 && !q.mayMatch(f, i) {
 				continue
 			}
 			builds := map[string]int64{}
@@ -179,142 +183,142 @@
 					return true
 				case tracepb.Kind_NEWS, tracepb.Kind_STANDING:
 					if l.origin == 0 || r.Origin == l.origin {
-						news.Reset()
-						proto.Unmarshal(r.Body, &news) // what cannot be read tells nothing
+						release.Reset()
+						proto.Unmarshal(r.Body, &release) // an unreadable body leaves no release
 					}
 					return true
 				}
 				if l.origin != 0 && r.Origin != l.origin {
 					return true
 				}
-				if r.Kind == tracepb.Kind_TAKE && q.fits(r) {
-					s := &Story{Edge: l.Edge, Sentry: l.Sentry, Serial: r.Serial, Key: r.Key, TraceID: r.TraceID, Taken: r.At, Expiry: r.At + int64(r.Patience),
-						Wall: time.Unix(0, l.Headers[k].Wall+r.At-l.Headers[k].Start).UTC(), id: r.Txn, End: "cut", life: l, product: int(r.Product),
+				if r.Kind == tracepb.Kind_TAKE && q.matches(r) {
+					h := &TxnHistory{Edge: l.Edge, Sentry: l.Sentry, Serial: r.Serial, Key: r.Key, TraceID: r.TraceID, Taken: r.At, Expiry: r.At + int64(r.Patience),
+						Wall: time.Unix(0, l.Headers[k].Wall+r.At-l.Headers[k].Start).UTC(), id: r.Txn, End: "cut", run: l, product: int(r.Product),
 						Unsure: time.Duration(l.ClockUncertainty)}
 					if int(r.Product) < len(l.Headers[k].Products) {
-						s.Product = l.Headers[k].Products[r.Product]
+						h.Product = l.Headers[k].Products[r.Product]
 					}
-					if s.TraceID == [2]uint64{} {
-						s.TraceID = [2]uint64{l.ID, MixSerial(r.Serial)}
+					if h.TraceID == [2]uint64{} {
+						h.TraceID = [2]uint64{l.ID, MixSerial(r.Serial)}
 					}
-					open[r.Txn] = s
-					out = append(out, s)
+					open[r.Txn] = h
+					histories = append(histories, h)
 				}
-				if s := open[r.Txn]; s != nil && r.Txn != 0 {
+				if h := open[r.Txn]; h != nil && r.Txn != 0 {
 					build := builds[names[r.Worker]]
-					s.step(r, names, build, build > news.Build || build == news.Build && logic.Phase(news.Phase) != logic.Released)
-					if s.done {
+					h.addRecord(r, names, build, build > release.Build || build == release.Build && logic.Phase(release.Phase) != logic.Released)
+					if h.done {
 						delete(open, r.Txn)
 					}
 				}
 				return true
 			})
 			if err != nil {
-				hurt(path, Damage{Why: err.Error()})
+				onDamage(path, Damage{Why: err.Error()})
 			}
 		}
-		done()
+		closeFile()
 	}
-	return out, nil
+	return histories, nil
 }
 
-// step adds a record of the txn to its story.
-func (s *Story) step(r *Record, names []string, build int64, trial bool) {
-	t := Step{At: r.At, Kind: r.Kind, Number: r.Number, Worker: names[r.Worker], Ending: logic.Ending(r.Ending), Elapsed: time.Duration(r.Elapsed),
+// addRecord adds a record of the txn to its history. The build and whether it is on trial are those of r's worker.
+func (h *TxnHistory) addRecord(r *Record, names []string, build int64, trial bool) {
+	step := Step{At: r.At, Kind: r.Kind, Number: r.Number, Worker: names[r.Worker], Ending: logic.Ending(r.Ending), Elapsed: time.Duration(r.Elapsed),
 		Token: r.Token, Span: time.Duration(r.Span)}
 	switch r.Kind {
 	case tracepb.Kind_SUBMIT:
-		t.Build, t.Trial = build, trial && build > 0
-		t.Number = uint32(len(s.sent()))
-		s.out++
+		step.Build, step.Trial = build, trial && build > 0
+		step.Number = uint32(len(h.submissions()))
+		h.pending++
 	case tracepb.Kind_OUTCOME:
-		s.out--
+		h.pending--
 	}
-	s.explain(&t)
-	s.End = endAfter(s.End, r)
-	s.Steps = append(s.Steps, t)
-	s.done = s.End != "cut" && s.out == 0
+	h.explain(&step)
+	h.End = endingAfter(h.End, r)
+	h.Steps = append(h.Steps, step)
+	h.done = h.End != "cut" && h.pending == 0
 }
 
-// sent lists the submissions so far.
-func (s *Story) sent() (out []*Step) {
-	for i := range s.Steps {
-		if s.Steps[i].Kind == tracepb.Kind_SUBMIT {
-			out = append(out, &s.Steps[i])
+// submissions returns the submissions so far, by number.
+func (h *TxnHistory) submissions() (list []*Step) {
+	for i := range h.Steps {
+		if h.Steps[i].Kind == tracepb.Kind_SUBMIT {
+			list = append(list, &h.Steps[i])
 		}
 	}
-	return out
+	return list
 }
 
-// explain says what a step is, and why it came, as far as the records before it tell.
-func (s *Story) explain(t *Step) {
-	sent := s.sent()
-	to := func(n uint32) string {
-		if int(n) < len(sent) {
-			return sent[n].Worker
+// explain fills in a step's What and Why from the step and those before it.
+func (h *TxnHistory) explain(step *Step) {
+	submissions := h.submissions()
+	workerOf := func(n uint32) string {
+		if int(n) < len(submissions) {
+			return submissions[n].Worker
 		}
-		return "a worker that is not recorded"
+		return "an unrecorded worker"
 	}
-	switch t.Kind {
+	switch step.Kind {
 	case tracepb.Kind_TAKE:
-		t.What = "taken"
+		step.What = "taken"
 	case tracepb.Kind_SUBMIT:
-		t.What = fmt.Sprintf("submission %d to %s", t.Number, t.Worker)
-		t.Why = "first choice"
-		if len(s.Steps) > 0 && len(sent) > 0 {
-			t.Why = "a second copy, as the first is long in coming"
-			for i := len(s.Steps) - 1; i > 0; i-- {
-				if x := &s.Steps[i]; x.Kind == tracepb.Kind_OUTCOME && x.At == t.At {
-					t.Why = fmt.Sprintf("again, as submission %d ended: %s", x.Number, endingTexts[x.Ending])
+		step.What = fmt.Sprintf("submission %d to %s", step.Number, step.Worker)
+		step.Why = "first choice"
+		if len(h.Steps) > 0 && len(submissions) > 0 {
+			step.Why = "second copy, because the first is slow"
+			for i := len(h.Steps) - 1; i > 0; i-- {
+				if previous := &h.Steps[i]; previous.Kind == tracepb.Kind_OUTCOME && previous.At == step.At {
+					step.Why = fmt.Sprintf("retry, because submission %d ended: %s", previous.Number, endingTexts[previous.Ending])
 					break
 				}
 			}
 		}
-		if t.Build > 0 {
-			t.Why += fmt.Sprintf("; build %d", t.Build)
-			if t.Trial {
-				t.Why += ", on trial"
+		if step.Build > 0 {
+			step.Why += fmt.Sprintf("; build %d", step.Build)
+			if step.Trial {
+				step.Why += ", on trial"
 			}
 		}
 	case tracepb.Kind_OUTCOME:
-		t.What = fmt.Sprintf("submission %d at %s ended", t.Number, to(t.Number))
-		t.Why = fmt.Sprintf("%s after %.1f ms", endingTexts[t.Ending], float64(t.Elapsed)/1e6)
-		if t.Token != 0 {
-			t.Why += fmt.Sprintf(", the client was answered with %d", t.Token)
+		step.What = fmt.Sprintf("submission %d at %s ended", step.Number, workerOf(step.Number))
+		step.Why = fmt.Sprintf("%s after %.1f ms", endingTexts[step.Ending], float64(step.Elapsed)/1e6)
+		if step.Token != 0 {
+			step.Why += fmt.Sprintf(", the client was answered with %d", step.Token)
 		}
 	case tracepb.Kind_CANCEL:
-		t.What = fmt.Sprintf("submission %d at %s called off", t.Number, to(t.Number))
-		t.Why = "the txn is over"
+		step.What = fmt.Sprintf("submission %d at %s called off", step.Number, workerOf(step.Number))
+		step.Why = "the txn is over"
 	case tracepb.Kind_DECLINE:
-		t.What, t.Why = "declined", fmt.Sprintf("%s; may come back after %v", s.lack(), t.Span)
+		step.What, step.Why = "declined", fmt.Sprintf("%s; may come back after %v", h.endReason(), step.Span)
 	case tracepb.Kind_VOID:
-		t.What, t.Why = "voided", s.lack()
+		step.What, step.Why = "voided", h.endReason()
 	case tracepb.Kind_LEFT:
-		t.What, t.Why = "its client left", fmt.Sprintf("after %v of a patience of %v", time.Duration(t.At-s.Taken).Round(time.Millisecond),
-			time.Duration(s.Expiry-s.Taken).Round(time.Millisecond))
+		step.What, step.Why = "its client left", fmt.Sprintf("after %v of a patience of %v", time.Duration(step.At-h.Taken).Round(time.Millisecond),
+			time.Duration(h.Expiry-h.Taken).Round(time.Millisecond))
 	case tracepb.Kind_STREAMING:
-		t.What = fmt.Sprintf("submission %d streams its answer", t.Number)
+		step.What = fmt.Sprintf("submission %d streams its answer", step.Number)
 	default:
-		t.What = strings.ToLower(t.Kind.String())
+		step.What = strings.ToLower(step.Kind.String())
 	}
 }
 
-// lack says why a txn was given up.
-func (s *Story) lack() string {
-	sent := len(s.sent())
-	for i := len(s.Steps) - 1; i >= 0; i-- {
-		if x := &s.Steps[i]; x.Kind == tracepb.Kind_OUTCOME {
-			return fmt.Sprintf("submission %d of %d ended (%s), and no worker could be sent another", x.Number+1, sent, endingTexts[x.Ending])
+// endReason returns why a txn was declined or voided.
+func (h *TxnHistory) endReason() string {
+	submitted := len(h.submissions())
+	for i := len(h.Steps) - 1; i >= 0; i-- {
+		if step := &h.Steps[i]; step.Kind == tracepb.Kind_OUTCOME {
+			return fmt.Sprintf("submission %d of %d ended (%s), and no worker could be sent another", step.Number+1, submitted, endingTexts[step.Ending])
 		}
 	}
-	if sent > 0 {
-		return "its time was up"
+	if submitted > 0 {
+		return "it expired"
 	}
 	return "no worker could be sent it"
 }
 
-// endAfter is how a txn stands after one more of its records: "cut" until its end is recorded.
-func endAfter(end string, r *Record) string {
+// endingAfter returns a txn's ending after one more of its records, which is "cut" until its end is recorded.
+func endingAfter(end string, r *Record) string {
 	switch {
 	case r.Kind == tracepb.Kind_DECLINE:
 		return "declined"
@@ -328,21 +332,21 @@
 	return end
 }
 
-// head tells which txn it is.
-func (s *Story) head(w io.Writer) {
-	fmt.Fprintf(w, "txn %s at edge %s: %s, taken about %s, patience %v, %s\n", s.Name(), s.Edge, s.Product, s.Wall.Format(time.RFC3339Nano),
-		time.Duration(s.Expiry-s.Taken).Round(time.Millisecond), map[bool]string{true: "no end recorded: the trace ends before the txn did", false: s.End}[s.End == "cut"])
-	if s.TraceID != [2]uint64{} {
-		fmt.Fprintf(w, "trace id %016x%016x\n", s.TraceID[0], s.TraceID[1])
+// printHeader writes which txn it is and how it ended.
+func (h *TxnHistory) printHeader(w io.Writer) {
+	fmt.Fprintf(w, "txn %s at edge %s: %s, taken about %s, patience %v, %s\n", h.Name(), h.Edge, h.Product, h.Wall.Format(time.RFC3339Nano),
+		time.Duration(h.Expiry-h.Taken).Round(time.Millisecond), map[bool]string{true: "no end recorded: the trace ends before the txn did", false: h.End}[h.End == "cut"])
+	if h.TraceID != [2]uint64{} {
+		fmt.Fprintf(w, "trace id %016x%016x\n", h.TraceID[0], h.TraceID[1])
 	}
 }
 
-// Print tells the story as a table.
-func (s *Story) Print(w io.Writer) {
-	s.head(w)
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	for _, x := range s.Steps {
-		fmt.Fprintf(t, "  %9.3f ms\t%s\t%s\n", math.Round(float64(x.At-s.Taken)/1e3)/1e3, x.What, x.Why)
+// Print writes the history as a table.
+func (h *TxnHistory) Print(w io.Writer) {
+	h.printHeader(w)
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	for _, step := range h.Steps {
+		fmt.Fprintf(table, "  %9.3f ms\t%s\t%s\n", math.Round(float64(step.At-h.Taken)/1e3)/1e3, step.What, step.Why)
 	}
-	t.Flush()
+	table.Flush()
 }
--- a/trace/merge.go
+++ b/trace/merge.go
@@ -217,19 +217,19 @@
 		h.Origins = append(h.Origins, &tracepb.Header_Origin{Edge: l.Edge, Sentry: l.Sentry, Life: l.ID, Offset: int64(clocks[i].Offset),
 			Drift: clocks[i].Drift, Middle: clocks[i].Middle, Unsure: clocks[i].Unsure, Settings: x.Settings, Module: x.Module, Level: x.Level, OneIn: x.OneIn})
 	}
-	p, err := newFileWriter(w, h)
+	fw, err := newFileWriter(w, h)
 	if err != nil {
 		return nil, err
 	}
 	result, err := mergeRecords(runs, onDamage, func(run int, at int64, r *Record, worker string) error {
 		x := *r
 		x.At, x.Origin = at, uint32(run+1)
-		return p.add(x, worker)
+		return fw.writeRecord(x, worker)
 	})
 	if err != nil {
 		return nil, err
 	}
-	return result, p.close()
+	return result, fw.close()
 }
 
 // splitMergedFile returns the runs that a merged file was made of. Their times are by the reference clock.
--- a/trace/merge_test.go
+++ b/trace/merge_test.go
@@ -110,7 +110,7 @@
 		}
 		for _, r := range list {
 			r.At = start + w.shown(i, r.At) - wall
-			if err := p.add(r, ""); err != nil {
+			if err := p.writeRecord(r, ""); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/trace/otel.go
+++ b/trace/otel.go
@@ -27,7 +27,7 @@
 	out := bufio.NewWriterSize(w, 1<<20)
 	n := 0
 	for i, l := range lives {
-		e := &spanner{life: l, out: out, open: map[uint64]*Story{}, shift: func(at int64) int64 { return at }}
+		e := &spanner{life: l, out: out, open: map[uint64]*TxnHistory{}, shift: func(at int64) int64 { return at }}
 		if clocks != nil {
 			e.shift = clocks[i].ToReference
 		}
@@ -48,7 +48,7 @@
 type spanner struct {
 	life   *Life
 	out    *bufio.Writer
-	open   map[uint64]*Story
+	open   map[uint64]*TxnHistory
 	builds map[string]int64
 	news   *tracepb.News
 	spans  []*otlp.Span
@@ -68,7 +68,7 @@
 		proto.Unmarshal(r.Body, e.news) // what cannot be read tells nothing
 		return e.fault
 	case tracepb.Kind_TAKE:
-		s := &Story{Edge: e.life.Edge, Sentry: e.life.Sentry, Serial: r.Serial, Key: r.Key, TraceID: r.TraceID, Taken: r.At, Expiry: r.At + int64(r.Patience),
+		s := &TxnHistory{Edge: e.life.Edge, Sentry: e.life.Sentry, Serial: r.Serial, Key: r.Key, TraceID: r.TraceID, Taken: r.At, Expiry: r.At + int64(r.Patience),
 			id: r.Txn, End: "cut"}
 		if int(r.Product) < len(h.Products) {
 			s.Product = h.Products[r.Product]
@@ -83,7 +83,7 @@
 		return e.fault
 	}
 	build := e.builds[names[r.Worker]]
-	s.step(r, names, build, build > e.news.Build || build == e.news.Build && logic.Phase(e.news.Phase) != logic.Released)
+	s.addRecord(r, names, build, build > e.news.Build || build == e.news.Build && logic.Phase(e.news.Phase) != logic.Released)
 	if s.done {
 		delete(e.open, r.Txn)
 		e.put(s)
@@ -106,12 +106,12 @@
 }
 
 // spanID names a span of a txn: 0 is the txn's own, n+1 its submission n.
-func (e *spanner) spanID(s *Story, n uint64) []byte {
+func (e *spanner) spanID(s *TxnHistory, n uint64) []byte {
 	return binary.BigEndian.AppendUint64(nil, ((s.Serial<<4|n)*mixer^e.life.ID)|1)
 }
 
 // put makes the spans of a txn that has ended, or that the file ends in.
-func (e *spanner) put(s *Story) {
+func (e *spanner) put(s *TxnHistory) {
 	id := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, s.TraceID[0]), s.TraceID[1])
 	last := s.Steps[len(s.Steps)-1].At
 	root := &otlp.Span{TraceId: id, SpanId: e.spanID(s, 0), Name: s.Product, Kind: otlp.Span_SPAN_KIND_SERVER, StartTimeUnixNano: e.wall(s.Taken),
@@ -172,7 +172,7 @@
 
 // finish writes what has no end in the file, in the order of taking.
 func (e *spanner) finish() error {
-	var left []*Story
+	var left []*TxnHistory
 	for _, s := range e.open {
 		left = append(left, s)
 	}
--- a/trace/sequence.go
+++ b/trace/sequence.go
@@ -69,12 +69,12 @@
 	return out.err
 }
 
-func sentryLane(s *Story) string {
+func sentryLane(s *TxnHistory) string {
 	return fmt.Sprintf("%s (s%d)", s.Edge, s.Sentry)
 }
 
 // step draws one line of the tale.
-func (c *sequence) step(y int, at time.Duration, doubt bool, s *Story, x *Step) {
+func (c *sequence) step(y int, at time.Duration, doubt bool, s *TxnHistory, x *Step) {
 	mark := ""
 	if doubt {
 		mark = " ?"
@@ -95,11 +95,11 @@
 		if x.Ending != logic.OK {
 			color = "#b22"
 		}
-		if sent := s.sent(); int(x.Number) < len(sent) {
+		if sent := s.submissions(); int(x.Number) < len(sent) {
 			c.arrow(c.lane(sent[x.Number].Worker), here, y, label, color)
 		}
 	case tracepb.Kind_CANCEL:
-		if sent := s.sent(); int(x.Number) < len(sent) {
+		if sent := s.submissions(); int(x.Number) < len(sent) {
 			c.arrow(here, c.lane(sent[x.Number].Worker), y, label, "#888")
 		}
 	case tracepb.Kind_DECLINE, tracepb.Kind_VOID:
--- a/trace/tale.go
+++ b/trace/tale.go
@@ -16,7 +16,7 @@
 
 // Tale is the stories of some txns in one order: what a client asked for, over all sentries that it went to.
 type Tale struct {
-	Stories []*Story
+	Stories []*TxnHistory
 	Lines   []Line
 }
 
@@ -30,12 +30,12 @@
 
 // Join puts stories into one order. clocks are those of all lives that they come from, by the lives' order; nil: the
 // lives' own wall clocks are taken as they are, as in a merged file.
-func Join(stories []*Story, lives []*Life, clocks []Clock) *Tale {
+func Join(stories []*TxnHistory, lives []*Life, clocks []Clock) *Tale {
 	t := &Tale{Stories: stories}
 	for i, s := range stories {
 		shift, unsure := int64(0), s.Unsure
 		for k, l := range lives {
-			if l == s.life && clocks != nil {
+			if l == s.run && clocks != nil {
 				shift, unsure = clocks[k].ToReference(s.Wall.UnixNano())-s.Wall.UnixNano(), time.Duration(clocks[k].Unsure)
 			}
 		}
@@ -49,10 +49,10 @@
 }
 
 // LivesOf lists the lives that stories come from.
-func LivesOf(stories []*Story) (out []*Life) {
+func LivesOf(stories []*TxnHistory) (out []*Life) {
 	for _, s := range stories {
-		if !slices.Contains(out, s.life) {
-			out = append(out, s.life)
+		if !slices.Contains(out, s.run) {
+			out = append(out, s.run)
 		}
 	}
 	return out
@@ -72,7 +72,7 @@
 
 // doubt tells whether a line's order against the one before, of another sentry, is not known.
 func (t *Tale) doubt(i int) bool {
-	if i == 0 || t.Stories[t.Lines[i].Story].life == t.Stories[t.Lines[i-1].Story].life {
+	if i == 0 || t.Stories[t.Lines[i].Story].run == t.Stories[t.Lines[i-1].Story].run {
 		return false
 	}
 	a, b := t.Lines[i-1], t.Lines[i]
@@ -82,7 +82,7 @@
 // Print tells the tale as a table.
 func (t *Tale) Print(w io.Writer) {
 	for _, s := range t.Stories {
-		s.head(w)
+		s.printHeader(w)
 	}
 	if len(t.Lines) == 0 {
 		return
@@ -106,8 +106,8 @@
 
 // Why replays a life up to a txn's last recorded decision, and lists how each worker stood for it: what the decision
 // module itself says speaks against each. It needs the life from its start.
-func Why(s *Story) ([]logic.WorkerStatus, error) {
-	l := s.life
+func Why(s *TxnHistory) ([]logic.WorkerStatus, error) {
+	l := s.run
 	if l.Level() != LevelWhole || l.origin != 0 {
 		return nil, ErrSampled
 	}
--- a/trace/tools_test.go
+++ b/trace/tools_test.go
@@ -37,7 +37,7 @@
 		if i < len(workers) {
 			name = workers[i]
 		}
-		if err := p.add(r, name); err != nil {
+		if err := p.writeRecord(r, name); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -651,7 +651,7 @@
 			}
 			err = l.eachSkipping(func(*Record, []string) bool { return true }, nil, func(f *File, i int) bool {
 				all++
-				may := c.f.may(l, q, f, i)
+				may := c.f.mayMatch(l, q, f, i)
 				if may {
 					opened++
 				}
