--- a/trace/sequence.go
+++ b/trace/sequence.go
@@ -11,127 +11,130 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Sizes of a sequence chart, in pixels.
+// Layout of a sequence diagram, in pixels, and its text styles.
 const (
-	chartLane  = 190
-	chartRow   = 34
-	chartTop   = 70
-	chartSide  = 110
-	chartSmall = "font-family:sans-serif;font-size:11px"
-	chartBig   = "font-family:sans-serif;font-size:13px;font-weight:bold"
+	laneWidth      = 190
+	rowHeight      = 34
+	topMargin      = 70
+	sideMargin     = 110
+	smallTextStyle = "font-family:sans-serif;font-size:11px"
+	titleTextStyle = "font-family:sans-serif;font-size:13px;font-weight:bold"
 )
 
-// sequence draws a tale.
-type sequence struct {
-	s     *svg.SVG
-	lanes []string
-	place map[string]int
+// sequenceDiagram draws a timeline.
+type sequenceDiagram struct {
+	canvas    *svg.SVG
+	lanes     []string
+	laneIndex map[string]int
 }
 
-func (c *sequence) lane(name string) int {
-	at, known := c.place[name]
+// laneCenter returns the x coordinate of a lane's center. An unknown name gets the next lane.
+func (d *sequenceDiagram) laneCenter(name string) int {
+	index, known := d.laneIndex[name]
 	if !known {
-		at = len(c.lanes)
-		c.place[name] = at
-		c.lanes = append(c.lanes, name)
+		index = len(d.lanes)
+		d.laneIndex[name] = index
+		d.lanes = append(d.lanes, name)
 	}
-	return chartSide + at*chartLane + chartLane/2
+	return sideMargin + index*laneWidth + laneWidth/2
 }
 
-// SVG draws the tale as a sequence chart: the client, the sentries and the workers side by side, time downwards, in
-// order and not to scale.
-func (t *Tale) SVG(w io.Writer) error {
-	c := &sequence{place: map[string]int{}}
-	c.lane("client")
-	for _, s := range t.Stories {
-		c.lane(sentryLane(s))
+// SVG writes the timeline as a sequence diagram, with lanes for the client, the sentries and the workers. Time runs
+// downwards and is not to scale.
+func (t *Timeline) SVG(w io.Writer) error {
+	d := &sequenceDiagram{laneIndex: map[string]int{}}
+	d.laneCenter("client")
+	for _, h := range t.Histories {
+		d.laneCenter(sentryLane(h))
 	}
-	for _, l := range t.Lines {
-		if x := t.Stories[l.Story].Steps[l.Step]; x.Worker != "" {
-			c.lane(x.Worker)
+	for _, entry := range t.Entries {
+		if center := t.Histories[entry.History].Steps[entry.Step]; center.Worker != "" {
+			d.laneCenter(center.Worker)
 		}
 	}
-	out := &keptError{w: w}
-	c.s = svg.New(out)
-	width, height := 2*chartSide+len(c.lanes)*chartLane, chartTop+(len(t.Lines)+1)*chartRow+40
-	c.s.Start(width, height)
-	c.s.Rect(0, 0, width, height, "fill:white")
-	for _, name := range c.lanes {
-		x := c.lane(name)
-		c.s.Text(x, 40, name, chartBig+";text-anchor:middle")
-		c.s.Line(x, 52, x, height-20, "stroke:#999;stroke-dasharray:4 3")
+	ew := &errorKeepingWriter{w: w}
+	d.canvas = svg.New(ew)
+	width, height := 2*sideMargin+len(d.lanes)*laneWidth, topMargin+(len(t.Entries)+1)*rowHeight+40
+	d.canvas.Start(width, height)
+	d.canvas.Rect(0, 0, width, height, "fill:white")
+	for _, name := range d.lanes {
+		center := d.laneCenter(name)
+		d.canvas.Text(center, 40, name, titleTextStyle+";text-anchor:middle")
+		d.canvas.Line(center, 52, center, height-20, "stroke:#999;stroke-dasharray:4 3")
 	}
-	for i, l := range t.Lines {
-		s := t.Stories[l.Story]
-		c.step(chartTop+(i+1)*chartRow, l.At.Sub(t.Lines[0].At), t.doubt(i), s, &s.Steps[l.Step])
+	for i, entry := range t.Entries {
+		h := t.Histories[entry.History]
+		d.drawEntry(topMargin+(i+1)*rowHeight, entry.At.Sub(t.Entries[0].At), t.orderUncertain(i), h, &h.Steps[entry.Step])
 	}
-	c.s.End()
-	return out.err
+	d.canvas.End()
+	return ew.err
 }
 
-func sentryLane(s *TxnHistory) string {
-	return fmt.Sprintf("%s (s%d)", s.Edge, s.Sentry)
+// sentryLane returns the name of the lane of the history's sentry.
+func sentryLane(h *TxnHistory) string {
+	return fmt.Sprintf("%s (s%d)", h.Edge, h.Sentry)
 }
 
-// step draws one line of the tale.
-func (c *sequence) step(y int, at time.Duration, doubt bool, s *TxnHistory, x *Step) {
+// drawEntry draws one entry of the timeline.
+func (d *sequenceDiagram) drawEntry(y int, elapsed time.Duration, uncertain bool, h *TxnHistory, step *Step) {
 	mark := ""
-	if doubt {
+	if uncertain {
 		mark = " ?"
 	}
-	c.s.Text(8, y+4, fmt.Sprintf("%.3f ms%s", float64(at.Microseconds())/1e3, mark), chartSmall)
-	here := c.lane(sentryLane(s))
-	label := x.What
-	if x.Why != "" {
-		label += ": " + x.Why
+	d.canvas.Text(8, y+4, fmt.Sprintf("%.3f ms%s", float64(elapsed.Microseconds())/1e3, mark), smallTextStyle)
+	sentry := d.laneCenter(sentryLane(h))
+	label := step.What
+	if step.Why != "" {
+		label += ": " + step.Why
 	}
-	switch x.Kind {
+	switch step.Kind {
 	case tracepb.Kind_TAKE:
-		c.arrow(c.lane("client"), here, y, s.Name()+" "+s.Product, "#225")
+		d.drawArrow(d.laneCenter("client"), sentry, y, h.Name()+" "+h.Product, "#225")
 	case tracepb.Kind_SUBMIT:
-		c.arrow(here, c.lane(x.Worker), y, label, "#225")
+		d.drawArrow(sentry, d.laneCenter(step.Worker), y, label, "#225")
 	case tracepb.Kind_OUTCOME:
 		color := "#282"
-		if x.Ending != logic.OK {
+		if step.Ending != logic.OK {
 			color = "#b22"
 		}
-		if sent := s.submissions(); int(x.Number) < len(sent) {
-			c.arrow(c.lane(sent[x.Number].Worker), here, y, label, color)
+		if submissions := h.submissions(); int(step.Number) < len(submissions) {
+			d.drawArrow(d.laneCenter(submissions[step.Number].Worker), sentry, y, label, color)
 		}
 	case tracepb.Kind_CANCEL:
-		if sent := s.submissions(); int(x.Number) < len(sent) {
-			c.arrow(here, c.lane(sent[x.Number].Worker), y, label, "#888")
+		if submissions := h.submissions(); int(step.Number) < len(submissions) {
+			d.drawArrow(sentry, d.laneCenter(submissions[step.Number].Worker), y, label, "#888")
 		}
 	case tracepb.Kind_DECLINE, tracepb.Kind_VOID:
-		c.arrow(here, c.lane("client"), y, label, "#b22")
+		d.drawArrow(sentry, d.laneCenter("client"), y, label, "#b22")
 	case tracepb.Kind_LEFT:
-		c.arrow(c.lane("client"), here, y, label, "#888")
+		d.drawArrow(d.laneCenter("client"), sentry, y, label, "#888")
 	default:
-		c.s.Text(here+8, y+4, label, chartSmall)
+		d.canvas.Text(sentry+8, y+4, label, smallTextStyle)
 	}
 }
 
-func (c *sequence) arrow(from, to, y int, label, color string) {
-	c.s.Line(from, y, to, y, "stroke:"+color+";stroke-width:1.5")
-	d := -6
+// drawArrow draws a labelled horizontal arrow.
+func (d *sequenceDiagram) drawArrow(from, to, y int, label, color string) {
+	d.canvas.Line(from, y, to, y, "stroke:"+color+";stroke-width:1.5")
+	head := -6
 	if to < from {
-		d = 6
+		head = 6
 	}
-	c.s.Polygon([]int{to, to + d, to + d}, []int{y, y - 4, y + 4}, "fill:"+color)
-	c.s.Text(min(from, to)+8, y-5, label, chartSmall+";fill:"+color)
+	d.canvas.Polygon([]int{to, to + head, to + head}, []int{y, y - 4, y + 4}, "fill:"+color)
+	d.canvas.Text(min(from, to)+8, y-5, label, smallTextStyle+";fill:"+color)
 }
 
-// keptError keeps the first error: the drawing library tells none.
-type keptError struct {
+// errorKeepingWriter keeps the first error, because the drawing library returns none.
+type errorKeepingWriter struct {
 	w   io.Writer
 	err error
 }
 
-func (c *keptError) Write(b []byte) (int, error) {
-	if c.err != nil {
-		return 0, c.err
+func (ew *errorKeepingWriter) Write(b []byte) (int, error) {
+	if ew.err != nil {
+		return 0, ew.err
 	}
-	n, err := c.w.Write(b)
-	c.err = err
+	n, err := ew.w.Write(b)
+	ew.err = err
 	return n, err
 }
--- a/trace/tools_test.go
+++ b/trace/tools_test.go
@@ -283,13 +283,13 @@
 	}
 	tale := Join(stories, lives, clocks)
 	var names []string
-	for _, l := range tale.Lines {
-		names = append(names, stories[l.Story].Name())
+	for _, l := range tale.Entries {
+		names = append(names, stories[l.History].Name())
 	}
 	if got := strings.Join(names, " "); got != "s0-4 s0-4 s1-2 s1-2 s1-2" {
 		t.Errorf("the order is %s; clocks %v", got, clocks)
 	}
-	if raw := Join(stories, lives, nil); stories[raw.Lines[0].Story].Sentry != 1 {
+	if raw := Join(stories, lives, nil); stories[raw.Entries[0].History].Sentry != 1 {
 		t.Error("by raw time the second sentry should come first: the test shows nothing")
 	}
 	tale = Join(stories, lives, clocks)
