--- a/trace/compare.go
+++ b/trace/compare.go
@@ -14,47 +14,48 @@
 	"dunegrade/chart"
 )
 
-// Change is one figure in two summaries.
+// Change compares one figure in two summaries.
 type Change struct {
 	What          string
 	Before, After float64
-	Unsure        float64 // half the width of the interval that holds the difference, 19 times in 20
-	Differs       bool    // nothing is not within that interval
+	Unsure        float64 // half the width of the difference's 95% confidence interval
+	Differs       bool    // the confidence interval excludes zero
 }
 
-// of95 is how many standard deviations hold 19 in 20.
-var of95 = distuv.UnitNormal.Quantile(0.975)
+// z95 is the two-sided 95% quantile of the standard normal distribution.
+var z95 = distuv.UnitNormal.Quantile(0.975)
 
-// Compare tells what changed from one set of lives to another: shares of outcomes and times by product, and by build.
-// Txns count as independent, which they are not quite: trouble hits many at once, so look at what differs by much.
+// Compare compares two summaries: the proportions of outcomes and the durations, by product and by build. It treats txns
+// as independent, but a fault affects many at once, so small differences may be due to chance more often than stated.
 func Compare(before, after *Summary) []Change {
-	var out []Change
+	var changes []Change
 	share := func(what string, a, n, b, m int) {
 		if n == 0 || m == 0 {
 			return
 		}
 		p, q := float64(a)/float64(n), float64(b)/float64(m)
-		// Agresti and Caffo, "Simple and effective confidence intervals for proportions", 2000: one of each kind is added.
+		// Add one success and one failure to each sample, as in Agresti and Caffo, "Simple and effective confidence
+		// intervals for proportions and differences of proportions", 2000.
 		pa, qa := (float64(a)+1)/(float64(n)+2), (float64(b)+1)/(float64(m)+2)
-		half := of95 * math.Sqrt(pa*(1-pa)/(float64(n)+2)+qa*(1-qa)/(float64(m)+2))
-		out = append(out, Change{what, p, q, half, math.Abs(qa-pa) > half})
+		margin := z95 * math.Sqrt(pa*(1-pa)/(float64(n)+2)+qa*(1-qa)/(float64(m)+2))
+		changes = append(changes, Change{what, p, q, margin, math.Abs(qa-pa) > margin})
 	}
 	times := func(what string, a, b *hdrhistogram.Histogram) {
 		for _, q := range []float64{50, 99} {
-			x, dx, ok1 := quantile(a, q)
-			y, dy, ok2 := quantile(b, q)
+			x, dx, ok1 := quantileWithError(a, q)
+			y, dy, ok2 := quantileWithError(b, q)
 			if ok1 && ok2 {
-				half := math.Hypot(dx, dy)
-				out = append(out, Change{fmt.Sprintf("%s, p%.0f ms", what, q), x, y, half, math.Abs(y-x) > half})
+				margin := math.Hypot(dx, dy)
+				changes = append(changes, Change{fmt.Sprintf("%s, p%.0f ms", what, q), x, y, margin, math.Abs(y-x) > margin})
 			}
 		}
 	}
 	for _, p := range before.Products {
-		at := slices.IndexFunc(after.Products, func(q *ProductSum) bool { return q.Name == p.Name })
-		if at < 0 {
+		index := slices.IndexFunc(after.Products, func(q *ProductStats) bool { return q.Name == p.Name })
+		if index < 0 {
 			continue
 		}
-		q := after.Products[at]
+		q := after.Products[index]
 		share(p.Name+", settled", p.Settled, p.Taken, q.Settled, q.Taken)
 		share(p.Name+", declined", p.Declined, p.Taken, q.Declined, q.Taken)
 		share(p.Name+", voided", p.Voided, p.Taken, q.Voided, q.Taken)
@@ -62,37 +63,39 @@
 		times(p.Name, p.times, q.times)
 	}
 	for _, p := range before.Builds {
-		at := slices.IndexFunc(after.Builds, func(q *PartSum) bool { return q.Name == p.Name })
-		if at < 0 {
+		index := slices.IndexFunc(after.Builds, func(q *SubmissionStats) bool { return q.Name == p.Name })
+		if index < 0 {
 			continue
 		}
-		q := after.Builds[at]
+		q := after.Builds[index]
 		share("build "+p.Name+", submissions that failed", p.failed(), p.Submissions, q.failed(), q.Submissions)
 		times("build "+p.Name, p.times, q.times)
 	}
-	return out
+	return changes
 }
 
-func (p *PartSum) failed() int {
+// failed returns the number of submissions that ended in a failure.
+func (p *SubmissionStats) failed() int {
 	return p.Endings["error"] + p.Endings["connection broke"] + p.Endings["timed out"] + p.Endings["no connection"]
 }
 
-// quantile gives one in ms, and half its 95% interval by the order of the values (a binomial count is below it).
-func quantile(h *hdrhistogram.Histogram, q float64) (ms, half float64, ok bool) {
+// quantileWithError returns a quantile in ms and half the width of its 95% confidence interval. The interval is
+// distribution-free: the number of values below the quantile is binomial. It returns false if there are too few values.
+func quantileWithError(h *hdrhistogram.Histogram, q float64) (ms, margin float64, ok bool) {
 	n := float64(h.TotalCount())
 	p := q / 100
 	if n*p*(1-p) < 3 {
 		return 0, 0, false
 	}
-	d := of95 * math.Sqrt(p*(1-p)/n) * 100
-	low, high := h.ValueAtQuantile(max(0, q-d)), h.ValueAtQuantile(min(100, q+d))
-	return float64(h.ValueAtQuantile(q)) / 1000, float64(high-low) / 2000, true
+	d := z95 * math.Sqrt(p*(1-p)/n) * 100
+	lower, upper := h.ValueAtQuantile(max(0, q-d)), h.ValueAtQuantile(min(100, q+d))
+	return float64(h.ValueAtQuantile(q)) / 1000, float64(upper-lower) / 2000, true
 }
 
-// PrintChanges writes what changed, what differs first.
-func PrintChanges(w io.Writer, list []Change) {
-	list = slices.Clone(list)
-	slices.SortStableFunc(list, func(a, b Change) int {
+// PrintChanges writes the changes as a table, significant ones first.
+func PrintChanges(w io.Writer, changes []Change) {
+	changes = slices.Clone(changes)
+	slices.SortStableFunc(changes, func(a, b Change) int {
 		if a.Differs != b.Differs {
 			if a.Differs {
 				return -1
@@ -101,45 +104,45 @@
 		}
 		return 0
 	})
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "\tbefore\tafter\tdifference")
-	for _, c := range list {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "\tbefore\tafter\tdifference")
+	for _, change := range changes {
 		mark := ""
-		if c.Differs {
+		if change.Differs {
 			mark = "*"
 		}
-		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%+.4g ± %.2g %s\n", c.What, c.Before, c.After, c.After-c.Before, c.Unsure, mark)
+		fmt.Fprintf(table, "%s\t%.4g\t%.4g\t%+.4g ± %.2g %s\n", change.What, change.Before, change.After, change.After-change.Before, change.Unsure, mark)
 	}
-	t.Flush()
-	fmt.Fprintln(w, "*: chance alone would rarely do it (1 in 20, each line by itself)")
+	table.Flush()
+	fmt.Fprintln(w, "*: significant at the 5% level, for each line by itself")
 }
 
-// Page draws the summary as a page with charts.
+// Page returns an HTML page with charts of the summary.
 func (s *Summary) Page(title string) (string, error) {
 	if len(s.Series) == 0 {
 		return chart.Page(title, nil, "nothing was recorded"), nil
 	}
-	from := s.Series[0].At
-	of := func(name string, value func(*Bucket) (float64, bool)) chart.Series {
-		l := chart.Series{Name: name}
+	start := s.Series[0].At
+	series := func(name string, value func(*Bucket) (float64, bool)) chart.Series {
+		line := chart.Series{Name: name}
 		for i := range s.Series {
 			if v, ok := value(&s.Series[i]); ok {
-				l.X, l.Y = append(l.X, s.Series[i].At.Sub(from).Seconds()), append(l.Y, v)
+				line.X, line.Y = append(line.X, s.Series[i].At.Sub(start).Seconds()), append(line.Y, v)
 			}
 		}
-		return l
+		return line
 	}
 	count := func(name string, value func(*Bucket) int) chart.Series {
-		return of(name, func(b *Bucket) (float64, bool) { return float64(value(b)), true })
+		return series(name, func(b *Bucket) (float64, bool) { return float64(value(b)), true })
 	}
 	ratio := func(name string, a, n func(*Bucket) int) chart.Series {
-		return of(name, func(b *Bucket) (float64, bool) { return float64(a(b)) / float64(max(1, n(b))), n(b) > 0 })
+		return series(name, func(b *Bucket) (float64, bool) { return float64(a(b)) / float64(max(1, n(b))), n(b) > 0 })
 	}
-	axes := chart.Axes{X: "seconds since " + from.Format("2006-01-02 15:04:05Z")}
+	axes := chart.Axes{X: "seconds since " + start.Format("2006-01-02 15:04:05Z")}
 	trial, others := func(b *Bucket) int { return b.Trial }, func(b *Bucket) int { return b.Others }
 	tests := chart.Series{Name: "p at a verdict", Points: true}
 	for _, t := range s.Tests {
-		tests.X, tests.Y = append(tests.X, t.At.Sub(from).Seconds()), append(tests.Y, t.P)
+		tests.X, tests.Y = append(tests.X, t.At.Sub(start).Seconds()), append(tests.Y, t.P)
 	}
 	var charts []string
 	for _, c := range []struct {
@@ -149,21 +152,21 @@
 		{"txns a second", []chart.Series{count("settled", func(b *Bucket) int { return b.Settled }), count("declined", func(b *Bucket) int { return b.Declined }),
 			count("voided", func(b *Bucket) int { return b.Voided }), count("left", func(b *Bucket) int { return b.Left })}},
 		{"share of submissions at the build on trial, and the cap", []chart.Series{
-			of("share", func(b *Bucket) (float64, bool) {
+			series("share", func(b *Bucket) (float64, bool) {
 				return float64(b.Trial) / float64(max(1, b.Trial+b.Others)), b.Trial+b.Others > 0
 			}),
-			of("cap", func(b *Bucket) (float64, bool) { return b.Cap, true })}},
+			series("cap", func(b *Bucket) (float64, bool) { return b.Cap, true })}},
 		{"share of submissions that failed", []chart.Series{ratio("other builds", func(b *Bucket) int { return b.OthersBad }, others),
 			ratio("build on trial", func(b *Bucket) int { return b.TrialBad }, trial)}},
-		{"mean time of submissions, ms", []chart.Series{of("other builds", func(b *Bucket) (float64, bool) { return b.OthersTime, b.OthersTime > 0 }),
-			of("build on trial", func(b *Bucket) (float64, bool) { return b.TrialTime, b.TrialTime > 0 })}},
+		{"mean time of submissions, ms", []chart.Series{series("other builds", func(b *Bucket) (float64, bool) { return b.OthersTime, b.OthersTime > 0 }),
+			series("build on trial", func(b *Bucket) (float64, bool) { return b.TrialTime, b.TrialTime > 0 })}},
 		{"the test of the build on trial", []chart.Series{tests}},
 	} {
-		some := false
-		for _, l := range c.list {
-			some = some || len(l.X) > 0
+		hasData := false
+		for _, line := range c.list {
+			hasData = hasData || len(line.X) > 0
 		}
-		if !some {
+		if !hasData {
 			continue
 		}
 		svg, err := chart.LineChart(c.title, axes, c.list)
--- a/trace/rules.go
+++ b/trace/rules.go
@@ -14,80 +14,81 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Break is a rule that a trace shows broken.
-type Break struct {
+// RuleViolation is a violation of a rule that a trace shows.
+type RuleViolation struct {
 	Rule   int
 	Sentry uint32
-	Txn    string    // its name, "" where it is not about one
-	At     time.Time // by the first life's clock
+	Txn    string    // name of the txn, "" if the violation concerns none
+	At     time.Time // by the reference clock
 	Text   string
 }
 
-func (b Break) String() string {
+func (v RuleViolation) String() string {
 	txn := ""
-	if b.Txn != "" {
-		txn = "txn " + b.Txn + ": "
+	if v.Txn != "" {
+		txn = "txn " + v.Txn + ": "
 	}
-	return fmt.Sprintf("rule %d, %s: %s%s", b.Rule, b.At.UTC().Format(time.RFC3339Nano), txn, b.Text)
+	return fmt.Sprintf("rule %d, %s: %s%s", v.Rule, v.At.UTC().Format(time.RFC3339Nano), txn, v.Text)
 }
 
-// RulesPlan says what the rules are held against.
+// RulesOptions configures a check of the rules.
 type RulesPlan struct {
-	Settings map[string]any // of the module; nil: those that each life was recorded with
-	Cores    float64        // of a worker of weight 1; 0: rule 4 is not checked, as no trace tells what a worker can do
+	Settings map[string]any // of the decision module; nil: those recorded with each run
+	Cores    float64        // of a worker of weight 1; 0: skip rule 4, because traces do not record a worker's capacity
 }
 
-// RulesReport is what holding the rules against some lives came to.
+// RulesReport is the result of a check of the rules.
 type RulesReport struct {
-	Txns, Submissions, Trials int
-	Broken                    []Break
-	Not                       []string // what could not be checked, and why
-	Clocks                    []Clock
+	Txns, Submissions int
+	Trials            int // submissions to a build on trial
+	Broken            []RuleViolation
+	Not               []string // checks that were not possible, and why
+	Clocks            []Clock
 }
 
-// CheckRules holds the five rules against the recorded lives, each sentry's by its own clock, and rule 4, which is about
-// all of them together, in the merged order. It trusts the order of a life's records and what they say, and shares no
-// code with the module. What it is held against are sockets: the lab's checker.
-func CheckRules(lives []*Life, plan RulesPlan, hurt func(path string, d Damage)) (*RulesReport, error) {
-	out := &RulesReport{}
-	var sentries []*ruled
-	for _, l := range lives {
-		s, err := newRuled(l, plan, out)
+// CheckRules checks recorded runs against the five rules: each run by its own clock, and for rule 4, which concerns all
+// sentries together, in the merged order. It trusts the content and the order of a run's records, and shares no code with
+// the decision module. The lab's checker verifies the same rules independently of traces, at the sockets.
+func CheckRules(runs []*Life, options RulesPlan, onDamage func(path string, d Damage)) (*RulesReport, error) {
+	report := &RulesReport{}
+	var checkers []*sentryChecker
+	for _, l := range runs {
+		checker, err := newSentryChecker(l, options, report)
 		if err != nil {
 			return nil, err
 		}
-		sentries = append(sentries, s)
+		checkers = append(checkers, checker)
 	}
-	cold := &coldRule{plan: plan, out: out, workers: map[string]*coldWorker{}}
-	if plan.Cores <= 0 {
-		out.Not = append(out.Not, "rule 4: what a worker can do is in no trace; tell how many cores one has")
+	cold := &coldStartChecker{options: options, report: report, workers: map[string]*coldWorker{}}
+	if options.Cores <= 0 {
+		report.Not = append(report.Not, "rule 4: traces do not record a worker's capacity; give the number of cores")
 	}
-	m, err := mergeRecords(lives, hurt, func(life int, at int64, r *Record, worker string) error {
-		s := sentries[life]
-		s.at = at
-		if plan.Cores > 0 {
-			cold.record(s, at, r, worker)
+	merged, err := mergeRecords(runs, onDamage, func(run int, at int64, r *Record, worker string) error {
+		checker := checkers[run]
+		checker.at = at
+		if options.Cores > 0 {
+			cold.checkRecord(checker, at, r, worker)
 		}
-		s.record(r, worker)
+		checker.checkRecord(r, worker)
 		return nil
 	})
 	if err != nil {
 		return nil, err
 	}
-	for _, s := range sentries {
-		s.finish()
+	for _, checker := range checkers {
+		checker.finish()
 	}
-	out.Clocks = m.Clocks
-	slices.SortStableFunc(out.Broken, func(a, b Break) int {
+	report.Clocks = merged.Clocks
+	slices.SortStableFunc(report.Broken, func(a, b RuleViolation) int {
 		if a.Rule != b.Rule {
 			return a.Rule - b.Rule
 		}
 		return a.At.Compare(b.At)
 	})
-	return out, nil
+	return report, nil
 }
 
-// Print writes the report for people.
+// Print writes the report in human-readable form.
 func (r *RulesReport) Print(w io.Writer) {
 	fmt.Fprintf(w, "%d txns, %d submissions, %d of them at a build on trial\n", r.Txns, r.Submissions, r.Trials)
 	for _, n := range r.Not {
@@ -105,427 +106,446 @@
 	}
 }
 
-// ruledSub is a submission as the rules see it.
-type ruledSub struct {
-	worker string
-	at     int64
-	out    bool
-	unseen bool // by its worker
+// checkedSubmission is the state of a submission.
+type checkedSubmission struct {
+	worker  string
+	at      int64 // the sentry's clock, nanoseconds
+	pending bool  // without an outcome
+	unseen  bool  // it never reached its worker
 }
 
-type ruledTxn struct {
-	serial  uint64
-	product int
-	key     uint64
-	cost    int64
-	taken   int64
-	expiry  int64
-	subs    []ruledSub
-	over    int64 // when it ended; 0: it has not
-	answers int
-	streams bool
+// checkedTxn is the state of an open txn. Times are by the sentry's clock, in nanoseconds.
+type checkedTxn struct {
+	serial      uint64
+	product     int
+	key         uint64
+	cost        int64
+	taken       int64
+	expiry      int64
+	submissions []checkedSubmission
+	endedAt     int64 // 0: not ended
+	answers     int
+	streaming   bool
 }
 
-type ruledWorker struct {
-	build int64
-	zone  int64
-	cell  int64
-	up    bool
-	gone  int64 // since when it is not up, by this sentry
-	start int64 // by the sentry's clock; 0: long past
-	told  int64 // when this sentry was told of that start
+// checkedWorker is the state of a worker as the sentry knows it. Times are by the sentry's clock, in nanoseconds.
+type checkedWorker struct {
+	build        int64
+	zone         int64
+	cell         int64
+	up           bool
+	downSince    int64 // when the sentry learned that the worker is not up
+	start        int64 // 0: long past
+	startKnownAt int64 // when the sentry learned of the start
 }
 
-type ruledProduct struct {
+// checkedProduct holds a product's settings.
+type checkedProduct struct {
 	effect, group string
-	memory        int64
+	memory        int64 // nanoseconds
 }
 
-// ruled holds the rules that a sentry keeps alone.
-type ruled struct {
-	life     *Life
-	out      *RulesReport
-	set      map[string]any
-	products []ruledProduct
-	open     map[uint64]*ruledTxn
-	workers  map[string]*ruledWorker
-	news     tracepb.News
-	heard    bool
-	wasCap   float64 // the cap before the present one, and when that came
-	capAt    int64
-	lanes    map[int]*lane
-	met      map[uint64]int64 // by key: the build that answered it, while it was on trial
-	at       int64            // merged time of the present record
-	last     int64
-	ended    bool
-	partial  bool
-	used     int     // by the last submission at a build on trial: how many were in its window
-	allowed  float64 // and how many may be
+// sentryChecker checks the rules that concern a single sentry.
+type sentryChecker struct {
+	run           *Life
+	report        *RulesReport
+	settings      map[string]any
+	products      []checkedProduct
+	open          map[uint64]*checkedTxn
+	workers       map[string]*checkedWorker
+	release       tracepb.News
+	releaseKnown  bool
+	previousCap   float64
+	capChangedAt  int64                   // the sentry's clock, nanoseconds
+	windows       map[int]*exposureWindow // by product, or -1 for all
+	answeredBy    map[uint64]int64        // by key: the build on trial or released that answered it
+	at            int64                   // time of the current record by the reference clock
+	lastAt        int64                   // time of the current record by the sentry's clock
+	ended         bool                    // the run's end is recorded
+	partial       bool                    // txns are missing, so exposure cannot be checked
+	windowTrials  int                     // submissions in the window of the latest submission to a build on trial
+	windowAllowed float64                 // submissions allowed in that window
 }
 
-// lane counts exposure: of all, or of a product.
-type lane struct {
-	takes  []taking
-	trials map[int64][]int64
+// exposureWindow holds what counts for the exposure of one product or of all.
+type exposureWindow struct {
+	takes  []takenTxn
+	trials map[int64][]int64 // times of submissions by build on trial
 }
 
-type taking struct {
-	at  int64
-	cap float64 // of the trial then
-	of  int64   // that build
+// takenTxn is a txn in an exposure window.
+type takenTxn struct {
+	at    int64
+	cap   float64 // in force when the txn was taken
+	build int64   // to which the cap applied
 }
 
-func newRuled(l *Life, plan RulesPlan, out *RulesReport) (*ruled, error) {
-	s := &ruled{life: l, out: out, set: plan.Settings, open: map[uint64]*ruledTxn{}, workers: map[string]*ruledWorker{}, lanes: map[int]*lane{},
-		met: map[uint64]int64{}}
-	if s.set == nil {
-		s.set = map[string]any{}
-		if err := json.Unmarshal(l.Headers[0].Settings, &s.set); err != nil {
+func newSentryChecker(l *Life, options RulesPlan, report *RulesReport) (*sentryChecker, error) {
+	s := &sentryChecker{run: l, report: report, settings: options.Settings, open: map[uint64]*checkedTxn{}, workers: map[string]*checkedWorker{}, windows: map[int]*exposureWindow{},
+		answeredBy: map[uint64]int64{}}
+	if s.settings == nil {
+		s.settings = map[string]any{}
+		if err := json.Unmarshal(l.Headers[0].Settings, &s.settings); err != nil {
 			return nil, fmt.Errorf("trace: the header's settings: %w", err)
 		}
 	}
-	for i := 0; i < int(s.num("products.count")); i++ {
-		at := "products." + strconv.Itoa(i) + "."
-		s.products = append(s.products, ruledProduct{s.word(at + "effect"), s.word(at + "group"), int64(s.num(at + "memory"))})
+	for i := 0; i < int(s.number("products.count")); i++ {
+		prefix := "products." + strconv.Itoa(i) + "."
+		s.products = append(s.products, checkedProduct{s.text(prefix + "effect"), s.text(prefix + "group"), int64(s.number(prefix + "memory"))})
 	}
 	if level := l.Level(); level != LevelWhole {
 		s.partial = true
-		out.Not = append(out.Not, fmt.Sprintf("rule 5 of sentry %d: not all of its txns are in the file", l.Sentry))
+		report.Not = append(report.Not, fmt.Sprintf("rule 5 of sentry %d: not all of its txns are in the file", l.Sentry))
 	}
 	return s, nil
 }
 
-func (s *ruled) num(name string) float64 { v, _ := s.set[name].(float64); return v }
-func (s *ruled) word(name string) string { v, _ := s.set[name].(string); return v }
-func (s *ruled) flag(name string) bool   { v, _ := s.set[name].(bool); return v }
+func (s *sentryChecker) number(name string) float64 { v, _ := s.settings[name].(float64); return v }
+func (s *sentryChecker) text(name string) string    { v, _ := s.settings[name].(string); return v }
+func (s *sentryChecker) flag(name string) bool      { v, _ := s.settings[name].(bool); return v }
 
-func (s *ruled) broke(rule int, t *ruledTxn, format string, args ...any) {
-	b := Break{Rule: rule, Sentry: s.life.Sentry, At: time.Unix(0, s.at), Text: fmt.Sprintf(format, args...)}
-	if t != nil {
-		b.Txn = fmt.Sprintf("s%d-%d", s.life.Sentry, t.serial)
+// addViolation reports a violation. The txn may be nil.
+func (s *sentryChecker) addViolation(rule int, txn *checkedTxn, format string, args ...any) {
+	v := RuleViolation{Rule: rule, Sentry: s.run.Sentry, At: time.Unix(0, s.at), Text: fmt.Sprintf(format, args...)}
+	if txn != nil {
+		v.Txn = fmt.Sprintf("s%d-%d", s.run.Sentry, txn.serial)
 	}
-	s.out.Broken = append(s.out.Broken, b)
+	s.report.Broken = append(s.report.Broken, v)
 }
 
-// record takes one record of the life.
-func (s *ruled) record(r *Record, worker string) {
-	s.last = r.At
+// checkRecord updates the state by one record of the run, and checks it.
+func (s *sentryChecker) checkRecord(r *Record, worker string) {
+	s.lastAt = r.At
 	switch r.Kind {
 	case tracepb.Kind_GAP:
-		// What was in hand may have gone on unseen.
+		// Open txns may have gone on without a record.
 		clear(s.open)
-		s.out.Not = append(s.out.Not, fmt.Sprintf("sentry %d: %d txns were not recorded, and what was in hand then is left out", s.life.Sentry, r.Token))
+		s.report.Not = append(s.report.Not, fmt.Sprintf("sentry %d: %d txns were not recorded; those open at the time are not checked", s.run.Sentry, r.Token))
 		s.partial = true
 	case tracepb.Kind_END:
 		s.ended = true
 	case tracepb.Kind_LIST:
-		s.list(r)
+		s.updateWorkers(r)
 	case tracepb.Kind_NEWS:
-		s.hear(r)
+		s.updateRelease(r)
 	case tracepb.Kind_TAKE:
-		s.take(r)
+		s.addTxn(r)
 	}
-	t := s.open[r.Txn]
-	if t == nil || r.Txn == 0 {
+	txn := s.open[r.Txn]
+	if txn == nil || r.Txn == 0 {
 		return
 	}
 	switch r.Kind {
 	case tracepb.Kind_SUBMIT:
-		s.submit(t, r, worker)
+		s.checkSubmission(txn, r, worker)
 	case tracepb.Kind_OUTCOME:
-		s.outcome(t, r)
+		s.checkOutcome(txn, r)
 	case tracepb.Kind_STREAMING:
-		t.streams = true
-		s.answer(t, r.At)
+		txn.streaming = true
+		s.checkAnswer(txn, r.At)
 	case tracepb.Kind_DECLINE:
-		if p := s.product(t); p.effect == "once-only" && slices.ContainsFunc(t.subs, func(b ruledSub) bool { return !b.unseen }) {
-			s.broke(2, t, "declined, though a once-only submission of it may have run")
+		if p := s.product(txn); p.effect == "once-only" && slices.ContainsFunc(txn.submissions, func(b checkedSubmission) bool { return !b.unseen }) {
+			s.addViolation(2, txn, "declined, though a once-only submission of it may have run")
 		}
-		s.answer(t, r.At)
+		s.checkAnswer(txn, r.At)
 	case tracepb.Kind_VOID:
-		s.answer(t, r.At)
+		s.checkAnswer(txn, r.At)
 	case tracepb.Kind_LEFT:
-		if t.over == 0 {
-			t.over = r.At
+		if txn.endedAt == 0 {
+			txn.endedAt = r.At
 		}
 	}
-	if t.over != 0 && !slices.ContainsFunc(t.subs, func(b ruledSub) bool { return b.out }) {
+	if txn.endedAt != 0 && !slices.ContainsFunc(txn.submissions, func(b checkedSubmission) bool { return b.pending }) {
 		delete(s.open, r.Txn)
 	}
 }
 
-func (s *ruled) product(t *ruledTxn) ruledProduct {
-	if t.product < len(s.products) {
-		return s.products[t.product]
+// product returns a txn's product. An unknown product counts as once-only, the strictest effect.
+func (s *sentryChecker) product(txn *checkedTxn) checkedProduct {
+	if txn.product < len(s.products) {
+		return s.products[txn.product]
 	}
-	return ruledProduct{effect: "once-only"}
+	return checkedProduct{effect: "once-only"}
 }
 
-func (s *ruled) list(r *Record) {
-	var l tracepb.List
-	if proto.Unmarshal(r.Body, &l) != nil || logic.ListMode(r.Number) == logic.ListUnavailable {
+// updateWorkers applies a worker list, whole or of changes.
+func (s *sentryChecker) updateWorkers(r *Record) {
+	var list tracepb.List
+	if proto.Unmarshal(r.Body, &list) != nil || logic.ListMode(r.Number) == logic.ListUnavailable {
 		return
 	}
-	named := map[string]bool{}
-	for _, w := range l.Workers {
-		named[w.Id] = true
-		x := s.workers[w.Id]
-		if x == nil {
-			x = &ruledWorker{up: true}
-			s.workers[w.Id] = x
+	listed := map[string]bool{}
+	for _, w := range list.Workers {
+		listed[w.Id] = true
+		worker := s.workers[w.Id]
+		if worker == nil {
+			worker = &checkedWorker{up: true}
+			s.workers[w.Id] = worker
 		}
-		if w.Start != x.start {
-			x.told = r.At
+		if w.Start != worker.start {
+			worker.startKnownAt = r.At
 		}
-		x.build, x.zone, x.cell, x.start = w.Build, w.Zone, w.Cell, w.Start
-		s.state(x, logic.State(w.State) == logic.Up, r.At)
+		worker.build, worker.zone, worker.cell, worker.start = w.Build, w.Zone, w.Cell, w.Start
+		s.setState(worker, logic.State(w.State) == logic.Up, r.At)
 	}
 	if mode := logic.ListMode(r.Number); mode == logic.Whole || mode == logic.Restored {
-		for id, x := range s.workers {
-			if !named[id] {
-				s.state(x, false, r.At)
+		for id, worker := range s.workers {
+			if !listed[id] {
+				s.setState(worker, false, r.At)
 			}
 		}
 	}
 }
 
-func (s *ruled) state(x *ruledWorker, up bool, at int64) {
-	if x.up && !up {
-		x.gone = at
+func (s *sentryChecker) setState(worker *checkedWorker, up bool, at int64) {
+	if worker.up && !up {
+		worker.downSince = at
 	}
-	x.up = up
+	worker.up = up
 }
 
-func (s *ruled) hear(r *Record) {
-	var n tracepb.News
-	if proto.Unmarshal(r.Body, &n) != nil || logic.Ending(n.Ending) != logic.OK {
+// updateRelease applies a release update.
+func (s *sentryChecker) updateRelease(r *Record) {
+	var update tracepb.News
+	if proto.Unmarshal(r.Body, &update) != nil || logic.Ending(update.Ending) != logic.OK {
 		return
 	}
-	if n.Build != s.news.Build || n.Phase == int64(logic.GoingBack) || n.Phase == int64(logic.Withdrawn) {
-		clear(s.met)
+	if update.Build != s.release.Build || update.Phase == int64(logic.GoingBack) || update.Phase == int64(logic.Withdrawn) {
+		clear(s.answeredBy)
 	}
-	s.wasCap, s.capAt = s.news.Cap, r.At
-	s.news = tracepb.News{Build: n.Build, Stage: n.Stage, Phase: n.Phase, Cap: n.Cap}
-	s.heard = true
+	s.previousCap, s.capChangedAt = s.release.Cap, r.At
+	s.release = tracepb.News{Build: update.Build, Stage: update.Stage, Phase: update.Phase, Cap: update.Cap}
+	s.releaseKnown = true
 }
 
-func (s *ruled) take(r *Record) {
-	s.out.Txns++
-	s.open[r.Txn] = &ruledTxn{serial: r.Serial, product: int(r.Product), key: r.Key, cost: int64(r.Cost), taken: r.At, expiry: r.At + int64(r.Patience)}
-	l := s.lane(int(r.Product))
-	cap := s.news.Cap
-	if s.news.Phase == int64(logic.Released) {
-		cap = 0
+func (s *sentryChecker) addTxn(r *Record) {
+	s.report.Txns++
+	s.open[r.Txn] = &checkedTxn{serial: r.Serial, product: int(r.Product), key: r.Key, cost: int64(r.Cost), taken: r.At, expiry: r.At + int64(r.Patience)}
+	window := s.window(int(r.Product))
+	exposureCap := s.release.Cap
+	if s.release.Phase == int64(logic.Released) {
+		exposureCap = 0
 	}
-	l.takes = append(l.takes, taking{r.At, cap, s.news.Build})
+	window.takes = append(window.takes, takenTxn{r.At, exposureCap, s.release.Build})
 }
 
-func (s *ruled) lane(product int) *lane {
-	if s.word("release.counts") != "product" {
+// window returns the exposure window of a product, or the common one if the settings count all products together.
+func (s *sentryChecker) window(product int) *exposureWindow {
+	if s.text("release.counts") != "product" {
 		product = -1
 	}
-	if s.lanes[product] == nil {
-		s.lanes[product] = &lane{trials: map[int64][]int64{}}
+	if s.windows[product] == nil {
+		s.windows[product] = &exposureWindow{trials: map[int64][]int64{}}
 	}
-	return s.lanes[product]
+	return s.windows[product]
 }
 
-func (s *ruled) answer(t *ruledTxn, at int64) {
-	t.answers++
-	if t.answers > 1 {
-		s.broke(1, t, "answered %d times", t.answers)
+// checkAnswer checks that a txn is answered once and in time (rule 1).
+func (s *sentryChecker) checkAnswer(txn *checkedTxn, at int64) {
+	txn.answers++
+	if txn.answers > 1 {
+		s.addViolation(1, txn, "answered %d times", txn.answers)
 	}
-	if late := at - t.expiry - int64(s.num("rules.answer-slack")); late > 0 {
-		s.broke(1, t, "answered %v after its expiry", time.Duration(late))
+	if late := at - txn.expiry - int64(s.number("rules.answer-slack")); late > 0 {
+		s.addViolation(1, txn, "answered %v after its expiry", time.Duration(late))
 	}
-	if t.over == 0 {
-		t.over = at
+	if txn.endedAt == 0 {
+		txn.endedAt = at
 	}
 }
 
-func (s *ruled) outcome(t *ruledTxn, r *Record) {
-	if int(r.Number) >= len(t.subs) {
+func (s *sentryChecker) checkOutcome(txn *checkedTxn, r *Record) {
+	if int(r.Number) >= len(txn.submissions) {
 		return
 	}
-	b := &t.subs[r.Number]
-	b.out = false
-	e := logic.Ending(r.Ending)
-	b.unseen = e == logic.Rejected || e == logic.Skipped || e == logic.ConnectFailed
-	if r.Token == 0 || t.streams {
+	submission := &txn.submissions[r.Number]
+	submission.pending = false
+	ending := logic.Ending(r.Ending)
+	submission.unseen = ending == logic.Rejected || ending == logic.Skipped || ending == logic.ConnectFailed
+	if r.Token == 0 || txn.streaming {
 		return
 	}
-	s.answer(t, r.At)
-	if w := s.workers[b.worker]; e == logic.OK && r.Token < 300 && w != nil && t.key != 0 && w.build == s.news.Build && s.flag("release.one-way") &&
-		(s.news.Phase == int64(logic.OnTrial) || s.news.Phase == int64(logic.Released)) {
-		s.met[t.key] = w.build
+	s.checkAnswer(txn, r.At)
+	if worker := s.workers[submission.worker]; ending == logic.OK && r.Token < 300 && worker != nil && txn.key != 0 && worker.build == s.release.Build && s.flag("release.one-way") &&
+		(s.release.Phase == int64(logic.OnTrial) || s.release.Phase == int64(logic.Released)) {
+		s.answeredBy[txn.key] = worker.build
 	}
 }
 
-// submit holds all rules on what may be sent.
-func (s *ruled) submit(t *ruledTxn, r *Record, worker string) {
-	s.out.Submissions++
-	if t.over != 0 && r.At >= t.over && t.answers > 0 {
-		s.broke(1, t, "sent to %s after its end", worker)
+// checkSubmission checks a submission against rules 1, 2, 3 and 5.
+func (s *sentryChecker) checkSubmission(txn *checkedTxn, r *Record, worker string) {
+	s.report.Submissions++
+	if txn.endedAt != 0 && r.At >= txn.endedAt && txn.answers > 0 {
+		s.addViolation(1, txn, "sent to %s after its end", worker)
 	}
 	w := s.workers[worker]
 	if w == nil {
-		s.broke(3, t, "sent to %s, which no list had named", worker)
-		w = &ruledWorker{up: true}
+		s.addViolation(3, txn, "sent to %s, which was in no worker list", worker)
+		w = &checkedWorker{up: true}
 		s.workers[worker] = w
 	}
-	if gone := r.At - w.gone; !w.up && gone > int64(s.num("rules.drain-grace")) {
-		s.broke(3, t, "sent to %s %v after the sentry was told that it goes", worker, time.Duration(gone))
+	if downFor := r.At - w.downSince; !w.up && downFor > int64(s.number("rules.drain-grace")) {
+		s.addViolation(3, txn, "sent to %s %v after the sentry learned that it is not up", worker, time.Duration(downFor))
 	}
-	p := s.product(t)
-	for _, b := range t.subs {
-		if b.unseen || p.effect == "inquiry-like" {
+	product := s.product(txn)
+	for _, previous := range txn.submissions {
+		if previous.unseen || product.effect == "inquiry-like" {
 			continue
 		}
-		if p.effect == "once-only" {
-			s.broke(2, t, "once-only, sent to %s though its submission to %s may have run", worker, b.worker)
+		if product.effect == "once-only" {
+			s.addViolation(2, txn, "once-only, sent to %s though its submission to %s may have run", worker, previous.worker)
 			break
 		}
-		if r.At-b.at > p.memory {
-			s.broke(2, t, "referenced, sent again %v after a submission; workers remember %v", time.Duration(r.At-b.at), time.Duration(p.memory))
+		if r.At-previous.at > product.memory {
+			s.addViolation(2, txn, "referenced, sent again %v after a submission; workers remember %v", time.Duration(r.At-previous.at), time.Duration(product.memory))
 			break
 		}
-		if o := s.workers[b.worker]; o != nil && (p.group == "zone" && o.zone != w.zone || p.group == "cell" && o.cell != w.cell) {
-			s.broke(2, t, "referenced, sent to %s, which does not know what %s has done", worker, b.worker)
+		if other := s.workers[previous.worker]; other != nil && (product.group == "zone" && other.zone != w.zone || product.group == "cell" && other.cell != w.cell) {
+			s.addViolation(2, txn, "referenced, sent to %s, which does not share the memory of %s", worker, previous.worker)
 			break
 		}
 	}
-	t.subs = append(t.subs, ruledSub{worker: worker, at: r.At, out: true})
-	if s.heard {
-		s.exposure(t, r, w.build)
+	txn.submissions = append(txn.submissions, checkedSubmission{worker: worker, at: r.At, pending: true})
+	if s.releaseKnown {
+		s.checkExposure(txn, r, w.build)
 	}
-	if m, met := s.met[t.key]; met && t.key != 0 && w.build < m {
-		s.broke(5, t, "its key was answered by build %d, and it went to %s of build %d", m, worker, w.build)
+	if build, answered := s.answeredBy[txn.key]; answered && txn.key != 0 && w.build < build {
+		s.addViolation(5, txn, "its key was answered by build %d, and it went to %s of build %d", build, worker, w.build)
 	}
 }
 
-// exposure is rule 5 at a submission.
-func (s *ruled) exposure(t *ruledTxn, r *Record, build int64) {
-	if build < s.news.Build || build == s.news.Build && s.news.Phase == int64(logic.Released) {
+// checkExposure checks a submission to a build on trial against the cap and the guarded stages (rule 5).
+func (s *sentryChecker) checkExposure(txn *checkedTxn, r *Record, build int64) {
+	if build < s.release.Build || build == s.release.Build && s.release.Phase == int64(logic.Released) {
 		return
 	}
-	s.out.Trials++
-	// Rises of the cap count at once, falls when the grace is over.
-	cap, stage := s.news.Cap, s.news.Stage
-	if build > s.news.Build {
-		cap, stage = s.num("release.caps.0"), 0
+	s.report.Trials++
+	// A rise of the cap applies at once, a fall only after the drain grace.
+	exposureCap, stage := s.release.Cap, s.release.Stage
+	if build > s.release.Build {
+		exposureCap, stage = s.number("release.caps.0"), 0
 	}
-	if s.capAt > r.At-int64(s.num("rules.drain-grace")) {
-		cap = max(cap, s.wasCap)
+	if s.capChangedAt > r.At-int64(s.number("rules.drain-grace")) {
+		exposureCap = max(exposureCap, s.previousCap)
 	}
-	if cap <= 0 {
-		s.broke(5, t, "sent to build %d, on trial at a cap of 0", build)
+	if exposureCap <= 0 {
+		s.addViolation(5, txn, "sent to build %d, on trial at a cap of 0", build)
 		return
 	}
-	if p := s.product(t); float64(stage) < s.num("release.guarded-stages") && p.effect != "inquiry-like" {
-		s.broke(5, t, "a txn with an effect, sent to build %d in stage %d, which is guarded", build, stage)
+	if p := s.product(txn); float64(stage) < s.number("release.guarded-stages") && p.effect != "inquiry-like" {
+		s.addViolation(5, txn, "a txn with an effect, sent to build %d in stage %d, which is guarded", build, stage)
 	}
 	if s.partial {
 		return
 	}
-	l := s.lane(t.product)
-	from := r.At - int64(s.num("release.window"))
-	list := append(l.trials[build], r.At)
-	for len(list) > 0 && list[0] <= from {
-		list = list[1:]
+	window := s.window(txn.product)
+	start := r.At - int64(s.number("release.window"))
+	trials := append(window.trials[build], r.At)
+	for len(trials) > 0 && trials[0] <= start {
+		trials = trials[1:]
 	}
-	l.trials[build] = list
-	for len(l.takes) > 0 && l.takes[0].at <= from {
-		l.takes = l.takes[1:]
+	window.trials[build] = trials
+	for len(window.takes) > 0 && window.takes[0].at <= start {
+		window.takes = window.takes[1:]
 	}
-	allowed := s.num("release.free")
-	for _, x := range l.takes {
-		if x.of == build {
-			allowed += max(cap, x.cap)
+	allowed := s.number("release.free")
+	for _, taken := range window.takes {
+		if taken.build == build {
+			allowed += max(exposureCap, taken.cap)
 		} else {
-			allowed += cap
+			allowed += exposureCap
 		}
 	}
-	s.used, s.allowed = len(list), allowed
-	if n := float64(len(list)); n > allowed+1e-9 {
-		s.broke(5, t, "submission %g to build %d within %v; allowed are %.2f = %g free and a cap of %g on %d txns", n, build,
-			time.Duration(s.num("release.window")), allowed, s.num("release.free"), cap, len(l.takes))
+	s.windowTrials, s.windowAllowed = len(trials), allowed
+	if n := float64(len(trials)); n > allowed+1e-9 {
+		s.addViolation(5, txn, "submission %g to build %d within %v; allowed are %.2f = %g free and a cap of %g on %d txns", n, build,
+			time.Duration(s.number("release.window")), allowed, s.number("release.free"), exposureCap, len(window.takes))
 	}
 }
 
-// finish looks at what is left over.
-func (s *ruled) finish() {
-	slack := int64(s.num("rules.answer-slack")) + int64(100*time.Millisecond)
-	for _, t := range s.open {
-		if t.over == 0 && (s.ended || s.last > t.expiry+slack) {
-			s.broke(1, t, "no end of it was recorded")
+// endRecordSlack is added to the expiry and the answer slack before a missing end counts as a violation.
+const endRecordSlack = 100 * time.Millisecond
+
+// finish checks the txns that are still open at the end of the run (rule 1).
+func (s *sentryChecker) finish() {
+	slack := int64(s.number("rules.answer-slack")) + int64(endRecordSlack)
+	for _, txn := range s.open {
+		if txn.endedAt == 0 && (s.ended || s.lastAt > txn.expiry+slack) {
+			s.addViolation(1, txn, "no end was recorded")
 		}
 	}
 }
 
-// coldRule is rule 4: what all sentries together send to a worker that has just started.
-type coldRule struct {
-	plan    RulesPlan
-	out     *RulesReport
+// fallWindow is the time after an overload within which a lost connection counts as its effect.
+const fallWindow = 500 * time.Millisecond
+
+// coldStartChecker checks what all sentries together send to a worker that has just started (rule 4).
+type coldStartChecker struct {
+	options RulesPlan
+	report  *RulesReport
 	workers map[string]*coldWorker
 }
 
+// coldWorker is a worker that has just started. Times are by the reference clock, in nanoseconds.
 type coldWorker struct {
-	start  int64 // merged time
-	sent   []coldSent
-	over   int64 // when it was sent too much; 0: it was not
-	told   bool  // two thirds of it by sentries that knew of the start
-	reason string
-	broken bool
+	start        int64
+	recent       []sentWork // within the last rules.fall-after
+	overloadedAt int64      // 0: never
+	startKnown   bool       // two thirds of the work came from sentries that knew of the start
+	reason       string     // text of the violation
+	reported     bool
 }
 
-type coldSent struct{ at, cost int64 }
+// sentWork is the estimated cost of a submission, in nanoseconds, and its time.
+type sentWork struct{ at, cost int64 }
 
-// record watches submissions at workers that are cold, and whether they then break.
-func (c *coldRule) record(s *ruled, at int64, r *Record, worker string) {
+// checkRecord sums up the work sent to cold workers, and reports a worker whose connections are lost after an overload.
+func (c *coldStartChecker) checkRecord(s *sentryChecker, at int64, r *Record, worker string) {
 	switch r.Kind {
 	case tracepb.Kind_SUBMIT:
-		t, w := s.open[r.Txn], s.workers[worker]
-		if t == nil || w == nil || w.start == 0 {
+		txn, known := s.open[r.Txn], s.workers[worker]
+		if txn == nil || known == nil || known.start == 0 {
 			return
 		}
-		cold := s.num("rules.cold")
-		age := float64(r.At - w.start)
-		if age < 0 || age >= cold {
+		coldTime := s.number("rules.cold")
+		age := float64(r.At - known.start)
+		if age < 0 || age >= coldTime {
 			return
 		}
-		x := c.workers[worker]
+		state := c.workers[worker]
 		start := at - int64(age)
-		if x == nil || start-x.start > int64(cold) {
-			x = &coldWorker{start: start}
-			c.workers[worker] = x
+		if state == nil || start-state.start > int64(coldTime) {
+			state = &coldWorker{start: start}
+			c.workers[worker] = state
 		}
-		x.sent = append(x.sent, coldSent{at, t.cost})
-		after := int64(s.num("rules.fall-after"))
-		for len(x.sent) > 0 && at-x.sent[0].at > after {
-			x.sent = x.sent[1:]
+		state.recent = append(state.recent, sentWork{at, txn.cost})
+		period := int64(s.number("rules.fall-after"))
+		for len(state.recent) > 0 && at-state.recent[0].at > period {
+			state.recent = state.recent[1:]
 		}
-		sum, most := int64(0), int64(0)
-		for _, y := range x.sent {
-			sum, most = sum+y.cost, max(most, y.cost)
+		sum, largest := int64(0), int64(0)
+		for _, sent := range state.recent {
+			sum, largest = sum+sent.cost, max(largest, sent.cost)
 		}
-		ramp := s.num("rules.cold-from") + (1-s.num("rules.cold-from"))*age/cold
-		can := c.plan.Cores * ramp * float64(after)
-		if x.over == 0 && float64(sum) > s.num("rules.fall-multiple")*can+2*float64(most) {
-			x.over = at
-			x.reason = fmt.Sprintf("worker %s, %v after its start, was sent work of %v within %v, and can do %v in it", worker,
-				time.Duration(age).Round(time.Millisecond), time.Duration(sum).Round(time.Millisecond), time.Duration(after),
-				time.Duration(can).Round(time.Millisecond))
+		ramp := s.number("rules.cold-from") + (1-s.number("rules.cold-from"))*age/coldTime
+		capacity := c.options.Cores * ramp * float64(period)
+		if state.overloadedAt == 0 && float64(sum) > s.number("rules.fall-multiple")*capacity+2*float64(largest) {
+			state.overloadedAt = at
+			state.reason = fmt.Sprintf("worker %s, %v after its start, was sent work of %v within %v, but its capacity in that time is %v", worker,
+				time.Duration(age).Round(time.Millisecond), time.Duration(sum).Round(time.Millisecond), time.Duration(period),
+				time.Duration(capacity).Round(time.Millisecond))
 		}
 	case tracepb.Kind_OUTCOME:
-		// Much work alone is no fall: costs are guesses. A worker that fell breaks what it holds.
-		t := s.open[r.Txn]
-		if t == nil || int(r.Number) >= len(t.subs) || logic.Ending(r.Ending) != logic.Disconnected {
+		// Costs are estimates, so too much work is no violation by itself. A worker that fails from overload loses its
+		// connections.
+		txn := s.open[r.Txn]
+		if txn == nil || int(r.Number) >= len(txn.submissions) || logic.Ending(r.Ending) != logic.Disconnected {
 			return
 		}
-		worker := t.subs[r.Number].worker
-		if x := c.workers[worker]; x != nil && x.over != 0 && !x.broken && at-x.over < int64(500*time.Millisecond) {
-			x.broken = true
-			c.out.Broken = append(c.out.Broken, Break{Rule: 4, Sentry: s.life.Sentry, At: time.Unix(0, x.over), Text: x.reason})
+		target := txn.submissions[r.Number].worker
+		if state := c.workers[target]; state != nil && state.overloadedAt != 0 && !state.reported && at-state.overloadedAt < int64(fallWindow) {
+			state.reported = true
+			c.report.Broken = append(c.report.Broken, RuleViolation{Rule: 4, Sentry: s.run.Sentry, At: time.Unix(0, state.overloadedAt), Text: state.reason})
 		}
 	}
 }
--- a/trace/summary.go
+++ b/trace/summary.go
@@ -16,330 +16,355 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Summary is what some lives come to.
+// Summary holds statistics over several runs.
 type Summary struct {
-	Lives    int
+	Lives    int // number of runs
 	Records  int
 	Missing  uint64 // txns that were not recorded
 	First    time.Time
 	Last     time.Time
-	Products []*ProductSum
-	Workers  []*PartSum
-	Builds   []*PartSum
+	Products []*ProductStats
+	Workers  []*SubmissionStats
+	Builds   []*SubmissionStats
 	Votes    map[string]int
-	LeftOut  uint64 `json:",omitempty"` // by sampling: txns that ended well, of all products together
+	LeftOut  uint64 `json:",omitempty"` // settled txns of all products that sampling left out
 	Series   []Bucket
-	Tests    []Test
+	Tests    []VerdictTest
 	Exposure []*Exposure
 }
 
-// Bucket is what happened within a second (or more, where that makes many).
+// Bucket holds the counts of one second.
 type Bucket struct {
-	At                                     time.Time
-	Taken, Settled, Declined, Voided, Left int
-	Trial, TrialBad, Others, OthersBad     int     // submissions that ended: at builds on trial, and elsewhere
-	TrialTime, OthersTime                  float64 // ms, mean of those that were fine
-	Cap                                    float64 // the largest that a sentry was told
+	At         time.Time
+	Taken      int
+	Settled    int
+	Declined   int
+	Voided     int
+	Left       int
+	Trial      int     // submissions that ended, at the build on trial
+	TrialBad   int     // of these, not OK
+	Others     int     // submissions that ended, at other builds
+	OthersBad  int     // of these, not OK
+	TrialTime  float64 // mean duration of OK submissions at the build on trial, ms
+	OthersTime float64 // mean duration of OK submissions at other builds, ms
+	Cap        float64 // largest cap in force at a sentry
 }
 
-// Test is what a sentry's test said when it came to a verdict.
-type Test struct {
-	At                             time.Time
-	Sentry                         uint32
-	Verdict                        string
-	Build                          int
-	Pairs, Against, For, P, Spread float64
+// VerdictTest is the result of a sentry's statistical test at the time of a verdict.
+type VerdictTest struct {
+	At      time.Time
+	Sentry  uint32
+	Verdict string
+	Build   int
+	Pairs   float64
+	Against float64
+	For     float64
+	P       float64 // p-value
+	Spread  float64
 }
 
-// Exposure is how much of a build on trial a sentry used, in the window where it used the largest part of what it may.
+// Exposure describes how much of its allowance for a build on trial a sentry used, in the window of highest use.
 type Exposure struct {
 	Sentry      uint32
 	Build       int64
-	Submissions int     // in all
-	Most        int     // in that window
-	Allowed     float64 // then
-	At          time.Time
+	Submissions int       // in the whole run
+	Most        int       // submissions in the window
+	Allowed     float64   // submissions allowed in the window
+	At          time.Time // end of the window
 }
 
-// ProductSum is how a product's txns went.
-type ProductSum struct {
-	Name                                  string
-	Taken                                 int
-	Settled, Declined, Voided, Left, Open int // Open: their end was not recorded
-	Submissions                           int
-	P50, P99                              float64 // ms from taken to settled
-	times                                 *hdrhistogram.Histogram
+// ProductStats holds statistics on a product's txns.
+type ProductStats struct {
+	Name        string
+	Taken       int
+	Settled     int
+	Declined    int
+	Voided      int
+	Left        int
+	Open        int // without a recorded end
+	Submissions int
+	P50, P99    float64 // ms from taken to settled
+	times       *hdrhistogram.Histogram
 }
 
-// PartSum is how the submissions at a worker, or at a build, ended.
-type PartSum struct {
+// SubmissionStats holds statistics on the submissions to a worker or a build.
+type SubmissionStats struct {
 	Name        string
 	Submissions int
 	Endings     map[string]int
-	P50, P99    float64 // ms, of those that were fine
+	P50, P99    float64 // ms, of OK submissions
 	times       *hdrhistogram.Histogram
 }
 
+// openTxn is a txn that has not ended or has submissions without an outcome.
 type openTxn struct {
-	taken   int64
-	product int
-	out     int
-	sent    [16]string // worker by submission
-	n       int
-	over    bool
+	taken       int64 // the sentry's clock, nanoseconds
+	product     int
+	pending     int        // submissions without an outcome
+	workers     [16]string // by submission
+	submissions int
+	ended       bool
 }
 
-// summing gathers a summary.
-type summing struct {
-	out     *Summary
-	workers map[string]*PartSum
-	builds  map[string]*PartSum
-	build   map[string]int64 // of a worker, by the list
-	open    map[uint64]*openTxn
-	names   []string
-	offset  int64
-	news    tracepb.News
-	buckets map[int64]*Bucket
-	ruled   *ruled // counts exposure as the rule does
-	spent   map[int64]*Exposure
-	sentry  uint32
+// summariser accumulates a summary, run by run.
+type summariser struct {
+	summary      *Summary
+	workers      map[string]*SubmissionStats
+	builds       map[string]*SubmissionStats
+	workerBuilds map[string]int64 // build by worker, from the worker list
+	open         map[uint64]*openTxn
+	products     []string
+	wallOffset   int64 // wall clock less the sentry's clock, nanoseconds
+	release      tracepb.News
+	buckets      map[int64]*Bucket   // by second since 1970
+	rules        *sentryChecker      // counts exposure as the rule check does
+	exposure     map[int64]*Exposure // by build
+	sentry       uint32
 }
 
+// maxDurationMicros is the largest duration that the histograms resolve, in µs. Longer ones count as one hour.
+const maxDurationMicros = 3_600_000_000
+
+// verdictTexts names a recorded verdict.
 var verdictTexts = map[uint32]string{0: "none", 1: "on", 2: "hold", 3: "back"}
 
-// Summarise reads some lives. Damage is passed over and named to hurt.
-func Summarise(lives []*Life, hurt func(path string, d Damage)) (*Summary, error) {
-	s := &summing{buckets: map[int64]*Bucket{}, out: &Summary{Lives: len(lives), Votes: map[string]int{}}, workers: map[string]*PartSum{}, builds: map[string]*PartSum{}}
-	byName := map[string]*ProductSum{}
-	for _, l := range lives {
-		s.build, s.open = map[string]int64{}, map[uint64]*openTxn{}
-		s.names = l.Headers[0].Products
-		for _, n := range s.names {
-			if byName[n] == nil {
-				byName[n] = &ProductSum{Name: n, times: hdrhistogram.New(1, 3_600_000_000, 3)}
-				s.out.Products = append(s.out.Products, byName[n])
+// Summarise computes statistics over the runs. It skips damaged parts and reports them to onDamage.
+func Summarise(runs []*Life, onDamage func(path string, d Damage)) (*Summary, error) {
+	s := &summariser{buckets: map[int64]*Bucket{}, summary: &Summary{Lives: len(runs), Votes: map[string]int{}}, workers: map[string]*SubmissionStats{}, builds: map[string]*SubmissionStats{}}
+	productStats := map[string]*ProductStats{}
+	for _, l := range runs {
+		s.workerBuilds, s.open = map[string]int64{}, map[uint64]*openTxn{}
+		s.products = l.Headers[0].Products
+		for _, n := range s.products {
+			if productStats[n] == nil {
+				productStats[n] = &ProductStats{Name: n, times: hdrhistogram.New(1, maxDurationMicros, 3)}
+				s.summary.Products = append(s.summary.Products, productStats[n])
 			}
 		}
-		s.offset = l.Headers[0].Wall - l.Headers[0].Start
-		s.news.Reset()
-		s.spent, s.sentry = map[int64]*Exposure{}, l.Sentry
+		s.wallOffset = l.Headers[0].Wall - l.Headers[0].Start
+		s.release.Reset()
+		s.exposure, s.sentry = map[int64]*Exposure{}, l.Sentry
 		var err error
-		if s.ruled, err = newRuled(l, RulesPlan{}, &RulesReport{}); err != nil {
+		if s.rules, err = newSentryChecker(l, RulesPlan{}, &RulesReport{}); err != nil {
 			return nil, err
 		}
 		err = l.Each(func(r *Record, names []string) bool {
 			if r.Kind == tracepb.Kind_BACK || r.Kind == tracepb.Kind_WORKER {
 				return true
 			}
-			when := time.Unix(0, r.At+s.offset).UTC()
-			if s.out.First.IsZero() || when.Before(s.out.First) {
-				s.out.First = when
+			at := time.Unix(0, r.At+s.wallOffset).UTC()
+			if s.summary.First.IsZero() || at.Before(s.summary.First) {
+				s.summary.First = at
 			}
-			if when.After(s.out.Last) {
-				s.out.Last = when
+			if at.After(s.summary.Last) {
+				s.summary.Last = at
 			}
-			s.out.Records++
-			s.add(r, names, byName)
+			s.summary.Records++
+			s.addRecord(r, names, productStats)
 			return true
-		}, hurt)
+		}, onDamage)
 		if err != nil {
 			return nil, err
 		}
-		for _, build := range slices.Sorted(maps.Keys(s.spent)) {
-			s.out.Exposure = append(s.out.Exposure, s.spent[build])
+		for _, build := range slices.Sorted(maps.Keys(s.exposure)) {
+			s.summary.Exposure = append(s.summary.Exposure, s.exposure[build])
 		}
-		for _, x := range s.open {
-			if !x.over {
-				byName[s.names[x.product]].Open++
+		for _, txn := range s.open {
+			if !txn.ended {
+				productStats[s.products[txn.product]].Open++
 			}
 		}
 	}
-	for _, p := range s.out.Products {
-		p.P50, p.P99 = quantiles(p.times)
+	for _, p := range s.summary.Products {
+		p.P50, p.P99 = medianAndP99(p.times)
 	}
-	s.out.Workers, s.out.Builds = sorted(s.workers), sorted(s.builds)
+	s.summary.Workers, s.summary.Builds = sortedStats(s.workers), sortedStats(s.builds)
 	for _, at := range slices.Sorted(maps.Keys(s.buckets)) {
 		b := s.buckets[at]
 		b.TrialTime /= float64(max(1, b.Trial-b.TrialBad))
 		b.OthersTime /= float64(max(1, b.Others-b.OthersBad))
-		s.out.Series = append(s.out.Series, *b)
+		s.summary.Series = append(s.summary.Series, *b)
 	}
-	sort.SliceStable(s.out.Tests, func(i, j int) bool { return s.out.Tests[i].At.Before(s.out.Tests[j].At) })
-	return s.out, nil
+	sort.SliceStable(s.summary.Tests, func(i, j int) bool { return s.summary.Tests[i].At.Before(s.summary.Tests[j].At) })
+	return s.summary, nil
 }
 
-func quantiles(h *hdrhistogram.Histogram) (p50, p99 float64) {
+// medianAndP99 returns quantiles in ms of a histogram in µs.
+func medianAndP99(h *hdrhistogram.Histogram) (p50, p99 float64) {
 	return float64(h.ValueAtQuantile(50)) / 1000, float64(h.ValueAtQuantile(99)) / 1000
 }
 
-func sorted(m map[string]*PartSum) []*PartSum {
-	var out []*PartSum
-	for _, p := range m {
-		p.P50, p.P99 = quantiles(p.times)
-		out = append(out, p)
+// sortedStats computes the quantiles and returns the statistics sorted by name.
+func sortedStats(byName map[string]*SubmissionStats) []*SubmissionStats {
+	var list []*SubmissionStats
+	for _, s := range byName {
+		s.P50, s.P99 = medianAndP99(s.times)
+		list = append(list, s)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
-	return out
+	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
+	return list
 }
 
-func part(m map[string]*PartSum, name string) *PartSum {
-	if m[name] == nil {
-		m[name] = &PartSum{Name: name, Endings: map[string]int{}, times: hdrhistogram.New(1, 3_600_000_000, 3)}
+// statsFor returns the statistics of a worker or build, which it creates if need be.
+func statsFor(byName map[string]*SubmissionStats, name string) *SubmissionStats {
+	if byName[name] == nil {
+		byName[name] = &SubmissionStats{Name: name, Endings: map[string]int{}, times: hdrhistogram.New(1, maxDurationMicros, 3)}
 	}
-	return m[name]
+	return byName[name]
 }
 
-func (s *summing) add(r *Record, names []string, byName map[string]*ProductSum) {
-	x := s.open[r.Txn]
-	b := s.bucket(r.At)
-	s.exposed(r, names)
+// addRecord counts one record.
+func (s *summariser) addRecord(r *Record, names []string, productStats map[string]*ProductStats) {
+	txn := s.open[r.Txn]
+	bucket := s.bucketAt(r.At)
+	s.updateExposure(r, names)
 	switch r.Kind {
 	case tracepb.Kind_NEWS, tracepb.Kind_STANDING:
-		s.news.Reset()
-		proto.Unmarshal(r.Body, &s.news) // what cannot be read tells nothing
+		s.release.Reset()
+		proto.Unmarshal(r.Body, &s.release) // an unreadable body leaves no release
 		return
 	case tracepb.Kind_LEFT_OUT:
-		s.out.LeftOut += r.Token
+		s.summary.LeftOut += r.Token
 		return
 	case tracepb.Kind_LOG:
-		t := Test{At: time.Unix(0, r.At+s.offset).UTC(), Sentry: s.sentry}
+		test := VerdictTest{At: time.Unix(0, r.At+s.wallOffset).UTC(), Sentry: s.sentry}
 		verdict := uint32(0)
-		if n, _ := fmt.Sscanf(r.Text, "vote %d on build %d: %f pairs, %f against, %f for, p %f, spread %f", &verdict, &t.Build, &t.Pairs, &t.Against, &t.For,
-			&t.P, &t.Spread); n == 7 {
-			t.Verdict = verdictTexts[verdict]
-			s.out.Tests = append(s.out.Tests, t)
+		if n, _ := fmt.Sscanf(r.Text, "vote %d on build %d: %f pairs, %f against, %f for, p %f, spread %f", &verdict, &test.Build, &test.Pairs, &test.Against, &test.For,
+			&test.P, &test.Spread); n == 7 {
+			test.Verdict = verdictTexts[verdict]
+			s.summary.Tests = append(s.summary.Tests, test)
 		}
 		return
 	case tracepb.Kind_LIST:
-		var l tracepb.List
-		if proto.Unmarshal(r.Body, &l) == nil {
-			for _, w := range l.Workers {
-				s.build[w.Id] = w.Build
+		var list tracepb.List
+		if proto.Unmarshal(r.Body, &list) == nil {
+			for _, worker := range list.Workers {
+				s.workerBuilds[worker.Id] = worker.Build
 			}
 		}
 		return
 	case tracepb.Kind_GAP:
-		s.out.Missing += r.Token
+		s.summary.Missing += r.Token
 		return
 	case tracepb.Kind_VOTE:
-		s.out.Votes[verdictTexts[r.Number]]++
+		s.summary.Votes[verdictTexts[r.Number]]++
 		return
 	case tracepb.Kind_TAKE:
-		if int(r.Product) < len(s.names) {
+		if int(r.Product) < len(s.products) {
 			s.open[r.Txn] = &openTxn{taken: r.At, product: int(r.Product)}
-			byName[s.names[r.Product]].Taken++
-			b.Taken++
+			productStats[s.products[r.Product]].Taken++
+			bucket.Taken++
 		}
 		return
 	}
-	if x == nil || r.Txn == 0 {
+	if txn == nil || r.Txn == 0 {
 		return
 	}
-	p := byName[s.names[x.product]]
+	product := productStats[s.products[txn.product]]
 	end := func(count, inBucket *int) {
-		if !x.over {
+		if !txn.ended {
 			*count++
 			*inBucket++
-			x.over = true
+			txn.ended = true
 		}
 	}
 	switch r.Kind {
 	case tracepb.Kind_SUBMIT:
-		p.Submissions++
-		x.out++
-		if x.n < len(x.sent) {
-			x.sent[x.n] = names[r.Worker]
+		product.Submissions++
+		txn.pending++
+		if txn.submissions < len(txn.workers) {
+			txn.workers[txn.submissions] = names[r.Worker]
 		}
-		x.n++
-		part(s.workers, names[r.Worker]).Submissions++
-		part(s.builds, fmt.Sprint(s.build[names[r.Worker]])).Submissions++
+		txn.submissions++
+		statsFor(s.workers, names[r.Worker]).Submissions++
+		statsFor(s.builds, fmt.Sprint(s.workerBuilds[names[r.Worker]])).Submissions++
 	case tracepb.Kind_OUTCOME:
-		x.out--
-		if int(r.Number) < len(x.sent) {
-			w := x.sent[r.Number]
-			s.ended(b, r, s.build[w])
-			for _, q := range []*PartSum{part(s.workers, w), part(s.builds, fmt.Sprint(s.build[w]))} {
-				q.Endings[endingTexts[logic.Ending(r.Ending)]]++
+		txn.pending--
+		if int(r.Number) < len(txn.workers) {
+			worker := txn.workers[r.Number]
+			s.countOutcome(bucket, r, s.workerBuilds[worker])
+			for _, stats := range []*SubmissionStats{statsFor(s.workers, worker), statsFor(s.builds, fmt.Sprint(s.workerBuilds[worker]))} {
+				stats.Endings[endingTexts[logic.Ending(r.Ending)]]++
 				if logic.Ending(r.Ending) == logic.OK {
-					q.times.RecordValue(min(3_600_000_000, int64(r.Elapsed/1000)))
+					stats.times.RecordValue(min(maxDurationMicros, int64(r.Elapsed/1000)))
 				}
 			}
 		}
-		if r.Over && logic.Ending(r.Ending) == logic.OK && !x.over {
-			end(&p.Settled, &b.Settled)
-			p.times.RecordValue(min(3_600_000_000, max(1, (r.At-x.taken)/1000)))
+		if r.Over && logic.Ending(r.Ending) == logic.OK && !txn.ended {
+			end(&product.Settled, &bucket.Settled)
+			product.times.RecordValue(min(maxDurationMicros, max(1, (r.At-txn.taken)/1000)))
 		}
 	case tracepb.Kind_STREAMING:
-		end(&p.Settled, &b.Settled)
+		end(&product.Settled, &bucket.Settled)
 	case tracepb.Kind_DECLINE:
-		end(&p.Declined, &b.Declined)
+		end(&product.Declined, &bucket.Declined)
 	case tracepb.Kind_VOID:
-		end(&p.Voided, &b.Voided)
+		end(&product.Voided, &bucket.Voided)
 	case tracepb.Kind_LEFT:
-		end(&p.Left, &b.Left)
+		end(&product.Left, &bucket.Left)
 	}
-	if x.over && x.out == 0 {
+	if txn.ended && txn.pending == 0 {
 		delete(s.open, r.Txn)
 	}
 }
 
-// bucket gives the one of a moment.
-func (s *summing) bucket(at int64) *Bucket {
-	second := (at + s.offset) / int64(time.Second)
-	b := s.buckets[second]
-	if b == nil {
-		b = &Bucket{At: time.Unix(second, 0).UTC()}
-		s.buckets[second] = b
+// bucketAt returns the bucket for a time of the sentry's clock.
+func (s *summariser) bucketAt(at int64) *Bucket {
+	second := (at + s.wallOffset) / int64(time.Second)
+	bucket := s.buckets[second]
+	if bucket == nil {
+		bucket = &Bucket{At: time.Unix(second, 0).UTC()}
+		s.buckets[second] = bucket
 	}
-	b.Cap = max(b.Cap, s.news.Cap)
-	return b
+	bucket.Cap = max(bucket.Cap, s.release.Cap)
+	return bucket
 }
 
-// ended counts the end of a submission for its build's side of the trial.
-func (s *summing) ended(b *Bucket, r *Record, build int64) {
-	e := logic.Ending(r.Ending)
-	if e == logic.Cancelled || e == logic.Skipped {
+// countOutcome counts the end of a submission for the build on trial or for the others.
+func (s *summariser) countOutcome(bucket *Bucket, r *Record, build int64) {
+	ending := logic.Ending(r.Ending)
+	if ending == logic.Cancelled || ending == logic.Skipped {
 		return
 	}
-	many, bad, sum := &b.Others, &b.OthersBad, &b.OthersTime
-	if build == s.news.Build && logic.Phase(s.news.Phase) != logic.Released {
-		many, bad, sum = &b.Trial, &b.TrialBad, &b.TrialTime
+	count, bad, sum := &bucket.Others, &bucket.OthersBad, &bucket.OthersTime
+	if build == s.release.Build && logic.Phase(s.release.Phase) != logic.Released {
+		count, bad, sum = &bucket.Trial, &bucket.TrialBad, &bucket.TrialTime
 	}
-	*many++
-	if e != logic.OK {
+	*count++
+	if ending != logic.OK {
 		*bad++
 	} else {
 		*sum += float64(r.Elapsed) / 1e6
 	}
 }
 
-// exposed keeps, for each build on trial, the window that came nearest to what is allowed.
-func (s *summing) exposed(r *Record, names []string) {
-	u := s.ruled
-	if u.partial {
+// updateExposure keeps, for each build on trial, the window that came nearest to its allowance.
+func (s *summariser) updateExposure(r *Record, names []string) {
+	rules := s.rules
+	if rules.partial {
 		return
 	}
-	before := u.out.Trials
-	u.at = r.At + s.offset
-	u.record(r, names[r.Worker])
-	if u.out.Trials == before {
+	trialsBefore := rules.report.Trials
+	rules.at = r.At + s.wallOffset
+	rules.checkRecord(r, names[r.Worker])
+	if rules.report.Trials == trialsBefore {
 		return
 	}
-	w := u.workers[names[r.Worker]]
-	e := s.spent[w.build]
-	if e == nil {
-		e = &Exposure{Sentry: s.sentry, Build: w.build, Allowed: 1}
-		s.spent[w.build] = e
+	worker := rules.workers[names[r.Worker]]
+	exposure := s.exposure[worker.build]
+	if exposure == nil {
+		exposure = &Exposure{Sentry: s.sentry, Build: worker.build, Allowed: 1}
+		s.exposure[worker.build] = exposure
 	}
-	e.Submissions++
-	if float64(u.used)/max(1e-9, u.allowed) > float64(e.Most)/e.Allowed {
-		e.Most, e.Allowed, e.At = u.used, u.allowed, time.Unix(0, u.at).UTC()
+	exposure.Submissions++
+	if float64(rules.windowTrials)/max(1e-9, rules.windowAllowed) > float64(exposure.Most)/exposure.Allowed {
+		exposure.Most, exposure.Allowed, exposure.At = rules.windowTrials, rules.windowAllowed, time.Unix(0, rules.at).UTC()
 	}
 }
 
-// Print writes the summary for a terminal.
+// Print writes the summary as tables.
 func (s *Summary) Print(w io.Writer) {
-	fmt.Fprintf(w, "%d lives, %d records, %s to %s, %d txns not recorded\n\n", s.Lives, s.Records, s.First.Format(time.RFC3339), s.Last.Format(time.RFC3339), s.Missing)
+	fmt.Fprintf(w, "%d runs, %d records, %s to %s, %d txns not recorded\n\n", s.Lives, s.Records, s.First.Format(time.RFC3339), s.Last.Format(time.RFC3339), s.Missing)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "product\ttaken\tsettled\tdeclined\tvoided\tleft\tno end\tsubmissions a txn\tp50 ms\tp99 ms\t")
 	for _, p := range s.Products {
@@ -349,7 +374,7 @@
 	t.Flush()
 	for _, g := range []struct {
 		name string
-		list []*PartSum
+		list []*SubmissionStats
 	}{{"build", s.Builds}, {"worker", s.Workers}} {
 		fmt.Fprintln(w)
 		t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -362,7 +387,7 @@
 		t.Flush()
 	}
 	if s.LeftOut > 0 {
-		fmt.Fprintf(w, "\nsampled: %d more txns ended well and are not in the files\n", s.LeftOut)
+		fmt.Fprintf(w, "\nsampled: %d more txns settled and are not in the files\n", s.LeftOut)
 	}
 	fmt.Fprintf(w, "\nvotes: %v\n", s.Votes)
 	for _, e := range s.Exposure {
--- a/trace/tools_test.go
+++ b/trace/tools_test.go
@@ -181,7 +181,7 @@
 			s.submit(2100, 1, "b")
 			s.end(2200, 1, 0, logic.OK, 200)
 		}},
-		{"drained", 3, "was told that it goes", func(s *scene) {
+		{"drained", 3, "learned that it is not up", func(s *scene) {
 			s.fleet(0, 1)
 			s.list(100, false, &tracepb.List_Worker{Id: "a", Build: 1, State: 1})
 			s.take(700, 1, 0)
@@ -195,7 +195,7 @@
 			s.submit(500, 1, "a")
 			s.end(520, 1, 0, logic.OK, 200)
 		}},
-		{"gone from a whole list", 3, "was told that it goes", func(s *scene) {
+		{"gone from a whole list", 3, "learned that it is not up", func(s *scene) {
 			s.fleet(0, 1)
 			s.list(100, true, &tracepb.List_Worker{Id: "b", Build: 1})
 			s.take(700, 1, 0)
