--- a/trace/anonymise.go
+++ b/trace/anonymise.go
@@ -16,14 +16,14 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Secret keeps what is anonymised joinable: the same text under the same secret becomes the same name, and nobody
-// without the secret can tell, or try, which.
+// Secret is the key of the pseudonyms. The same text under the same secret gets the same pseudonym, so anonymised files
+// can be joined; without the secret, nobody can recover the text or verify a guess.
 type Secret []byte
 
-// leastSecret is how many bytes a secret has at the least: fewer could be tried out.
-const leastSecret = 16
+// minSecretBytes is the smallest size of a secret, in bytes. A shorter one could be found by brute force.
+const minSecretBytes = 16
 
-// ReadSecret reads a secret from a file that nobody else may read.
+// ReadSecret reads a secret from a file, which only its owner may be able to read.
 func ReadSecret(path string) (Secret, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -36,66 +36,71 @@
 	if err != nil {
 		return nil, fmt.Errorf("secret: %w", err)
 	}
-	if len(data) < leastSecret {
-		return nil, fmt.Errorf("secret: %s holds %d bytes; %d at least are wanted", path, len(data), leastSecret)
+	if len(data) < minSecretBytes {
+		return nil, fmt.Errorf("secret: %s has %d bytes; at least %d are required", path, len(data), minSecretBytes)
 	}
 	return data, nil
 }
 
-// of gives the keyed hash of a text, for one use.
-func (s Secret) of(use, text string) []byte {
-	h := hmac.New(sha256.New, s)
-	h.Write([]byte(use))
-	h.Write([]byte{0})
-	h.Write([]byte(text))
-	return h.Sum(nil)
+// keyedHash returns the HMAC-SHA256 of a text. The use separates domains, so that equal texts of different uses get
+// different hashes.
+func (s Secret) keyedHash(use, text string) []byte {
+	mac := hmac.New(sha256.New, s)
+	mac.Write([]byte(use))
+	mac.Write([]byte{0})
+	mac.Write([]byte(text))
+	return mac.Sum(nil)
 }
 
-func (s Secret) name(use, text string) string {
+// pseudonym returns the name that replaces a text.
+func (s Secret) pseudonym(use, text string) string {
 	if text == "" {
 		return ""
 	}
-	return use + "-" + hex.EncodeToString(s.of(use, text)[:6])
+	return use + "-" + hex.EncodeToString(s.keyedHash(use, text)[:6])
 }
 
-func (s Secret) number(use string, v uint64) uint64 {
+// pseudonymousID returns the nonzero number that replaces a nonzero number.
+func (s Secret) pseudonymousID(use string, v uint64) uint64 {
 	if v == 0 {
 		return 0
 	}
-	return binary.LittleEndian.Uint64(s.of(use, string(uint64Bytes(v)))) | 1
+	return binary.LittleEndian.Uint64(s.keyedHash(use, string(uint64Bytes(v)))) | 1
 }
 
-// words are the texts that settings may keep: they are the program's own.
-var words = map[string]bool{"inquiry-like": true, "referenced": true, "once-only": true, "all": true, "zone": true, "cell": true, "push": true,
+// settingWords are the values that settings keep, all of them keywords of the program.
+var settingWords = map[string]bool{"inquiry-like": true, "referenced": true, "once-only": true, "all": true, "zone": true, "cell": true, "push": true,
 	"ask": true, "single": true, "majority": true, "clocked": true, "in-place": true, "beside": true, "product": true}
 
-// settings keeps numbers, flags and the program's own words; of names of settings only those that the program could
-// have given: letters, digits, dots and dashes, and no run of digits longer than a place in a list.
-func (s Secret) settings(data []byte) ([]byte, error) {
-	var in map[string]any
-	if err := json.Unmarshal(data, &in); err != nil {
+// anonymiseSettings keeps numbers, booleans and the program's keywords. It drops settings whose names the program could
+// not have chosen.
+func (s Secret) anonymiseSettings(data []byte) ([]byte, error) {
+	var original map[string]any
+	if err := json.Unmarshal(data, &original); err != nil {
 		return nil, fmt.Errorf("%w: settings: %w", ErrDamaged, err)
 	}
-	out := map[string]any{}
-	for k, v := range in {
-		if !plainName(k) {
+	kept := map[string]any{}
+	for name, v := range original {
+		if !isSettingName(name) {
 			continue
 		}
 		switch v := v.(type) {
 		case bool, float64:
-			out[k] = v
+			kept[name] = v
 		case string:
-			if words[v] {
-				out[k] = v
+			if settingWords[v] {
+				kept[name] = v
 			}
 		}
 	}
-	return json.Marshal(out)
+	return json.Marshal(kept)
 }
 
-func plainName(s string) bool {
+// isSettingName reports whether a name consists of lower-case letters, digits, dots and dashes, with no more digits in a
+// row than a list index has: a longer number could be personal, such as that of a phone.
+func isSettingName(name string) bool {
 	digits := 0
-	for _, c := range s {
+	for _, c := range name {
 		switch {
 		case c >= '0' && c <= '9':
 			if digits++; digits > 4 {
@@ -110,91 +115,92 @@
 	return true
 }
 
-// Anonymise writes a life without anything that could name a person: texts are dropped or become names by keyed
-// hashes, as do keys and the trace ids that clients sent. Times, figures and decisions stay. What it does not know, it
-// leaves out.
-func Anonymise(l *Life, s Secret, w io.Writer, hurt func(path string, d Damage)) error {
-	in := l.Headers[0]
-	if l.origin != 0 {
-		return fmt.Errorf("trace: %s is a merged file; anonymise the files that it was made of, and merge what comes out", l.Paths[0])
-	}
-	set, err := s.settings(in.Settings)
+// Anonymise writes a run without anything that could identify a person. It drops texts or replaces them by keyed hashes,
+// and likewise keys and the trace ids that clients sent. Times, numbers and decisions stay. Unknown fields and records
+// are dropped.
+func Anonymise(run *Life, s Secret, w io.Writer, onDamage func(path string, d Damage)) error {
+	in := run.Headers[0]
+	if run.origin != 0 {
+		return fmt.Errorf("trace: %s is a merged file; anonymise its source files and merge the results", run.Paths[0])
+	}
+	settings, err := s.anonymiseSettings(in.Settings)
 	if err != nil {
 		return err
 	}
-	digest := sha256.Sum256(set)
-	h := &tracepb.Header{Version: Version, Edge: s.name("edge", in.Edge), Sentry: in.Sentry, Life: s.number("life", in.Life), Segment: 0, Wall: in.Wall,
-		Start: in.Start, Module: in.Module, SettingsDigest: hex.EncodeToString(digest[:8]), Settings: set, Level: LevelPart, OneIn: in.OneIn}
+	digest := sha256.Sum256(settings)
+	header := &tracepb.Header{Version: Version, Edge: s.pseudonym("edge", in.Edge), Sentry: in.Sentry, Life: s.pseudonymousID("life", in.Life), Segment: 0, Wall: in.Wall,
+		Start: in.Start, Module: in.Module, SettingsDigest: hex.EncodeToString(digest[:8]), Settings: settings, Level: LevelPart, OneIn: in.OneIn}
 	if len(in.Module) != 16 || strings.Trim(in.Module, "0123456789abcdef") != "" {
-		h.Module = ""
+		header.Module = ""
 	}
 	for i := range in.Products {
-		h.Products = append(h.Products, fmt.Sprintf("product-%d", i))
+		header.Products = append(header.Products, fmt.Sprintf("product-%d", i))
 	}
 	for i := range in.Customers {
-		h.Customers = append(h.Customers, fmt.Sprintf("customer-%d", i+1))
+		header.Customers = append(header.Customers, fmt.Sprintf("customer-%d", i+1))
 	}
-	p, err := newFileWriter(w, h)
+	fw, err := newFileWriter(w, header)
 	if err != nil {
 		return err
 	}
-	var fault error
-	err = l.Each(func(r *Record, names []string) bool {
-		// Only fields that are named here pass: a field that is new tomorrow does not.
-		out := Record{Kind: r.Kind, At: r.At, Txn: r.Txn, Serial: r.Serial, Number: r.Number, Product: r.Product, Customer: r.Customer, Ending: r.Ending,
-			Key: s.number("key", r.Key), Cost: r.Cost, Patience: r.Patience, Elapsed: r.Elapsed, Token: r.Token, Span: r.Span, Util: r.Util,
+	var recordErr error
+	err = run.Each(func(r *Record, names []string) bool {
+		// Copy field by field, so that a field added to Record in the future is dropped rather than leaked.
+		anonymised := Record{Kind: r.Kind, At: r.At, Txn: r.Txn, Serial: r.Serial, Number: r.Number, Product: r.Product, Customer: r.Customer, Ending: r.Ending,
+			Key: s.pseudonymousID("key", r.Key), Cost: r.Cost, Patience: r.Patience, Elapsed: r.Elapsed, Token: r.Token, Span: r.Span, Util: r.Util,
 			Queue: r.Queue, Busy: r.Busy, Repeat: r.Repeat, Over: r.Over, Loaded: r.Loaded}
 		if r.TraceID != [2]uint64{} {
-			sum := s.of("trace", string(uint64Bytes(r.TraceID[0]))+string(uint64Bytes(r.TraceID[1])))
-			out.TraceID = [2]uint64{binary.LittleEndian.Uint64(sum) | 1, binary.LittleEndian.Uint64(sum[8:])}
+			sum := s.keyedHash("trace", string(uint64Bytes(r.TraceID[0]))+string(uint64Bytes(r.TraceID[1])))
+			anonymised.TraceID = [2]uint64{binary.LittleEndian.Uint64(sum) | 1, binary.LittleEndian.Uint64(sum[8:])}
 		}
 		switch r.Kind {
 		case tracepb.Kind_WORKER, tracepb.Kind_BACK, tracepb.Kind_TELL, tracepb.Kind_TOLD, tracepb.Kind_LOG:
-			return true // workers are named anew; messages and log lines can hold anything
+			return true // the writer names the workers; messages and log lines can hold anything
 		case tracepb.Kind_LIST:
-			if out.Body, fault = s.list(r.Body); fault != nil {
+			if anonymised.Body, recordErr = s.anonymiseList(r.Body); recordErr != nil {
 				return false
 			}
 		case tracepb.Kind_NEWS, tracepb.Kind_STANDING, tracepb.Kind_TALLY:
-			if out.Body, fault = numbersOnly(r.Kind, r.Body); fault != nil {
+			if anonymised.Body, recordErr = discardUnknown(r.Kind, r.Body); recordErr != nil {
 				return false
 			}
 		}
 		if _, known := tracepb.Kind_name[int32(r.Kind)]; !known {
 			return true
 		}
-		fault = p.writeRecord(out, s.name("worker", names[r.Worker]))
-		return fault == nil
-	}, hurt)
+		recordErr = fw.writeRecord(anonymised, s.pseudonym("worker", names[r.Worker]))
+		return recordErr == nil
+	}, onDamage)
 	if err == nil {
-		err = fault
+		err = recordErr
 	}
 	if err != nil {
 		return err
 	}
-	return p.close()
+	return fw.close()
 }
 
-func (s Secret) list(body []byte) ([]byte, error) {
-	var in, out tracepb.List
-	if err := proto.Unmarshal(body, &in); err != nil {
-		return nil, fmt.Errorf("%w: a list: %w", ErrDamaged, err)
-	}
-	for _, w := range in.Workers {
-		out.Workers = append(out.Workers, &tracepb.List_Worker{Id: s.name("worker", w.Id), Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, State: w.State,
+// anonymiseList replaces the worker names in a worker list.
+func (s Secret) anonymiseList(body []byte) ([]byte, error) {
+	var original, anonymised tracepb.List
+	if err := proto.Unmarshal(body, &original); err != nil {
+		return nil, fmt.Errorf("%w: worker list: %w", ErrDamaged, err)
+	}
+	for _, w := range original.Workers {
+		anonymised.Workers = append(anonymised.Workers, &tracepb.List_Worker{Id: s.pseudonym("worker", w.Id), Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, State: w.State,
 			Weight: w.Weight, Build: w.Build, Start: w.Start})
 	}
-	return proto.Marshal(&out)
+	return proto.Marshal(&anonymised)
 }
 
-// numbersOnly passes a body on by its known fields, which are numbers; unknown ones could be anything.
-func numbersOnly(kind Kind, body []byte) ([]byte, error) {
-	var m proto.Message = &tracepb.News{}
+// discardUnknown drops a body's unknown fields, which could hold anything. Its known fields are numbers.
+func discardUnknown(kind Kind, body []byte) ([]byte, error) {
+	var message proto.Message = &tracepb.News{}
 	if kind == tracepb.Kind_TALLY {
-		m = &tracepb.Tally{}
+		message = &tracepb.Tally{}
 	}
-	if err := (proto.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(body, m); err != nil {
+	if err := (proto.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(body, message); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	return proto.Marshal(m)
+	return proto.Marshal(message)
 }
--- a/trace/otel.go
+++ b/trace/otel.go
@@ -16,172 +16,174 @@
 	"dunegrade/trace/tracepb"
 )
 
-// spansAtOnce is how many spans stand in one message of an export: it bounds the memory.
-const spansAtOnce = 4096
+// spansPerMessage is the number of spans after which an export writes a message, which bounds its memory.
+const spansPerMessage = 4096
 
-// ExportSpans writes lives as OpenTelemetry's TracesData (opentelemetry-proto, trace/v1): a span a txn, of the trace id
-// that its client sent or that the edge gave, with a span below it for each submission, and events for what was decided.
-// The file is a run of TracesData messages without lengths between them, which is one TracesData by protobuf's own
-// rule for repeated fields. It gives the number of spans.
-func ExportSpans(lives []*Life, clocks []Clock, w io.Writer, hurt func(path string, d Damage)) (int, error) {
+// ExportSpans writes runs as OpenTelemetry TracesData (opentelemetry-proto, trace/v1). Each txn becomes a root span, with
+// the trace id that its client sent or the edge generated, a child span for each submission, and events for decisions.
+// The output is a sequence of TracesData messages without length prefixes, which protobuf's merge rule for repeated fields
+// makes a single valid TracesData. ExportSpans returns the number of spans.
+func ExportSpans(runs []*Life, clocks []Clock, w io.Writer, onDamage func(path string, d Damage)) (int, error) {
 	out := bufio.NewWriterSize(w, 1<<20)
-	n := 0
-	for i, l := range lives {
-		e := &spanner{life: l, out: out, open: map[uint64]*TxnHistory{}, shift: func(at int64) int64 { return at }}
+	written := 0
+	for i, l := range runs {
+		exporter := &spanExporter{run: l, out: out, open: map[uint64]*TxnHistory{}, toReference: func(at int64) int64 { return at }}
 		if clocks != nil {
-			e.shift = clocks[i].ToReference
+			exporter.toReference = clocks[i].ToReference
 		}
-		e.news, e.builds = &tracepb.News{}, map[string]int64{}
-		err := l.Each(func(r *Record, names []string) bool { return e.record(r, names) == nil }, hurt)
+		exporter.release, exporter.builds = &tracepb.News{}, map[string]int64{}
+		err := l.Each(func(r *Record, names []string) bool { return exporter.addRecord(r, names) == nil }, onDamage)
 		if err == nil {
-			err = e.finish()
+			err = exporter.finish()
 		}
 		if err != nil {
-			return n, fmt.Errorf("trace: export: %w", err)
+			return written, fmt.Errorf("trace: export: %w", err)
 		}
-		n += e.n
+		written += exporter.written
 	}
-	return n, out.Flush()
+	return written, out.Flush()
 }
 
-// spanner makes one life's spans.
-type spanner struct {
-	life   *Life
-	out    *bufio.Writer
-	open   map[uint64]*TxnHistory
-	builds map[string]int64
-	news   *tracepb.News
-	spans  []*otlp.Span
-	shift  func(int64) int64
-	n      int
-	fault  error
+// spanExporter exports the spans of one run.
+type spanExporter struct {
+	run         *Life
+	out         *bufio.Writer
+	open        map[uint64]*TxnHistory
+	builds      map[string]int64
+	release     *tracepb.News
+	spans       []*otlp.Span
+	toReference func(int64) int64
+	written     int
+	err         error
 }
 
-func (e *spanner) record(r *Record, names []string) error {
-	h := e.life.Headers[0]
+// addRecord adds a record to the history of its txn, and the txn's spans to the export once it is done.
+func (e *spanExporter) addRecord(r *Record, names []string) error {
+	header := e.run.Headers[0]
 	switch r.Kind {
 	case tracepb.Kind_WORKER:
 		e.builds[r.Text] = int64(r.Token)
-		return e.fault
+		return e.err
 	case tracepb.Kind_NEWS, tracepb.Kind_STANDING:
-		e.news.Reset()
-		proto.Unmarshal(r.Body, e.news) // what cannot be read tells nothing
-		return e.fault
+		e.release.Reset()
+		proto.Unmarshal(r.Body, e.release) // an unreadable body leaves no release
+		return e.err
 	case tracepb.Kind_TAKE:
-		s := &TxnHistory{Edge: e.life.Edge, Sentry: e.life.Sentry, Serial: r.Serial, Key: r.Key, TraceID: r.TraceID, Taken: r.At, Expiry: r.At + int64(r.Patience),
+		h := &TxnHistory{Edge: e.run.Edge, Sentry: e.run.Sentry, Serial: r.Serial, Key: r.Key, TraceID: r.TraceID, Taken: r.At, Expiry: r.At + int64(r.Patience),
 			id: r.Txn, End: "cut"}
-		if int(r.Product) < len(h.Products) {
-			s.Product = h.Products[r.Product]
+		if int(r.Product) < len(header.Products) {
+			h.Product = header.Products[r.Product]
 		}
-		if s.TraceID == [2]uint64{} {
-			s.TraceID = [2]uint64{e.life.ID, MixSerial(r.Serial)}
+		if h.TraceID == [2]uint64{} {
+			h.TraceID = [2]uint64{e.run.ID, MixSerial(r.Serial)}
 		}
-		e.open[r.Txn] = s
+		e.open[r.Txn] = h
 	}
-	s := e.open[r.Txn]
-	if s == nil || r.Txn == 0 {
-		return e.fault
+	h := e.open[r.Txn]
+	if h == nil || r.Txn == 0 {
+		return e.err
 	}
 	build := e.builds[names[r.Worker]]
-	s.addRecord(r, names, build, build > e.news.Build || build == e.news.Build && logic.Phase(e.news.Phase) != logic.Released)
-	if s.done {
+	h.addRecord(r, names, build, build > e.release.Build || build == e.release.Build && logic.Phase(e.release.Phase) != logic.Released)
+	if h.done {
 		delete(e.open, r.Txn)
-		e.put(s)
+		e.addSpans(h)
 	}
-	return e.fault
+	return e.err
 }
 
-// wall turns the sentry's clock into nanoseconds since 1970.
-func (e *spanner) wall(at int64) uint64 {
-	h := e.life.Headers[0]
-	return uint64(e.shift(at + h.Wall - h.Start))
+// wallTime converts a time of the sentry's clock to nanoseconds since 1970, by the reference clock if there is one.
+func (e *spanExporter) wallTime(at int64) uint64 {
+	header := e.run.Headers[0]
+	return uint64(e.toReference(at + header.Wall - header.Start))
 }
 
-func text(key, v string) *common.KeyValue {
+func stringAttribute(key, v string) *common.KeyValue {
 	return &common.KeyValue{Key: key, Value: &common.AnyValue{Value: &common.AnyValue_StringValue{StringValue: v}}}
 }
 
-func number(key string, v int64) *common.KeyValue {
+func intAttribute(key string, v int64) *common.KeyValue {
 	return &common.KeyValue{Key: key, Value: &common.AnyValue{Value: &common.AnyValue_IntValue{IntValue: v}}}
 }
 
-// spanID names a span of a txn: 0 is the txn's own, n+1 its submission n.
-func (e *spanner) spanID(s *TxnHistory, n uint64) []byte {
-	return binary.BigEndian.AppendUint64(nil, ((s.Serial<<4|n)*mixer^e.life.ID)|1)
+// spanID returns the id of a txn's span: the root span for 0, that of submission n for n+1.
+func (e *spanExporter) spanID(h *TxnHistory, n uint64) []byte {
+	return binary.BigEndian.AppendUint64(nil, ((h.Serial<<4|n)*mixer^e.run.ID)|1)
 }
 
-// put makes the spans of a txn that has ended, or that the file ends in.
-func (e *spanner) put(s *TxnHistory) {
-	id := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, s.TraceID[0]), s.TraceID[1])
-	last := s.Steps[len(s.Steps)-1].At
-	root := &otlp.Span{TraceId: id, SpanId: e.spanID(s, 0), Name: s.Product, Kind: otlp.Span_SPAN_KIND_SERVER, StartTimeUnixNano: e.wall(s.Taken),
-		EndTimeUnixNano: e.wall(last), Attributes: []*common.KeyValue{text("dunegrade.txn", s.Name()), text("dunegrade.outcome", s.End)},
+// addSpans adds the spans of a txn that is done, or that is still open at the end of the run.
+func (e *spanExporter) addSpans(h *TxnHistory) {
+	traceID := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, h.TraceID[0]), h.TraceID[1])
+	end := h.Steps[len(h.Steps)-1].At
+	root := &otlp.Span{TraceId: traceID, SpanId: e.spanID(h, 0), Name: h.Product, Kind: otlp.Span_SPAN_KIND_SERVER, StartTimeUnixNano: e.wallTime(h.Taken),
+		EndTimeUnixNano: e.wallTime(end), Attributes: []*common.KeyValue{stringAttribute("dunegrade.txn", h.Name()), stringAttribute("dunegrade.outcome", h.End)},
 		Status: &otlp.Status{}}
-	switch s.End {
+	switch h.End {
 	case "declined", "voided", "cut":
-		root.Status = &otlp.Status{Code: otlp.Status_STATUS_CODE_ERROR, Message: s.End}
+		root.Status = &otlp.Status{Code: otlp.Status_STATUS_CODE_ERROR, Message: h.End}
 	}
-	var subs []*otlp.Span
-	for i := range s.Steps {
-		x := &s.Steps[i]
-		switch x.Kind {
+	var submissions []*otlp.Span
+	for i := range h.Steps {
+		step := &h.Steps[i]
+		switch step.Kind {
 		case tracepb.Kind_SUBMIT:
-			subs = append(subs, &otlp.Span{TraceId: id, SpanId: e.spanID(s, uint64(len(subs))+1), ParentSpanId: root.SpanId, Name: "submission to " + x.Worker,
-				Kind: otlp.Span_SPAN_KIND_CLIENT, StartTimeUnixNano: e.wall(x.At), EndTimeUnixNano: e.wall(last), Attributes: []*common.KeyValue{
-					text("dunegrade.worker", x.Worker), number("dunegrade.build", x.Build), text("dunegrade.why", x.Why)},
+			submissions = append(submissions, &otlp.Span{TraceId: traceID, SpanId: e.spanID(h, uint64(len(submissions))+1), ParentSpanId: root.SpanId, Name: "submission to " + step.Worker,
+				Kind: otlp.Span_SPAN_KIND_CLIENT, StartTimeUnixNano: e.wallTime(step.At), EndTimeUnixNano: e.wallTime(end), Attributes: []*common.KeyValue{
+					stringAttribute("dunegrade.worker", step.Worker), intAttribute("dunegrade.build", step.Build), stringAttribute("dunegrade.why", step.Why)},
 				Status: &otlp.Status{}})
 			continue
 		case tracepb.Kind_OUTCOME:
-			if int(x.Number) < len(subs) {
-				b := subs[x.Number]
-				b.EndTimeUnixNano = e.wall(x.At)
-				b.Attributes = append(b.Attributes, text("dunegrade.ending", endingTexts[x.Ending]))
-				if x.Ending != logic.OK && x.Ending != logic.Cancelled {
-					b.Status = &otlp.Status{Code: otlp.Status_STATUS_CODE_ERROR, Message: endingTexts[x.Ending]}
+			if int(step.Number) < len(submissions) {
+				span := submissions[step.Number]
+				span.EndTimeUnixNano = e.wallTime(step.At)
+				span.Attributes = append(span.Attributes, stringAttribute("dunegrade.ending", endingTexts[step.Ending]))
+				if step.Ending != logic.OK && step.Ending != logic.Cancelled {
+					span.Status = &otlp.Status{Code: otlp.Status_STATUS_CODE_ERROR, Message: endingTexts[step.Ending]}
 				}
 			}
-			if x.Token > 0 {
-				root.Attributes = append(root.Attributes, number("http.response.status_code", int64(x.Token)))
+			if step.Token > 0 {
+				root.Attributes = append(root.Attributes, intAttribute("http.response.status_code", int64(step.Token)))
 			}
 		}
-		root.Events = append(root.Events, &otlp.Span_Event{TimeUnixNano: e.wall(x.At), Name: x.What, Attributes: []*common.KeyValue{text("dunegrade.why", x.Why)}})
+		root.Events = append(root.Events, &otlp.Span_Event{TimeUnixNano: e.wallTime(step.At), Name: step.What, Attributes: []*common.KeyValue{stringAttribute("dunegrade.why", step.Why)}})
 	}
-	e.spans = append(append(e.spans, root), subs...)
-	if len(e.spans) >= spansAtOnce {
-		e.fault = e.flush()
+	e.spans = append(append(e.spans, root), submissions...)
+	if len(e.spans) >= spansPerMessage {
+		e.err = e.flush()
 	}
 }
 
-func (e *spanner) flush() error {
+// flush writes the pending spans as one message.
+func (e *spanExporter) flush() error {
 	if len(e.spans) == 0 {
 		return nil
 	}
 	data, err := proto.Marshal(&otlp.TracesData{ResourceSpans: []*otlp.ResourceSpans{{
-		Resource: &resource.Resource{Attributes: []*common.KeyValue{text("service.name", "dunegrade-edge"), text("service.instance.id", e.life.Edge),
-			number("dunegrade.sentry", int64(e.life.Sentry))}},
+		Resource: &resource.Resource{Attributes: []*common.KeyValue{stringAttribute("service.name", "dunegrade-edge"), stringAttribute("service.instance.id", e.run.Edge),
+			intAttribute("dunegrade.sentry", int64(e.run.Sentry))}},
 		ScopeSpans: []*otlp.ScopeSpans{{Scope: &common.InstrumentationScope{Name: "dunegrade/trace"}, Spans: e.spans}},
 	}}})
 	if err != nil {
 		return err
 	}
-	e.n += len(e.spans)
+	e.written += len(e.spans)
 	e.spans = e.spans[:0]
 	_, err = e.out.Write(data)
 	return err
 }
 
-// finish writes what has no end in the file, in the order of taking.
-func (e *spanner) finish() error {
-	var left []*TxnHistory
-	for _, s := range e.open {
-		left = append(left, s)
+// finish writes the spans of the txns that are still open, in the order in which they were taken, and flushes.
+func (e *spanExporter) finish() error {
+	var unended []*TxnHistory
+	for _, h := range e.open {
+		unended = append(unended, h)
 	}
-	sort.Slice(left, func(i, j int) bool { return left[i].Serial < left[j].Serial })
-	for _, s := range left {
-		e.put(s)
+	sort.Slice(unended, func(i, j int) bool { return unended[i].Serial < unended[j].Serial })
+	for _, h := range unended {
+		e.addSpans(h)
 	}
-	if e.fault != nil {
-		return e.fault
+	if e.err != nil {
+		return e.err
 	}
 	return e.flush()
 }
