--- a/trace/anonymise_test.go
+++ b/trace/anonymise_test.go
@@ -17,65 +17,66 @@
 	"dunegrade/trace/tracepb"
 )
 
-// spellings of a phone number, as they could stand in any text.
-func spellings(n string) []string {
+// phoneSpellings returns spellings of a phone number that may occur in a text.
+func phoneSpellings(n string) []string {
 	return []string{n, "+47" + n, "+47 " + n[:2] + " " + n[2:4] + " " + n[4:6] + " " + n[6:], "0047" + n, url.QueryEscape("+47 " + n),
 		base64.StdEncoding.EncodeToString([]byte(n)), n[:4] + "/" + n[4:], n[:3] + " " + n[3:5] + " " + n[5:]}
 }
 
-// planted makes a file that holds phone numbers in every field that can hold text or a key, in all spellings.
-func planted(t *testing.T, numbers []string) []byte {
+// fileWithNumbers returns a file with phone numbers, in all spellings, in every field that can hold text or a key,
+// including unknown protobuf fields and an unknown record kind.
+func fileWithNumbers(t *testing.T, numbers []string) []byte {
 	rng := rand.New(rand.NewSource(3))
-	say := func() string { s := spellings(numbers[rng.Intn(len(numbers))]); return s[rng.Intn(len(s))] }
-	h := &tracepb.Header{Version: 1, Edge: say(), Life: 9, Module: say(), SettingsDigest: say(), Products: []string{say(), "ask"}, Customers: []string{say()},
-		Settings: fmt.Appendf(nil, `{"products.0.name": %q, "release.votes": "single", %q: 1, "%s": true, "rules.cold": 3e9}`, say(), say(), numbers[0])}
-	h.ProtoReflect().SetUnknown(append([]byte{0xfa, 0x06, 8}, numbers[1][:8]...)) // field 111
-	var out bytes.Buffer
-	p, err := newFileWriter(&out, h)
+	randomSpelling := func() string { s := phoneSpellings(numbers[rng.Intn(len(numbers))]); return s[rng.Intn(len(s))] }
+	header := &tracepb.Header{Version: 1, Edge: randomSpelling(), Life: 9, Module: randomSpelling(), SettingsDigest: randomSpelling(), Products: []string{randomSpelling(), "ask"}, Customers: []string{randomSpelling()},
+		Settings: fmt.Appendf(nil, `{"products.0.name": %q, "release.votes": "single", %q: 1, "%s": true, "rules.cold": 3e9}`, randomSpelling(), randomSpelling(), numbers[0])}
+	header.ProtoReflect().SetUnknown(append([]byte{0xfa, 0x06, 8}, numbers[1][:8]...)) // field 111
+	var buf bytes.Buffer
+	fw, err := newFileWriter(&buf, header)
 	if err != nil {
 		t.Fatal(err)
 	}
-	news := &tracepb.News{Build: 2}
-	news.ProtoReflect().SetUnknown(append([]byte{0xfa, 0x06, 8}, numbers[2][:8]...))
-	body, _ := proto.Marshal(news)
+	release := &tracepb.News{Build: 2}
+	release.ProtoReflect().SetUnknown(append([]byte{0xfa, 0x06, 8}, numbers[2][:8]...))
+	body, _ := proto.Marshal(release)
 	for i, n := range numbers {
-		list, _ := proto.Marshal(&tracepb.List{Workers: []*tracepb.List_Worker{{Id: say(), Build: 1}}})
+		list, _ := proto.Marshal(&tracepb.List{Workers: []*tracepb.List_Worker{{Id: randomSpelling(), Build: 1}}})
 		at := int64(i) * 1e6
 		var id [2]uint64
-		copy2 := []byte(n + n)
-		for k, c := range copy2[:16] {
+		doubled := []byte(n + n)
+		for k, c := range doubled[:16] {
 			id[k/8] |= uint64(c) << (8 * (k % 8))
 		}
-		for _, r := range []Record{{Kind: tracepb.Kind_LIST, Body: list}, {Kind: tracepb.Kind_NEWS, Body: body}, {Kind: tracepb.Kind_LOG, Text: say()},
-			{Kind: tracepb.Kind_TOLD, Body: []byte(say())}, {Kind: tracepb.Kind_TAKE, Txn: uint64(i + 1), Serial: uint64(i + 1), Key: xxhash.Sum64String(n) | 1, TraceID: id, Text: say(), Body: []byte(say())},
-			{Kind: tracepb.Kind_SUBMIT, Txn: uint64(i + 1), Text: say()}, {Kind: tracepb.Kind_OUTCOME, Txn: uint64(i + 1), Over: true, Body: []byte(say())}, {Kind: 99, Text: say()}} {
+		for _, r := range []Record{{Kind: tracepb.Kind_LIST, Body: list}, {Kind: tracepb.Kind_NEWS, Body: body}, {Kind: tracepb.Kind_LOG, Text: randomSpelling()},
+			{Kind: tracepb.Kind_TOLD, Body: []byte(randomSpelling())}, {Kind: tracepb.Kind_TAKE, Txn: uint64(i + 1), Serial: uint64(i + 1), Key: xxhash.Sum64String(n) | 1, TraceID: id, Text: randomSpelling(), Body: []byte(randomSpelling())},
+			{Kind: tracepb.Kind_SUBMIT, Txn: uint64(i + 1), Text: randomSpelling()}, {Kind: tracepb.Kind_OUTCOME, Txn: uint64(i + 1), Over: true, Body: []byte(randomSpelling())}, {Kind: 99, Text: randomSpelling()}} {
 			r.At = at
 			name := ""
 			if r.Kind == tracepb.Kind_SUBMIT {
-				name = say()
+				name = randomSpelling()
 			}
-			if err := p.writeRecord(r, name); err != nil {
+			if err := fw.writeRecord(r, name); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if err := p.close(); err != nil {
+	if err := fw.close(); err != nil {
 		t.Fatal(err)
 	}
-	return out.Bytes()
+	return buf.Bytes()
 }
 
-// bare gives a file's bytes with its blocks unpacked, and the keys met in it.
-func bare(t *testing.T, path string) (all []byte, keys []uint64) {
-	f, done, err := OpenPath(path)
+// unpackedFile returns a file's bytes with its header and its decompressed blocks, and the keys of its txns.
+func unpackedFile(t *testing.T, path string) (all []byte, keys []uint64) {
+	f, closeFile, err := OpenPath(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer done()
+	defer closeFile()
 	data, _ := os.ReadFile(path)
 	all = append(all, data...)
-	head, _ := proto.Marshal(f.Header)
-	all = append(all, head...)
+	header, _ := proto.Marshal(f.Header)
+	all = append(all, header...)
 	for i := range f.Blocks {
 		if err := f.Read(i, func(r *Record, _ []string) bool {
 			if r.Kind == tracepb.Kind_TAKE {
@@ -90,7 +91,9 @@
 	return all, keys
 }
 
-func TestAnonymisedHoldsNoNumber(t *testing.T) {
+// No spelling of a phone number in a file, nor the hash that is its key, may be in the anonymised file. The same secret
+// must give the same keys, another secret other keys.
+func TestAnonymisedFileHoldsNoNumber(t *testing.T) {
 	rng := rand.New(rand.NewSource(8))
 	var numbers []string
 	for i := 0; i < 1000; i++ {
@@ -98,35 +101,35 @@
 	}
 	dir := t.TempDir()
 	path := filepath.Join(dir, "in"+Suffix)
-	if err := os.WriteFile(path, planted(t, numbers), 0o600); err != nil {
+	if err := os.WriteFile(path, fileWithNumbers(t, numbers), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	in, keysIn := bare(t, path)
-	lives, err := Lives([]string{path})
+	in, keysIn := unpackedFile(t, path)
+	runs, err := Lives([]string{path})
 	if err != nil {
 		t.Fatal(err)
 	}
-	hurt := func(path string, d Damage) { t.Errorf("%s: %v", path, d) }
-	run := func(name string, s Secret) (all []byte, keys []uint64) {
+	onDamage := func(path string, d Damage) { t.Errorf("%s: %v", path, d) }
+	anonymise := func(name string, s Secret) (all []byte, keys []uint64) {
 		out := filepath.Join(dir, name+Suffix)
 		file, err := os.Create(out)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer file.Close()
-		if err := Anonymise(lives[0], s, file, hurt); err != nil {
+		if err := Anonymise(runs[0], s, file, onDamage); err != nil {
 			t.Fatal(err)
 		}
-		return bare(t, out)
+		return unpackedFile(t, out)
 	}
 	secret, other := Secret(strings.Repeat("s", 16)), Secret(strings.Repeat("o", 16))
-	out, keys := run("a", secret)
-	_, again := run("b", secret)
-	_, differ := run("c", other)
+	out, keys := anonymise("a", secret)
+	_, again := anonymise("b", secret)
+	_, otherKeys := anonymise("c", other)
 	found := 0
 	for _, n := range numbers {
 		hash := uint64Bytes(xxhash.Sum64String(n) | 1)
-		for _, s := range append(spellings(n), string(hash)) {
+		for _, s := range append(phoneSpellings(n), string(hash)) {
 			if bytes.Contains(in, []byte(s)) {
 				found++
 			}
@@ -136,18 +139,19 @@
 		}
 	}
 	if found < 4000 {
-		t.Errorf("only %d spellings were planted", found)
+		t.Errorf("only %d spellings are in the input", found)
 	}
 	if len(keys) != len(numbers) {
 		t.Fatalf("%d of %d txns are left", len(keys), len(numbers))
 	}
 	for i := range keys {
-		if keys[i] != again[i] || keys[i] == differ[i] || keys[i] == keysIn[i] {
-			t.Fatalf("key %d: %x, again %x, with another secret %x, before %x", i, keys[i], again[i], differ[i], keysIn[i])
+		if keys[i] != again[i] || keys[i] == otherKeys[i] || keys[i] == keysIn[i] {
+			t.Fatalf("key %d: %x, again %x, with another secret %x, before %x", i, keys[i], again[i], otherKeys[i], keysIn[i])
 		}
 	}
 }
 
+// A secret file that others can read, or that is too short, must be refused.
 func TestSecretFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "secret")
 	for _, c := range []struct {
--- a/trace/tools_test.go
+++ b/trace/tools_test.go
@@ -22,13 +22,13 @@
 	"dunegrade/trace/tracepb"
 )
 
-// script writes a life of given records, worker names beside them, and reads it back.
-func script(t *testing.T, h *tracepb.Header, records []Record, workers []string) *Life {
+// writeRun writes a file with the given records, each with the name of its worker, and returns the run that it holds.
+func writeRun(t *testing.T, header *tracepb.Header, records []Record, workers []string) *Life {
 	t.Helper()
-	path := filepath.Join(t.TempDir(), fmt.Sprintf("s%d%s", h.Sentry, Suffix))
+	path := filepath.Join(t.TempDir(), fmt.Sprintf("s%d%s", header.Sentry, Suffix))
 	var buf bytes.Buffer
-	h.Version = Version
-	p, err := newFileWriter(&buf, h)
+	header.Version = Version
+	fw, err := newFileWriter(&buf, header)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,21 +37,21 @@
 		if i < len(workers) {
 			name = workers[i]
 		}
-		if err := p.writeRecord(r, name); err != nil {
+		if err := fw.writeRecord(r, name); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := p.close(); err != nil {
+	if err := fw.close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(path, buf.Bytes(), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	all, err := Lives([]string{path})
+	runs, err := Lives([]string{path})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return all[0]
+	return runs[0]
 }
 
 const ruleSettings = `{"products.count": 3, "products.0.effect": "inquiry-like", "products.1.effect": "once-only", "products.2.effect": "referenced",
@@ -59,19 +59,19 @@
  "rules.fall-after": 1e9, "release.free": 2, "release.window": 3e9, "release.caps.0": 0.1, "release.one-way": true, "release.guarded-stages": 1,
  "rules.answer-slack": 2e7}`
 
-// scene is a life in short: each line is one record.
-type scene struct {
+// recordScript builds the records of a run. Times are in milliseconds after its start.
+type recordScript struct {
 	t       *testing.T
 	records []Record
 	workers []string
 }
 
-func (s *scene) add(ms int, worker string, r Record) {
+func (s *recordScript) add(ms int, worker string, r Record) {
 	r.At = began + int64(ms)*1e6
 	s.records, s.workers = append(s.records, r), append(s.workers, worker)
 }
 
-func (s *scene) list(ms int, whole bool, ws ...*tracepb.List_Worker) {
+func (s *recordScript) list(ms int, whole bool, ws ...*tracepb.List_Worker) {
 	body, err := proto.Marshal(&tracepb.List{Workers: ws})
 	if err != nil {
 		s.t.Fatal(err)
@@ -83,7 +83,7 @@
 	s.add(ms, "", Record{Kind: tracepb.Kind_LIST, Number: uint32(mode), Body: body})
 }
 
-func (s *scene) news(ms int, n *tracepb.News) {
+func (s *recordScript) release(ms int, n *tracepb.News) {
 	body, err := proto.Marshal(n)
 	if err != nil {
 		s.t.Fatal(err)
@@ -91,220 +91,220 @@
 	s.add(ms, "", Record{Kind: tracepb.Kind_NEWS, Body: body})
 }
 
-func (s *scene) take(ms int, id uint64, product uint32) {
+func (s *recordScript) take(ms int, id uint64, product uint32) {
 	s.add(ms, "", Record{Kind: tracepb.Kind_TAKE, Txn: id, Serial: id, Product: product, Key: id*2 + 1, Cost: 2e7, Patience: 1e9})
 }
 
-func (s *scene) submit(ms int, id uint64, worker string) {
+func (s *recordScript) submit(ms int, id uint64, worker string) {
 	s.add(ms, worker, Record{Kind: tracepb.Kind_SUBMIT, Txn: id})
 }
 
-func (s *scene) end(ms int, id uint64, number uint32, e logic.Ending, status uint64) {
+func (s *recordScript) outcome(ms int, id uint64, number uint32, e logic.Ending, status uint64) {
 	s.add(ms, "", Record{Kind: tracepb.Kind_OUTCOME, Txn: id, Number: number, Ending: uint32(e), Over: status > 0, Token: status, Elapsed: 1e7})
 }
 
-// fleet is two workers of build 1 and one of build 2, which is on trial.
-func (s *scene) fleet(cap float64, stage int64) {
+// startTrial adds two workers of build 1 and one of build 2, which is on trial.
+func (s *recordScript) startTrial(exposureCap float64, stage int64) {
 	s.list(0, true, &tracepb.List_Worker{Id: "a", Build: 1}, &tracepb.List_Worker{Id: "b", Build: 1}, &tracepb.List_Worker{Id: "c", Build: 2})
-	s.news(0, &tracepb.News{Build: 2, Stage: stage, Cap: cap})
+	s.release(0, &tracepb.News{Build: 2, Stage: stage, Cap: exposureCap})
 }
 
-// Each scene breaks one rule, or none: a checker that finds nothing in the first, or anything in the second, is no good.
+// Each script violates one rule or none. The checker must report exactly that rule, and nothing for a valid script.
 func TestRulesInTraces(t *testing.T) {
-	many := func(s *scene, from, n int, worker string) {
+	addTxns := func(s *recordScript, from, n int, worker string) {
 		for i := 0; i < n; i++ {
 			id := uint64(from + i)
 			s.take(100+i, id, 0)
 			s.submit(100+i, id, worker)
-			s.end(200+i, id, 0, logic.OK, 200)
+			s.outcome(200+i, id, 0, logic.OK, 200)
 		}
 	}
 	for _, c := range []struct {
 		name string
 		rule int // 0: none
 		text string
-		play func(*scene)
+		fill func(*recordScript)
 	}{
-		{"all well", 0, "", func(s *scene) { s.fleet(0.1, 1); many(s, 1, 40, "a"); many(s, 100, 5, "c") }},
-		{"answered twice", 1, "answered 2 times", func(s *scene) {
-			s.fleet(0, 1)
+		{"no violation", 0, "", func(s *recordScript) { s.startTrial(0.1, 1); addTxns(s, 1, 40, "a"); addTxns(s, 100, 5, "c") }},
+		{"answered twice", 1, "answered 2 times", func(s *recordScript) {
+			s.startTrial(0, 1)
 			s.take(10, 1, 0)
 			s.submit(10, 1, "a")
 			s.submit(20, 1, "b")
-			s.end(30, 1, 0, logic.OK, 200)
-			s.end(40, 1, 1, logic.OK, 200)
+			s.outcome(30, 1, 0, logic.OK, 200)
+			s.outcome(40, 1, 1, logic.OK, 200)
 		}},
-		{"answered after its expiry", 1, "after its expiry", func(s *scene) {
-			s.fleet(0, 1)
+		{"answered after the expiry", 1, "after its expiry", func(s *recordScript) {
+			s.startTrial(0, 1)
 			s.take(10, 1, 0)
 			s.add(1100, "", Record{Kind: tracepb.Kind_VOID, Txn: 1})
 		}},
-		{"never answered", 1, "no end", func(s *scene) {
-			s.fleet(0, 1)
+		{"never answered", 1, "no end", func(s *recordScript) {
+			s.startTrial(0, 1)
 			s.take(10, 1, 0)
 			s.add(1200, "", Record{Kind: tracepb.Kind_END})
 		}},
-		{"cut off while in hand", 0, "", func(s *scene) { s.fleet(0, 1); s.take(10, 1, 0); s.submit(10, 1, "a") }},
-		{"sent after its end", 1, "after its end", func(s *scene) {
-			s.fleet(0, 1)
+		{"trace ends with an open txn", 0, "", func(s *recordScript) { s.startTrial(0, 1); s.take(10, 1, 0); s.submit(10, 1, "a") }},
+		{"sent after the end", 1, "after its end", func(s *recordScript) {
+			s.startTrial(0, 1)
 			s.take(10, 1, 0)
 			s.submit(10, 1, "a")
 			s.add(20, "", Record{Kind: tracepb.Kind_VOID, Txn: 1})
 			s.submit(30, 1, "b")
 		}},
-		{"once-only sent again", 2, "once-only, sent to b", func(s *scene) {
-			s.fleet(0, 1)
+		{"once-only sent again", 2, "once-only, sent to b", func(s *recordScript) {
+			s.startTrial(0, 1)
 			s.take(10, 1, 1)
 			s.submit(10, 1, "a")
-			s.end(30, 1, 0, logic.Disconnected, 0)
+			s.outcome(30, 1, 0, logic.Disconnected, 0)
 			s.submit(30, 1, "b")
-			s.end(50, 1, 1, logic.OK, 200)
+			s.outcome(50, 1, 1, logic.OK, 200)
 		}},
-		{"once-only sent again, unseen before", 0, "", func(s *scene) {
-			s.fleet(0, 1)
+		{"once-only sent again after a rejection", 0, "", func(s *recordScript) {
+			s.startTrial(0, 1)
 			s.take(10, 1, 1)
 			s.submit(10, 1, "a")
-			s.end(30, 1, 0, logic.Rejected, 0)
+			s.outcome(30, 1, 0, logic.Rejected, 0)
 			s.submit(30, 1, "b")
-			s.end(50, 1, 1, logic.OK, 200)
+			s.outcome(50, 1, 1, logic.OK, 200)
 		}},
-		{"once-only declined though it may have run", 2, "declined", func(s *scene) {
-			s.fleet(0, 1)
+		{"once-only declined though it may have run", 2, "declined", func(s *recordScript) {
+			s.startTrial(0, 1)
 			s.take(10, 1, 1)
 			s.submit(10, 1, "a")
 			s.add(20, "", Record{Kind: tracepb.Kind_DECLINE, Txn: 1})
 		}},
-		{"referenced, beyond its memory", 2, "remember", func(s *scene) {
-			s.fleet(0, 1)
+		{"referenced, sent again after the workers' memory", 2, "remember", func(s *recordScript) {
+			s.startTrial(0, 1)
 			s.add(10, "", Record{Kind: tracepb.Kind_TAKE, Txn: 1, Serial: 1, Product: 2, Patience: 9e9})
 			s.submit(10, 1, "a")
 			s.submit(2100, 1, "b")
-			s.end(2200, 1, 0, logic.OK, 200)
+			s.outcome(2200, 1, 0, logic.OK, 200)
 		}},
-		{"drained", 3, "learned that it is not up", func(s *scene) {
-			s.fleet(0, 1)
+		{"sent to a draining worker", 3, "learned that it is not up", func(s *recordScript) {
+			s.startTrial(0, 1)
 			s.list(100, false, &tracepb.List_Worker{Id: "a", Build: 1, State: 1})
 			s.take(700, 1, 0)
 			s.submit(700, 1, "a")
-			s.end(720, 1, 0, logic.OK, 200)
+			s.outcome(720, 1, 0, logic.OK, 200)
 		}},
-		{"within the grace", 0, "", func(s *scene) {
-			s.fleet(0, 1)
+		{"sent to a draining worker within the grace", 0, "", func(s *recordScript) {
+			s.startTrial(0, 1)
 			s.list(100, false, &tracepb.List_Worker{Id: "a", Build: 1, State: 1})
 			s.take(500, 1, 0)
 			s.submit(500, 1, "a")
-			s.end(520, 1, 0, logic.OK, 200)
+			s.outcome(520, 1, 0, logic.OK, 200)
 		}},
-		{"gone from a whole list", 3, "learned that it is not up", func(s *scene) {
-			s.fleet(0, 1)
+		{"sent to a worker missing from a whole list", 3, "learned that it is not up", func(s *recordScript) {
+			s.startTrial(0, 1)
 			s.list(100, true, &tracepb.List_Worker{Id: "b", Build: 1})
 			s.take(700, 1, 0)
 			s.submit(700, 1, "a")
-			s.end(720, 1, 0, logic.OK, 200)
+			s.outcome(720, 1, 0, logic.OK, 200)
 		}},
-		{"a cold worker pushed over", 4, "after its start", func(s *scene) {
+		{"cold worker overloaded", 4, "after its start", func(s *recordScript) {
 			s.list(0, true, &tracepb.List_Worker{Id: "a", Build: 1, Start: began})
 			for i := 0; i < 120; i++ { // 2.4 s of work within 0.3 s, for one core at a third of its speed
 				s.take(100+2*i, uint64(i+1), 0)
 				s.submit(100+2*i, uint64(i+1), "a")
 			}
-			s.end(350, 1, 0, logic.Disconnected, 0)
+			s.outcome(350, 1, 0, logic.Disconnected, 0)
 			s.add(360, "", Record{Kind: tracepb.Kind_VOID, Txn: 1})
 		}},
-		{"a cold worker that bears it", 0, "", func(s *scene) {
+		{"cold worker withstands the load", 0, "", func(s *recordScript) {
 			s.list(0, true, &tracepb.List_Worker{Id: "a", Build: 1, Start: began})
 			for i := 0; i < 120; i++ {
 				s.take(100+2*i, uint64(i+1), 0)
 				s.submit(100+2*i, uint64(i+1), "a")
-				s.end(400+2*i, uint64(i+1), 0, logic.OK, 200)
+				s.outcome(400+2*i, uint64(i+1), 0, logic.OK, 200)
 			}
 		}},
-		{"more than the cap", 5, "allowed are", func(s *scene) { s.fleet(0.1, 1); many(s, 1, 10, "c") }},
-		{"at a cap of 0", 5, "cap of 0", func(s *scene) { s.fleet(0, 1); many(s, 1, 1, "c") }},
-		{"a guarded stage", 5, "guarded", func(s *scene) {
-			s.fleet(1, 0)
+		{"more than the cap", 5, "allowed are", func(s *recordScript) { s.startTrial(0.1, 1); addTxns(s, 1, 10, "c") }},
+		{"at a cap of 0", 5, "cap of 0", func(s *recordScript) { s.startTrial(0, 1); addTxns(s, 1, 1, "c") }},
+		{"guarded stage", 5, "guarded", func(s *recordScript) {
+			s.startTrial(1, 0)
 			s.take(10, 1, 2)
 			s.submit(10, 1, "c")
-			s.end(20, 1, 0, logic.OK, 200)
+			s.outcome(20, 1, 0, logic.OK, 200)
 		}},
-		{"one way", 5, "its key was answered by build 2", func(s *scene) {
-			s.fleet(1, 1)
+		{"one way", 5, "its key was answered by build 2", func(s *recordScript) {
+			s.startTrial(1, 1)
 			s.take(10, 1, 0)
 			s.submit(10, 1, "c")
-			s.end(20, 1, 0, logic.OK, 200)
+			s.outcome(20, 1, 0, logic.OK, 200)
 			s.add(30, "", Record{Kind: tracepb.Kind_TAKE, Txn: 2, Serial: 2, Key: 3, Patience: 1e9})
 			s.submit(30, 2, "a")
-			s.end(40, 2, 0, logic.OK, 200)
+			s.outcome(40, 2, 0, logic.OK, 200)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := &scene{t: t}
-			c.play(s)
-			l := script(t, &tracepb.Header{Sentry: 1, Life: 5, Wall: began, Start: began, Settings: []byte(ruleSettings)}, s.records, s.workers)
-			r, err := CheckRules([]*Life{l}, RulesPlan{Cores: 1}, nil)
+			s := &recordScript{t: t}
+			c.fill(s)
+			run := writeRun(t, &tracepb.Header{Sentry: 1, Life: 5, Wall: began, Start: began, Settings: []byte(ruleSettings)}, s.records, s.workers)
+			report, err := CheckRules([]*Life{run}, RulesPlan{Cores: 1}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.rule == 0 && len(r.Broken) > 0 || c.rule > 0 && (len(r.Broken) == 0 || r.Broken[0].Rule != c.rule || !strings.Contains(r.Broken[0].Text, c.text)) {
-				t.Errorf("found %v", r.Broken)
+			if c.rule == 0 && len(report.Broken) > 0 || c.rule > 0 && (len(report.Broken) == 0 || report.Broken[0].Rule != c.rule || !strings.Contains(report.Broken[0].Text, c.text)) {
+				t.Errorf("found %v", report.Broken)
 			}
 		})
 	}
 }
 
-// A txn that two sentries had is one tale, in the order of what happened and not of what their clocks showed.
-func TestTaleOverTwoSentries(t *testing.T) {
-	h := func(i uint32, wall int64) *tracepb.Header {
+// The attempts of a client at two sentries form one timeline in true order, although one clock is 4 s behind.
+func TestTimelineOverTwoSentries(t *testing.T) {
+	header := func(i uint32, wall int64) *tracepb.Header {
 		return &tracepb.Header{Edge: fmt.Sprint("edge-", i), Sentry: i, Life: uint64(i + 1), Wall: wall, Start: began, Products: []string{"ask"}}
 	}
 	id := [2]uint64{7, 8}
-	news := func(s *scene) {
-		s.news(0, &tracepb.News{Build: 1, Phase: int64(logic.Released)})
+	addReleases := func(s *recordScript) {
+		s.release(0, &tracepb.News{Build: 1, Phase: int64(logic.Released)})
 		for i := 0; i < 8; i++ {
-			s.news(100+i*100, &tracepb.News{Build: 2, Stage: int64(i)})
+			s.release(100+i*100, &tracepb.News{Build: 2, Stage: int64(i)})
 		}
 	}
-	var first, second scene
-	news(&first)
+	var first, second recordScript
+	addReleases(&first)
 	first.add(2000, "", Record{Kind: tracepb.Kind_TAKE, Txn: 9, Serial: 4, Key: 11, TraceID: id, Patience: 1e9})
 	first.submit(2001, 9, "w")
-	news(&second)
+	addReleases(&second)
 	second.add(2600, "", Record{Kind: tracepb.Kind_TAKE, Txn: 9, Serial: 2, Key: 11, TraceID: id, Patience: 1e9})
 	second.submit(2601, 9, "x")
-	second.end(2650, 9, 0, logic.OK, 200)
-	lives := []*Life{script(t, h(0, began), first.records, first.workers), script(t, h(1, began-4e9), second.records, second.workers)} // 4 s behind
-	stories, err := Follow(lives, Query{Sentry: -1, TraceID: id}, nil)
-	if err != nil || len(stories) != 2 || len(LivesOf(stories)) != 2 {
-		t.Fatalf("%d stories, %v", len(stories), err)
+	second.outcome(2650, 9, 0, logic.OK, 200)
+	runs := []*Life{writeRun(t, header(0, began), first.records, first.workers), writeRun(t, header(1, began-4e9), second.records, second.workers)} // 4 s behind
+	histories, err := Follow(runs, Query{Sentry: -1, TraceID: id}, nil)
+	if err != nil || len(histories) != 2 || len(LivesOf(histories)) != 2 {
+		t.Fatalf("%d stories, %v", len(histories), err)
 	}
-	clocks, err := Clocks(lives, nil)
+	clocks, err := Clocks(runs, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	tale := Join(stories, lives, clocks)
+	timeline := Join(histories, runs, clocks)
 	var names []string
-	for _, l := range tale.Entries {
-		names = append(names, stories[l.History].Name())
+	for _, entry := range timeline.Entries {
+		names = append(names, histories[entry.History].Name())
 	}
 	if got := strings.Join(names, " "); got != "s0-4 s0-4 s1-2 s1-2 s1-2" {
 		t.Errorf("the order is %s; clocks %v", got, clocks)
 	}
-	if raw := Join(stories, lives, nil); stories[raw.Entries[0].History].Sentry != 1 {
-		t.Error("by raw time the second sentry should come first: the test shows nothing")
+	if raw := Join(histories, runs, nil); histories[raw.Entries[0].History].Sentry != 1 {
+		t.Error("the raw times are in true order, so the test proves nothing")
 	}
-	tale = Join(stories, lives, clocks)
+	timeline = Join(histories, runs, clocks)
 	var text, svg bytes.Buffer
-	tale.Print(&text)
+	timeline.Print(&text)
 	if !strings.Contains(text.String(), "no end recorded") || !strings.Contains(text.String(), "answered with 200") || strings.Contains(text.String(), "?") {
-		t.Errorf("the tale:\n%s", text.String())
+		t.Errorf("the timeline:\n%s", text.String())
 	}
-	if err := tale.SVG(&svg); err != nil {
+	if err := timeline.SVG(&svg); err != nil {
 		t.Fatal(err)
 	}
-	d := xml.NewDecoder(&svg)
+	decoder := xml.NewDecoder(&svg)
 	arrows := 0
 	for {
-		token, err := d.Token()
+		token, err := decoder.Token()
 		if err == io.EOF {
 			break
 		}
@@ -318,24 +318,25 @@
 	if arrows != 5 {
 		t.Errorf("%d arrows for 5 steps", arrows)
 	}
-	if err := tale.SVG(failing{}); err == nil {
-		t.Error("a chart that cannot be written is no error")
+	if err := timeline.SVG(failingWriter{}); err == nil {
+		t.Error("writing a diagram to a failing writer succeeded")
 	}
 }
 
-type failing struct{}
+type failingWriter struct{}
 
-func (failing) Write([]byte) (int, error) { return 0, errors.New("no space left") }
+func (failingWriter) Write([]byte) (int, error) { return 0, errors.New("no space left") }
 
-func TestSpansAreOpenTelemetrys(t *testing.T) {
+// The export must parse as one TracesData, with unique span ids, existing parents, and a root span for each txn.
+func TestExportedSpansAreOpenTelemetry(t *testing.T) {
 	dir := t.TempDir()
 	recordRun(t, dir, testRetention, 3000)
-	all, err := Lives([]string{dir})
+	runs, err := Lives([]string{dir})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var buf bytes.Buffer
-	n, err := ExportSpans(all, nil, &buf, nil)
+	n, err := ExportSpans(runs, nil, &buf, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -343,21 +344,21 @@
 	if err := proto.Unmarshal(buf.Bytes(), &data); err != nil {
 		t.Fatal(err)
 	}
-	got, roots := 0, 0
+	count, roots := 0, 0
 	ids := map[string]bool{}
 	parents := map[string]string{}
 	for _, r := range data.ResourceSpans {
 		for _, s := range r.ScopeSpans {
-			for _, x := range s.Spans {
-				got++
-				if len(x.TraceId) != 16 || len(x.SpanId) != 8 || ids[string(x.SpanId)] || x.EndTimeUnixNano < x.StartTimeUnixNano {
-					t.Fatalf("a span %v", x)
+			for _, span := range s.Spans {
+				count++
+				if len(span.TraceId) != 16 || len(span.SpanId) != 8 || ids[string(span.SpanId)] || span.EndTimeUnixNano < span.StartTimeUnixNano {
+					t.Fatalf("a span %v", span)
 				}
-				ids[string(x.SpanId)] = true
-				if len(x.ParentSpanId) == 0 {
+				ids[string(span.SpanId)] = true
+				if len(span.ParentSpanId) == 0 {
 					roots++
 				} else {
-					parents[string(x.SpanId)] = string(x.ParentSpanId)
+					parents[string(span.SpanId)] = string(span.ParentSpanId)
 				}
 			}
 		}
@@ -367,14 +368,16 @@
 			t.Fatal("a span whose parent is missing")
 		}
 	}
-	if got != n || roots != 3000 || len(parents) < 3000 {
-		t.Errorf("%d of %d spans, %d of 3000 txns, %d submissions", got, n, roots, len(parents))
+	if count != n || roots != 3000 || len(parents) < 3000 {
+		t.Errorf("%d of %d spans, %d of 3000 txns, %d submissions", count, n, roots, len(parents))
 	}
-	if _, err := ExportSpans(all, nil, failing{}, nil); err == nil {
-		t.Error("an export that cannot be written is no error")
+	if _, err := ExportSpans(runs, nil, failingWriter{}, nil); err == nil {
+		t.Error("exporting to a failing writer succeeded")
 	}
 }
 
+// A sampled trace must hold all txns that ended badly and the configured share of the others, and count those that it
+// leaves out. A trace of decisions must hold all txns.
 func TestSampledLevels(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -391,89 +394,90 @@
 			rec.Start(now, 1)
 			rec.News(now, logic.ReleaseUpdate{Rel: 2, Cap: 0.1})
 			rng := rand.New(rand.NewSource(1))
-			bad, chosen := 0, 0
+			bad, sampled := 0, 0
 			const n = 5000
 			for i := 1; i <= n; i++ {
 				now += logic.Millisecond
-				x := logic.Txn{ID: logic.TxnID(i<<20 | i%64), Key: logic.KeyID(rng.Uint64() | 1), Expiry: now + logic.Second}
+				txn := logic.Txn{ID: logic.TxnID(i<<20 | i%64), Key: logic.KeyID(rng.Uint64() | 1), Expiry: now + logic.Second}
 				for rec.freeBuffers() <= reservedBuffers {
-					time.Sleep(time.Millisecond) // the writer is behind; nothing else is waited for
+					time.Sleep(time.Millisecond) // wait for the writer
 				}
-				rec.Take(now, &x, uint64(i), 0, 0)
-				rec.Submit(now, x.ID, "w", 0)
+				rec.Take(now, &txn, uint64(i), 0, 0)
+				rec.Submit(now, txn.ID, "w", 0)
 				rec.Event(now, tracepb.Kind_REMIND, 0, 0, 77, 5)
-				late := now + 30*logic.Millisecond
+				endedAt := now + 30*logic.Millisecond
 				switch {
 				case i%50 == 0:
 					bad++
-					rec.Event(late, tracepb.Kind_VOID, x.ID, 0, 0, 0)
+					rec.Event(endedAt, tracepb.Kind_VOID, txn.ID, 0, 0, 0)
 				case i%50 == 1:
 					bad++
-					rec.Outcome(late, &logic.Outcome{Txn: x.ID, Ending: logic.ErrorResponse, Final: true}, 503)
+					rec.Outcome(endedAt, &logic.Outcome{Txn: txn.ID, Ending: logic.ErrorResponse, Final: true}, 503)
 				default:
-					if InSample(uint64(x.Key), c.oneIn) {
-						chosen++
+					if InSample(uint64(txn.Key), c.oneIn) {
+						sampled++
 					}
-					rec.Outcome(late, &logic.Outcome{Txn: x.ID, Final: true, Elapsed: 30 * logic.Millisecond}, 200)
+					rec.Outcome(endedAt, &logic.Outcome{Txn: txn.ID, Final: true, Elapsed: 30 * logic.Millisecond}, 200)
 				}
-				rec.Done(late, x.ID)
+				rec.Done(endedAt, txn.ID)
 				rec.Flush(now)
 			}
 			rec.Close(now + 40*logic.Millisecond)
-			all, err := Lives([]string{dir})
-			if err != nil || len(all) != 1 {
+			runs, err := Lives([]string{dir})
+			if err != nil || len(runs) != 1 {
 				t.Fatal(err)
 			}
-			if _, err := Replay(all[0]); !errors.Is(err, ErrSampled) {
-				t.Errorf("a sampled file replays: %v", err)
+			if _, err := Replay(runs[0]); !errors.Is(err, ErrSampled) {
+				t.Errorf("replaying a sampled file: %v", err)
 			}
-			s, err := Summarise(all, nil)
+			s, err := Summarise(runs, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := s.Products[0]
-			want := bad + chosen
+			product := s.Products[0]
+			want := bad + sampled
 			if c.level == LevelDecisions {
 				want = n
 			}
-			if p.Taken != want || c.level == LevelSampled && (p.Settled != chosen || int(s.LeftOut) != n-want) || p.Voided != n/50 {
-				t.Errorf("%d taken, %d settled, %d voided, %d left out; %d bad and %d chosen of %d", p.Taken, p.Settled, p.Voided, s.LeftOut, bad, chosen, n)
+			if product.Taken != want || c.level == LevelSampled && (product.Settled != sampled || int(s.LeftOut) != n-want) || product.Voided != n/50 {
+				t.Errorf("%d taken, %d settled, %d voided, %d left out; %d bad and %d chosen of %d", product.Taken, product.Settled, product.Voided, s.LeftOut, bad, sampled, n)
 			}
-			stories, err := Follow(all, Query{Sentry: -1, Serial: 50}, nil)
-			if err != nil || len(stories) != 1 || stories[0].End != "voided" || stories[0].Steps[1].Worker != "w" ||
-				stories[0].Steps[2].At-stories[0].Taken != int64(30*logic.Millisecond) {
-				t.Errorf("the story of a voided txn: %+v, %v", stories, err)
+			histories, err := Follow(runs, Query{Sentry: -1, Serial: 50}, nil)
+			if err != nil || len(histories) != 1 || histories[0].End != "voided" || histories[0].Steps[1].Worker != "w" ||
+				histories[0].Steps[2].At-histories[0].Taken != int64(30*logic.Millisecond) {
+				t.Errorf("the history of a voided txn: %+v, %v", histories, err)
 			}
-			// All sentries keep the same keys, and about as many as was asked for.
-			if c.oneIn == 10 && (chosen < n/15 || chosen > n/7) {
-				t.Errorf("%d of %d are kept, at one in 10", chosen, n)
+			// All sentries sample the same keys, and about the requested share.
+			if c.oneIn == 10 && (sampled < n/15 || sampled > n/7) {
+				t.Errorf("%d of %d are kept, at one in 10", sampled, n)
 			}
 		})
 	}
 }
 
-func TestCompareFindsWhatChanged(t *testing.T) {
-	side := func(seed int64, failing int) *Summary {
+// Two samples of 4000 txns with equal rates must not differ; with rates of 3% and 5% they must.
+func TestCompareFindsChanges(t *testing.T) {
+	summarise := func(seed int64, failurePercent int) *Summary {
 		rng := rand.New(rand.NewSource(seed))
-		s := &scene{t: t}
+		s := &recordScript{t: t}
 		s.list(0, true, &tracepb.List_Worker{Id: "w", Build: 1})
 		for i := 1; i <= 4000; i++ {
 			s.take(i*10, uint64(i), 0)
 			s.submit(i*10, uint64(i), "w")
-			if rng.Intn(100) < failing {
+			if rng.Intn(100) < failurePercent {
 				s.add(i*10+5, "", Record{Kind: tracepb.Kind_VOID, Txn: uint64(i)})
 				continue
 			}
 			s.add(i*10+5, "", Record{Kind: tracepb.Kind_OUTCOME, Txn: uint64(i), Over: true, Token: 200, Elapsed: uint64(1e6 + rng.Intn(1e6))})
 		}
-		l := script(t, &tracepb.Header{Wall: began, Start: began, Products: []string{"ask"}, Settings: []byte(ruleSettings)}, s.records, s.workers)
-		sum, err := Summarise([]*Life{l}, nil)
+		run := writeRun(t, &tracepb.Header{Wall: began, Start: began, Products: []string{"ask"}, Settings: []byte(ruleSettings)}, s.records, s.workers)
+		summary, err := Summarise([]*Life{run}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return sum
+		return summary
 	}
-	differs := func(list []Change) (n int) {
+	countDifferences := func(list []Change) (n int) {
 		for _, c := range list {
 			if c.Differs && c.What == "ask, voided" {
 				n++
@@ -481,46 +485,46 @@
 		}
 		return n
 	}
-	same, other := Compare(side(1, 3), side(2, 3)), Compare(side(1, 3), side(2, 5))
-	if len(same) == 0 || differs(same) > 0 || differs(other) != 1 {
+	same, other := Compare(summarise(1, 3), summarise(2, 3)), Compare(summarise(1, 3), summarise(2, 5))
+	if len(same) == 0 || countDifferences(same) > 0 || countDifferences(other) != 1 {
 		t.Errorf("the same: %v; another: %v", same, other)
 	}
-	page, err := side(1, 3).Page("a page")
+	page, err := summarise(1, 3).Page("a page")
 	if err != nil || strings.Count(page, "<svg") < 2 || !strings.Contains(page, "ask") {
 		t.Errorf("a page of %d bytes, %v", len(page), err)
 	}
 }
 
-// crashing is a folder whose process dies after so many steps: nothing it does later reaches the disk.
-type crashing struct {
+// crashingDir simulates a process that dies after a number of operations: later ones do not reach the disk.
+type crashingDir struct {
 	Disk
-	left *int
+	stepsLeft *int
 }
 
-func (c crashing) step() error {
-	if *c.left--; *c.left < 0 {
+func (c crashingDir) step() error {
+	if *c.stepsLeft--; *c.stepsLeft < 0 {
 		return errors.New("the process is dead")
 	}
 	return nil
 }
-func (c crashing) Create(name string) (io.WriteCloser, error) {
+func (c crashingDir) Create(name string) (io.WriteCloser, error) {
 	if err := c.step(); err != nil {
 		return nil, err
 	}
 	f, err := c.Disk.Create(name)
 	return crashingFile{f, c}, err
 }
-func (c crashing) Remove(name string) error {
+func (c crashingDir) Remove(name string) error {
 	if err := c.step(); err != nil {
 		return err
 	}
 	return c.Disk.Remove(name)
 }
-func (c crashing) Replace(name string, data []byte) error {
+func (c crashingDir) Replace(name string, data []byte) error {
 	if err := c.step(); err != nil {
 		return err
 	}
-	// A crash between the two writes of it leaves the one beside.
+	// A crash between the write and the rename leaves the temporary file.
 	if err := os.WriteFile(filepath.Join(string(c.Disk), name+".new"), data[:len(data)/2], 0o644); err != nil {
 		return err
 	}
@@ -532,43 +536,43 @@
 
 type crashingFile struct {
 	io.WriteCloser
-	c crashing
+	dir crashingDir
 }
 
 func (f crashingFile) Write(b []byte) (int, error) {
-	if err := f.c.step(); err != nil {
-		n, _ := f.WriteCloser.Write(b[:len(b)/2]) // half of it got out
+	if err := f.dir.step(); err != nil {
+		n, _ := f.WriteCloser.Write(b[:len(b)/2]) // a partial write
 		return n, err
 	}
 	return f.WriteCloser.Write(b)
 }
 
-// After a crash between any two writes the folder can be read up to there, and goes on to be used.
+// A crash between any two writes must leave a folder that can be read up to there, and that the next process can use.
 func TestCrashBetweenAnyTwoWrites(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	small := Keep{SegmentBytes: 8 << 10, SegmentAge: time.Hour, TotalBytes: 24 << 10}
-	every := 1
-	if testing.Short() { // with the race detector
-		every = 7
-	}
-	for steps := 0; ; steps += every {
-		dir, left := t.TempDir(), steps
-		rec, err := NewRecorder(crashing{Disk(dir), &left}, small, &tracepb.Header{Edge: "e", Life: 7, Products: []string{"ask", "pay"}}, testSettings, zap.NewNop())
+	retention := Keep{SegmentBytes: 8 << 10, SegmentAge: time.Hour, TotalBytes: 24 << 10}
+	stride := 1
+	if testing.Short() { // too slow with the race detector
+		stride = 7
+	}
+	for steps := 0; ; steps += stride {
+		dir, stepsLeft := t.TempDir(), steps
+		rec, err := NewRecorder(crashingDir{Disk(dir), &stepsLeft}, retention, &tracepb.Header{Edge: "e", Life: 7, Products: []string{"ask", "pay"}}, testSettings, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
 		recordTxns(t, rec, 5000, true)
-		alive := left >= 0
-		lives, err := Lives([]string{dir})
-		if err != nil && !errors.Is(err, ErrNoTrace) { // a header that was cut holds nothing yet
+		survived := stepsLeft >= 0
+		runs, err := Lives([]string{dir})
+		if err != nil && !errors.Is(err, ErrNoTrace) { // a file with a partial header is no trace
 			t.Fatalf("after %d steps: %v", steps, err)
 		}
-		for _, l := range lives {
+		for _, l := range runs {
 			if err := l.Each(func(*Record, []string) bool { return true }, nil); err != nil {
 				t.Fatalf("after %d steps: %v", steps, err)
 			}
 		}
-		rec, err = NewRecorder(Disk(dir), small, &tracepb.Header{Edge: "e", Life: 8, Products: []string{"ask", "pay"}}, testSettings, zap.NewNop())
+		rec, err = NewRecorder(Disk(dir), retention, &tracepb.Header{Edge: "e", Life: 8, Products: []string{"ask", "pay"}}, testSettings, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -576,7 +580,7 @@
 		if data, err := os.ReadFile(filepath.Join(dir, manifestName)); err != nil || !bytes.Contains(data, []byte("0000000000000008")) {
 			t.Fatalf("after %d steps the manifest is %q, %v", steps, data, err)
 		}
-		if alive {
+		if survived {
 			if steps < 10 {
 				t.Fatalf("only %d steps", steps)
 			}
@@ -585,6 +589,7 @@
 	}
 }
 
+// The oldest segments must be deleted to keep the total size bounded, and a run without its start cannot be replayed.
 func TestRetention(t *testing.T) {
 	dir := t.TempDir()
 	recordRun(t, dir, Keep{SegmentBytes: 20 << 10, SegmentAge: time.Hour, TotalBytes: 60 << 10}, 30000)
@@ -596,17 +601,17 @@
 	if err != nil || len(list) < 2 || sum > 80<<10 {
 		t.Errorf("%d segments of %d bytes, %v", len(list), sum, err)
 	}
-	all, err := Lives([]string{dir})
-	if err != nil || all[0].Headers[len(all[0].Headers)-1].Segment < 3 {
-		t.Errorf("the newest is not there: %v", err)
+	runs, err := Lives([]string{dir})
+	if err != nil || runs[0].Headers[len(runs[0].Headers)-1].Segment < 3 {
+		t.Errorf("the newest segment is missing: %v", err)
 	}
-	if _, err := Replay(all[0]); !errors.Is(err, ErrNoStart) {
-		t.Errorf("a life without its start replays: %v", err)
+	if _, err := Replay(runs[0]); !errors.Is(err, ErrNoStart) {
+		t.Errorf("replaying a run without its start: %v", err)
 	}
 }
 
-// A cut by product, time or key opens only the blocks that may hold what is asked for; what it finds is the same.
-func TestCutPassesOverBlocks(t *testing.T) {
+// A cut by product, time or key must find all matching txns, and decompress at most half of the blocks.
+func TestCutSkipsBlocks(t *testing.T) {
 	dir := t.TempDir()
 	rec, err := NewRecorder(Disk(dir), testRetention, &tracepb.Header{Edge: "e", Life: 7, Wall: began, Start: began, Products: []string{"ask", "pay"}}, testSettings, zap.NewNop())
 	if err != nil {
@@ -616,24 +621,24 @@
 	rec.Start(now, 1)
 	for i := 1; i <= 20000; i++ {
 		now += logic.Millisecond
-		x := logic.Txn{ID: logic.TxnID(i), Key: logic.KeyID(i)*2 + 1, Expiry: now + logic.Second}
+		txn := logic.Txn{ID: logic.TxnID(i), Key: logic.KeyID(i)*2 + 1, Expiry: now + logic.Second}
 		if i > 15000 && i < 15010 {
-			x.Product = 1
+			txn.Product = 1
 		}
 		for rec.freeBuffers() <= reservedBuffers {
-			time.Sleep(time.Millisecond) // the writer is behind
+			time.Sleep(time.Millisecond) // wait for the writer
 		}
-		rec.Take(now, &x, uint64(i), 0, 0)
-		rec.Submit(now, x.ID, logic.WorkerID(fmt.Sprint("w", i%3)), 0)
-		rec.Outcome(now, &logic.Outcome{Txn: x.ID, Final: true}, 200)
+		rec.Take(now, &txn, uint64(i), 0, 0)
+		rec.Submit(now, txn.ID, logic.WorkerID(fmt.Sprint("w", i%3)), 0)
+		rec.Outcome(now, &logic.Outcome{Txn: txn.ID, Final: true}, 200)
 	}
 	rec.Close(now)
-	lives, err := Lives([]string{dir})
+	runs, err := Lives([]string{dir})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := lives[0]
-	wall := l.Headers[0].Wall
+	run := runs[0]
+	wall := run.Headers[0].Wall
 	for _, c := range []struct {
 		name string
 		f    Filter
@@ -641,7 +646,7 @@
 	}{{"product", Filter{Product: "pay"}, 9}, {"time", Filter{From: wall + 5e9, Till: wall + 6e9}, 1001}, {"key", Filter{Query: &Query{Sentry: -1, Key: 777*2 + 1}}, 1},
 		{"worker and product", Filter{Product: "pay", Worker: "w0"}, 3}} {
 		t.Run(c.name, func(t *testing.T) {
-			n, err := Cut(l, c.f, io.Discard, nil)
+			n, err := Cut(run, c.f, io.Discard, nil)
 			if err != nil || n != c.want {
 				t.Errorf("%d txns of %d, %v", n, c.want, err)
 			}
@@ -649,13 +654,13 @@
 			if c.f.Query != nil {
 				q = *c.f.Query
 			}
-			err = l.eachSkipping(func(*Record, []string) bool { return true }, nil, func(f *File, i int) bool {
+			err = run.eachSkipping(func(*Record, []string) bool { return true }, nil, func(f *File, i int) bool {
 				all++
-				may := c.f.mayMatch(l, q, f, i)
-				if may {
+				mayMatch := c.f.mayMatch(run, q, f, i)
+				if mayMatch {
 					opened++
 				}
-				return !may
+				return !mayMatch
 			})
 			if err != nil || opened == 0 || 2*opened > all {
 				t.Errorf("%d of %d blocks are opened, %v", opened, all, err)
