--- a/trace/anonymise.go
+++ b/trace/anonymise.go
@@ -128,8 +128,8 @@
 		return err
 	}
 	digest := sha256.Sum256(settings)
-	header := &tracepb.Header{Version: Version, Edge: s.pseudonym("edge", in.Edge), Sentry: in.Sentry, Life: s.pseudonymousID("life", in.Life), Segment: 0, Wall: in.Wall,
-		Start: in.Start, Module: in.Module, SettingsDigest: hex.EncodeToString(digest[:8]), Settings: settings, Level: LevelPart, OneIn: in.OneIn}
+	header := &tracepb.Header{Version: Version, Edge: s.pseudonym("edge", in.Edge), Sentry: in.Sentry, Life: s.pseudonymousID("life", in.Life), Segment: 0,
+		Wall: in.Wall, Start: in.Start, Module: in.Module, SettingsDigest: hex.EncodeToString(digest[:8]), Settings: settings, Level: LevelPart, OneIn: in.OneIn}
 	if len(in.Module) != 16 || strings.Trim(in.Module, "0123456789abcdef") != "" {
 		header.Module = ""
 	}
@@ -187,8 +187,8 @@
 		return nil, fmt.Errorf("%w: worker list: %w", ErrDamaged, err)
 	}
 	for _, w := range original.Workers {
-		anonymised.Workers = append(anonymised.Workers, &tracepb.List_Worker{Id: s.pseudonym("worker", w.Id), Zone: w.Zone, Kind: w.Kind, Cell: w.Cell, State: w.State,
-			Weight: w.Weight, Build: w.Build, Start: w.Start})
+		anonymised.Workers = append(anonymised.Workers, &tracepb.List_Worker{Id: s.pseudonym("worker", w.Id), Zone: w.Zone, Kind: w.Kind, Cell: w.Cell,
+			State: w.State, Weight: w.Weight, Build: w.Build, Start: w.Start})
 	}
 	return proto.Marshal(&anonymised)
 }
--- a/trace/otel.go
+++ b/trace/otel.go
@@ -127,8 +127,9 @@
 		step := &h.Steps[i]
 		switch step.Kind {
 		case tracepb.Kind_SUBMIT:
-			submissions = append(submissions, &otlp.Span{TraceId: traceID, SpanId: e.spanID(h, uint64(len(submissions))+1), ParentSpanId: root.SpanId, Name: "submission to " + step.Worker,
-				Kind: otlp.Span_SPAN_KIND_CLIENT, StartTimeUnixNano: e.wallTime(step.At), EndTimeUnixNano: e.wallTime(end), Attributes: []*common.KeyValue{
+			submissions = append(submissions, &otlp.Span{TraceId: traceID, SpanId: e.spanID(h, uint64(len(submissions))+1), ParentSpanId: root.SpanId,
+				Name: "submission to " + step.Worker, Kind: otlp.Span_SPAN_KIND_CLIENT,
+				StartTimeUnixNano: e.wallTime(step.At), EndTimeUnixNano: e.wallTime(end), Attributes: []*common.KeyValue{
 					stringAttribute("dunegrade.worker", step.Worker), intAttribute("dunegrade.build", step.Build), stringAttribute("dunegrade.why", step.Why)},
 				Status: &otlp.Status{}})
 			continue
@@ -145,7 +146,8 @@
 				root.Attributes = append(root.Attributes, intAttribute("http.response.status_code", int64(step.Token)))
 			}
 		}
-		root.Events = append(root.Events, &otlp.Span_Event{TimeUnixNano: e.wallTime(step.At), Name: step.What, Attributes: []*common.KeyValue{stringAttribute("dunegrade.why", step.Why)}})
+		root.Events = append(root.Events, &otlp.Span_Event{TimeUnixNano: e.wallTime(step.At), Name: step.What,
+			Attributes: []*common.KeyValue{stringAttribute("dunegrade.why", step.Why)}})
 	}
 	e.spans = append(append(e.spans, root), submissions...)
 	if len(e.spans) >= spansPerMessage {
@@ -159,8 +161,8 @@
 		return nil
 	}
 	data, err := proto.Marshal(&otlp.TracesData{ResourceSpans: []*otlp.ResourceSpans{{
-		Resource: &resource.Resource{Attributes: []*common.KeyValue{stringAttribute("service.name", "dunegrade-edge"), stringAttribute("service.instance.id", e.run.Edge),
-			intAttribute("dunegrade.sentry", int64(e.run.Sentry))}},
+		Resource: &resource.Resource{Attributes: []*common.KeyValue{stringAttribute("service.name", "dunegrade-edge"),
+			stringAttribute("service.instance.id", e.run.Edge), intAttribute("dunegrade.sentry", int64(e.run.Sentry))}},
 		ScopeSpans: []*otlp.ScopeSpans{{Scope: &common.InstrumentationScope{Name: "dunegrade/trace"}, Spans: e.spans}},
 	}}})
 	if err != nil {
--- a/trace/rules.go
+++ b/trace/rules.go
@@ -181,8 +181,8 @@
 }
 
 func newSentryChecker(l *Life, options RulesPlan, report *RulesReport) (*sentryChecker, error) {
-	s := &sentryChecker{run: l, report: report, settings: options.Settings, open: map[uint64]*checkedTxn{}, workers: map[string]*checkedWorker{}, windows: map[int]*exposureWindow{},
-		answeredBy: map[uint64]int64{}}
+	s := &sentryChecker{run: l, report: report, settings: options.Settings, open: map[uint64]*checkedTxn{}, workers: map[string]*checkedWorker{},
+		windows: map[int]*exposureWindow{}, answeredBy: map[uint64]int64{}}
 	if s.settings == nil {
 		s.settings = map[string]any{}
 		if err := json.Unmarshal(l.Headers[0].Settings, &s.settings); err != nil {
@@ -366,8 +366,8 @@
 		return
 	}
 	s.checkAnswer(txn, r.At)
-	if worker := s.workers[submission.worker]; ending == logic.OK && r.Token < 300 && worker != nil && txn.key != 0 && worker.build == s.release.Build && s.flag("release.one-way") &&
-		(s.release.Phase == int64(logic.OnTrial) || s.release.Phase == int64(logic.Released)) {
+	if worker := s.workers[submission.worker]; ending == logic.OK && r.Token < 300 && worker != nil && txn.key != 0 && worker.build == s.release.Build &&
+		s.flag("release.one-way") && (s.release.Phase == int64(logic.OnTrial) || s.release.Phase == int64(logic.Released)) {
 		s.answeredBy[txn.key] = worker.build
 	}
 }
--- a/trace/summary.go
+++ b/trace/summary.go
@@ -130,7 +130,8 @@
 
 // Summarise computes statistics over the runs. It skips damaged parts and reports them to onDamage.
 func Summarise(runs []*Life, onDamage func(path string, d Damage)) (*Summary, error) {
-	s := &summariser{buckets: map[int64]*Bucket{}, summary: &Summary{Lives: len(runs), Votes: map[string]int{}}, workers: map[string]*SubmissionStats{}, builds: map[string]*SubmissionStats{}}
+	s := &summariser{buckets: map[int64]*Bucket{}, summary: &Summary{Lives: len(runs), Votes: map[string]int{}},
+		workers: map[string]*SubmissionStats{}, builds: map[string]*SubmissionStats{}}
 	productStats := map[string]*ProductStats{}
 	for _, l := range runs {
 		s.workerBuilds, s.open = map[string]int64{}, map[uint64]*openTxn{}
@@ -229,8 +230,8 @@
 	case tracepb.Kind_LOG:
 		test := VerdictTest{At: time.Unix(0, r.At+s.wallOffset).UTC(), Sentry: s.sentry}
 		verdict := uint32(0)
-		if n, _ := fmt.Sscanf(r.Text, "vote %d on build %d: %f pairs, %f against, %f for, p %f, spread %f", &verdict, &test.Build, &test.Pairs, &test.Against, &test.For,
-			&test.P, &test.Spread); n == 7 {
+		if n, _ := fmt.Sscanf(r.Text, "vote %d on build %d: %f pairs, %f against, %f for, p %f, spread %f", &verdict, &test.Build,
+			&test.Pairs, &test.Against, &test.For, &test.P, &test.Spread); n == 7 {
 			test.Verdict = verdictTexts[verdict]
 			s.summary.Tests = append(s.summary.Tests, test)
 		}
@@ -364,7 +365,8 @@
 
 // Print writes the summary as tables.
 func (s *Summary) Print(w io.Writer) {
-	fmt.Fprintf(w, "%d runs, %d records, %s to %s, %d txns not recorded\n\n", s.Lives, s.Records, s.First.Format(time.RFC3339), s.Last.Format(time.RFC3339), s.Missing)
+	fmt.Fprintf(w, "%d runs, %d records, %s to %s, %d txns not recorded\n\n", s.Lives, s.Records, s.First.Format(time.RFC3339),
+		s.Last.Format(time.RFC3339), s.Missing)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "product\ttaken\tsettled\tdeclined\tvoided\tleft\tno end\tsubmissions a txn\tp50 ms\tp99 ms\t")
 	for _, p := range s.Products {
