--- a/trace/follow.go
+++ b/trace/follow.go
@@ -257,7 +257,7 @@
 		if int(n) < len(submissions) {
 			return submissions[n].Worker
 		}
-		return "an unrecorded worker"
+		return "a worker that is not recorded"
 	}
 	switch step.Kind {
 	case tracepb.Kind_TAKE:
@@ -266,10 +266,10 @@
 		step.What = fmt.Sprintf("submission %d to %s", step.Number, step.Worker)
 		step.Why = "first choice"
 		if len(h.Steps) > 0 && len(submissions) > 0 {
-			step.Why = "second copy, because the first is slow"
+			step.Why = "a second copy, as the first is long in coming"
 			for i := len(h.Steps) - 1; i > 0; i-- {
 				if previous := &h.Steps[i]; previous.Kind == tracepb.Kind_OUTCOME && previous.At == step.At {
-					step.Why = fmt.Sprintf("retry, because submission %d ended: %s", previous.Number, endingTexts[previous.Ending])
+					step.Why = fmt.Sprintf("again, as submission %d ended: %s", previous.Number, endingTexts[previous.Ending])
 					break
 				}
 			}
@@ -312,7 +312,7 @@
 		}
 	}
 	if submitted > 0 {
-		return "it expired"
+		return "its time was up"
 	}
 	return "no worker could be sent it"
 }
