--- a/trace/compare.go
+++ b/trace/compare.go
@@ -114,7 +114,7 @@
 		fmt.Fprintf(table, "%s\t%.4g\t%.4g\t%+.4g ± %.2g %s\n", change.What, change.Before, change.After, change.After-change.Before, change.Unsure, mark)
 	}
 	table.Flush()
-	fmt.Fprintln(w, "*: significant at the 5% level, for each line by itself")
+	fmt.Fprintln(w, "*: significant at the level of 0.05, for each line by itself")
 }
 
 // Page returns an HTML page with charts of the summary.
