--- a/lab/checker.go
+++ b/lab/checker.go
@@ -39,7 +39,7 @@
 type checker struct {
 	day      *Day
 	rec      *Record
-	byTxn    map[uint64][]*Arrival
+	byTxn    map[uint64][]*SubmissionRecord
 	txns     map[uint64]*TxnRecord
 	lives    map[[2]int]Incarnation
 	releases map[int][]EdgeUpdate // by edge
@@ -54,7 +54,7 @@
 func check(day *Day, rec *Record, allow slacks) []Violation {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
-	c := &checker{day: day, rec: rec, byTxn: map[uint64][]*Arrival{}, txns: map[uint64]*TxnRecord{}, lives: map[[2]int]Incarnation{},
+	c := &checker{day: day, rec: rec, byTxn: map[uint64][]*SubmissionRecord{}, txns: map[uint64]*TxnRecord{}, lives: map[[2]int]Incarnation{},
 		releases: map[int][]EdgeUpdate{}, lists: map[int][]EdgeUpdate{}, slacks: allow}
 	for _, t := range rec.Txns {
 		c.txns[t.ID] = t
@@ -63,7 +63,7 @@
 		c.byTxn[a.Txn] = append(c.byTxn[a.Txn], a)
 	}
 	for _, list := range c.byTxn {
-		sort.SliceStable(list, func(i, j int) bool { return list[i].At < list[j].At })
+		sort.SliceStable(list, func(i, j int) bool { return list[i].ReceivedAt < list[j].ReceivedAt })
 	}
 	for _, l := range rec.Incarnations {
 		c.lives[[2]int{l.Edge, l.Number}] = l
@@ -103,18 +103,18 @@
 // story tells all that is known of a txn.
 func (c *checker) story(t *TxnRecord) []string {
 	s := []string{fmt.Sprintf("txn %d (%s, key %d) sent to edge %d at %.3fs, patience until %.3fs", t.ID, c.day.Products[t.Product].Name,
-		t.Key, t.Edge, t.SentAt.Seconds(), t.Until.Seconds())}
+		t.Key, t.Edge, t.SentAt.Seconds(), t.Deadline.Seconds())}
 	for _, a := range c.byTxn[t.ID] {
-		s = append(s, fmt.Sprintf("%.3fs at worker %s of build %d: %s (began %t, ended %.3fs)", a.At.Seconds(), a.Worker, a.Build, a.End,
-			a.Began, a.Finished.Seconds()))
+		s = append(s, fmt.Sprintf("%.3fs at worker %s of build %d: %s (began %t, ended %.3fs)", a.ReceivedAt.Seconds(), a.Worker, a.Build, a.Result,
+			a.TookEffect, a.FinishedAt.Seconds()))
 	}
 	switch {
 	case t.AnsweredAt > 0:
 		s = append(s, fmt.Sprintf("answered at %.3fs: %d %s", t.AnsweredAt.Seconds(), t.Status, t.Outcome))
-	case t.Left > 0:
-		s = append(s, fmt.Sprintf("client left at %.3fs", t.Left.Seconds()))
+	case t.LeftAt > 0:
+		s = append(s, fmt.Sprintf("client left at %.3fs", t.LeftAt.Seconds()))
 	default:
-		s = append(s, "no answer: "+t.Broken)
+		s = append(s, "no answer: "+t.Failure)
 	}
 	return s
 }
@@ -122,12 +122,12 @@
 // cut tells whether the process that had the txn ended with it: what a killed edge held is not its duty. One that
 // was asked to stop is excused only for what no worker ever saw and the client sent as it closed.
 func (c *checker) cut(t *TxnRecord) bool {
-	l, known := c.lives[[2]int{t.Edge, t.Life}]
+	l, known := c.lives[[2]int{t.Edge, t.Incarnation}]
 	if !known || l.EndedAt == 0 {
 		return false
 	}
 	if l.Killed {
-		return t.SentAt <= l.EndedAt+c.after && t.Until+c.slacks.answer >= l.EndedAt
+		return t.SentAt <= l.EndedAt+c.after && t.Deadline+c.slacks.answer >= l.EndedAt
 	}
 	return l.StopRequestedAt > 0 && t.SentAt >= l.StopRequestedAt-c.after && len(c.byTxn[t.ID]) == 0
 }
@@ -135,30 +135,30 @@
 // answers is rule 1: exactly one final answer in time, and nothing sent after.
 func (c *checker) answers() {
 	for _, t := range c.rec.Txns {
-		if t.Extra || t.Strange {
+		if t.ExtraBytes || t.ForeignAnswer {
 			c.break_(1, t.AnsweredAt, t, "more than one answer, or another txn's")
 		}
 		switch {
-		case t.Broken == "broken" && !c.cut(t):
+		case t.Failure == "broken" && !c.cut(t):
 			c.break_(1, t.SentAt, t, "the connection ended without an answer")
-		case t.Left >= t.Until && t.Left > 0 && !c.cut(t):
-			c.break_(1, t.Until, t, "no answer within the client's patience")
-		case t.AnsweredAt > t.Until+c.slacks.answer:
-			c.break_(1, t.AnsweredAt, t, "answered %v after the client's patience", t.AnsweredAt-t.Until)
+		case t.LeftAt >= t.Deadline && t.LeftAt > 0 && !c.cut(t):
+			c.break_(1, t.Deadline, t, "no answer within the client's patience")
+		case t.AnsweredAt > t.Deadline+c.slacks.answer:
+			c.break_(1, t.AnsweredAt, t, "answered %v after the client's patience", t.AnsweredAt-t.Deadline)
 		}
-		over := t.Until
+		over := t.Deadline
 		if t.AnsweredAt > 0 {
 			over = min(over, t.AnsweredAt)
 		}
-		if t.Left > 0 {
-			over = min(over, t.Left)
+		if t.LeftAt > 0 {
+			over = min(over, t.LeftAt)
 		}
-		if t.Broken != "" {
+		if t.Failure != "" {
 			continue // when it ended is not known
 		}
 		for _, a := range c.byTxn[t.ID] {
-			if a.At > over+c.after {
-				c.break_(1, a.At, t, "sent to a worker %v after its end", a.At-over)
+			if a.ReceivedAt > over+c.after {
+				c.break_(1, a.ReceivedAt, t, "sent to a worker %v after its end", a.ReceivedAt-over)
 			}
 		}
 	}
@@ -172,27 +172,27 @@
 		if p.Effect == "inquiry-like" {
 			continue
 		}
-		var first *Arrival // that may have run, as far as the edge can know
+		var first *SubmissionRecord // that may have run, as far as the edge can know
 		for _, a := range c.byTxn[t.ID] {
 			if first != nil && p.Effect == "once-only" {
-				c.break_(2, a.At, t, "once-only, sent again though it may have run")
+				c.break_(2, a.ReceivedAt, t, "once-only, sent again though it may have run")
 			}
-			if first != nil && p.Effect == "referenced" && a.At-first.At > p.DedupMemory+c.drain {
-				c.break_(2, a.At, t, "referenced, sent again %v after its first submission; workers remember %v", a.At-first.At, p.DedupMemory)
+			if first != nil && p.Effect == "referenced" && a.ReceivedAt-first.ReceivedAt > p.DedupMemory+c.drain {
+				c.break_(2, a.ReceivedAt, t, "referenced, sent again %v after its first submission; workers remember %v", a.ReceivedAt-first.ReceivedAt, p.DedupMemory)
 			}
-			if !a.Turned && first == nil {
+			if !a.Rejected && first == nil {
 				first = a
 			}
-			if a.Began {
-				ran[t.Lineage]++
+			if a.TookEffect {
+				ran[t.FirstTryID]++
 			}
 		}
-		if t.Outcome == "declined" && p.Effect == "once-only" && first != nil && first.At < t.AnsweredAt {
+		if t.Outcome == "declined" && p.Effect == "once-only" && first != nil && first.ReceivedAt < t.AnsweredAt {
 			c.break_(2, t.AnsweredAt, t, "once-only, declined though it may have run")
 		}
-		if p.Effect == "once-only" && ran[t.Lineage] > 1 {
-			c.break_(2, t.SentAt, t, "a once-only effect took place %d times", ran[t.Lineage])
-			ran[t.Lineage] = -1000
+		if p.Effect == "once-only" && ran[t.FirstTryID] > 1 {
+			c.break_(2, t.SentAt, t, "a once-only effect took place %d times", ran[t.FirstTryID])
+			ran[t.FirstTryID] = -1000
 		}
 	}
 }
@@ -236,21 +236,21 @@
 			}
 			for _, a := range c.rec.Submissions {
 				t := c.txns[a.Txn]
-				if t == nil || t.Edge != edge || t.Life != key[1] {
+				if t == nil || t.Edge != edge || t.Incarnation != key[1] {
 					continue
 				}
 				var last *state
 				back := false
 				for i := range told[a.Worker] {
 					s := &told[a.Worker][i]
-					if s.at <= a.At-c.day.DrainGrace-c.drain {
+					if s.at <= a.ReceivedAt-c.day.DrainGrace-c.drain {
 						last, back = s, false
-					} else if s.at <= a.At+c.drain && !s.gone {
+					} else if s.at <= a.ReceivedAt+c.drain && !s.gone {
 						back = true
 					}
 				}
 				if last != nil && last.gone && !back {
-					c.break_(3, a.At, t, "sent to worker %s %v after the edge was told that it goes", a.Worker, a.At-last.at)
+					c.break_(3, a.ReceivedAt, t, "sent to worker %s %v after the edge was told that it goes", a.Worker, a.ReceivedAt-last.at)
 				}
 			}
 		}
@@ -259,20 +259,20 @@
 
 // falls is rule 4: no cold worker pushed over. Two thirds of the work must have come from edges told of its start.
 func (c *checker) falls() {
-	for _, f := range c.rec.Falls {
+	for _, f := range c.rec.OverloadFailures {
 		all, told := time.Duration(0), time.Duration(0)
-		for edge, sum := range f.From {
+		for edge, sum := range f.WorkByEdge {
 			all += sum
 			for _, t := range c.lists[edge] {
-				if t.Worker == f.Worker && t.Started == f.Started && t.At <= f.At {
+				if t.Worker == f.Worker && t.Started == f.WorkerStartedAt && t.At <= f.At {
 					told += sum
 					break
 				}
 			}
 		}
 		if all > 0 && 3*told >= 2*all {
-			c.break_(4, f.At, nil, "worker %s, started at %.3fs, was pushed over by %v of work from edges %v", f.Worker, f.Started.Seconds(),
-				all, f.From)
+			c.break_(4, f.At, nil, "worker %s, started at %.3fs, was pushed over by %v of work from edges %v", f.Worker, f.WorkerStartedAt.Seconds(),
+				all, f.WorkByEdge)
 		}
 	}
 }
@@ -299,19 +299,19 @@
 func (c *checker) exposure() {
 	type lane struct{ edge, life, product int }
 	type shown struct {
-		*Arrival
+		*SubmissionRecord
 		build int
 	}
-	subs, took := map[lane][]*Arrival{}, map[lane][]time.Duration{}
+	subs, took := map[lane][]*SubmissionRecord{}, map[lane][]time.Duration{}
 	laneOf := func(t *TxnRecord) lane {
-		l := lane{t.Edge, t.Life, -1}
+		l := lane{t.Edge, t.Incarnation, -1}
 		if c.day.ExposureScope == "product" {
 			l.product = t.Product
 		}
 		return l
 	}
 	for _, t := range c.rec.Txns {
-		if t.Broken != "refused" {
+		if t.Failure != "refused" {
 			l := laneOf(t)
 			took[l] = append(took[l], t.SentAt)
 		}
@@ -322,13 +322,13 @@
 	}
 	for l, list := range subs {
 		life := c.lives[[2]int{l.edge, l.life}]
-		sort.Slice(list, func(i, j int) bool { return list[i].At < list[j].At })
+		sort.Slice(list, func(i, j int) bool { return list[i].ReceivedAt < list[j].ReceivedAt })
 		sort.Slice(took[l], func(i, j int) bool { return took[l][i] < took[l][j] })
 		var trial []shown
 		for _, a := range list {
 			build := c.buildOf(l.edge, life, a)
-			onTrial, cap, from := true, 0.0, a.At-c.day.ExposureWindow
-			known := c.possible(l.edge, life, a.At)
+			onTrial, cap, from := true, 0.0, a.ReceivedAt-c.day.ExposureWindow
+			known := c.possible(l.edge, life, a.ReceivedAt)
 			guarded := len(known) > 0
 			for _, t := range known {
 				r := t.Release
@@ -348,27 +348,27 @@
 			trial = append(trial, shown{a, build})
 			t := c.txns[a.Txn]
 			if cap == 0 {
-				c.break_(5, a.At, t, "sent to build %d on trial at a cap of 0", build)
+				c.break_(5, a.ReceivedAt, t, "sent to build %d on trial at a cap of 0", build)
 				continue
 			}
 			if guarded && c.day.Products[t.Product].Effect != "inquiry-like" {
-				c.break_(5, a.At, t, "a txn with an effect sent to build %d in a guarded stage", build)
+				c.break_(5, a.ReceivedAt, t, "a txn with an effect sent to build %d in a guarded stage", build)
 			}
 			n := 0
-			for k := len(trial) - 1; k >= 0 && trial[k].At > from; k-- {
+			for k := len(trial) - 1; k >= 0 && trial[k].ReceivedAt > from; k-- {
 				if trial[k].build == build {
 					n++
 				}
 			}
 			all := 0
-			for k := sort.Search(len(took[l]), func(k int) bool { return took[l][k] > a.At }) - 1; k >= 0 &&
+			for k := sort.Search(len(took[l]), func(k int) bool { return took[l][k] > a.ReceivedAt }) - 1; k >= 0 &&
 				took[l][k] > from-c.slacks.exposure; k-- {
 				all++
 			}
 			wide := 1 + 2*c.slacks.exposure.Seconds()/c.day.ExposureWindow.Seconds()
 			allowed := c.day.FreeSubmissions*float64(c.day.Loops)*wide + cap*float64(all)
 			if float64(n) > allowed+1e-9 {
-				c.break_(5, a.At, t, "%d submissions to build %d in %v; allowed %.1f = %g free + %g of %d txns", n, build, c.day.ExposureWindow, allowed,
+				c.break_(5, a.ReceivedAt, t, "%d submissions to build %d in %v; allowed %.1f = %g free + %g of %d txns", n, build, c.day.ExposureWindow, allowed,
 					c.day.FreeSubmissions, cap, all)
 			}
 		}
@@ -376,16 +376,16 @@
 }
 
 // buildOf is the build that counts for a submission: the one that ran, unless the edge's list had not shown it yet.
-func (c *checker) buildOf(edge int, life Incarnation, a *Arrival) int {
+func (c *checker) buildOf(edge int, life Incarnation, a *SubmissionRecord) int {
 	last := a.Build
 	for _, t := range c.lists[edge] {
-		if t.Worker != a.Worker || t.At < life.StartedAt || t.At > a.At+c.slacks.exposure {
+		if t.Worker != a.Worker || t.At < life.StartedAt || t.At > a.ReceivedAt+c.slacks.exposure {
 			continue
 		}
-		if t.Build == a.Build && t.At >= a.At-c.slacks.exposure {
+		if t.Build == a.Build && t.At >= a.ReceivedAt-c.slacks.exposure {
 			return a.Build
 		}
-		if t.At <= a.At && t.Build > 0 {
+		if t.At <= a.ReceivedAt && t.Build > 0 {
 			last = t.Build
 		}
 	}
@@ -404,27 +404,27 @@
 	met := map[at][]*TxnRecord{}
 	for _, t := range c.rec.Txns {
 		if t.AnsweredAt > 0 && t.Status == 200 && t.Build > 0 {
-			k := at{t.Edge, t.Life, t.Key}
+			k := at{t.Edge, t.Incarnation, t.Key}
 			met[k] = append(met[k], t)
 		}
 	}
 	for _, t := range c.rec.Txns {
 		for _, a := range c.byTxn[t.ID] {
-			for _, m := range met[at{t.Edge, t.Life, t.Key}] {
-				if m.Build <= a.Build || m.AnsweredAt+c.slacks.exposure >= a.At {
+			for _, m := range met[at{t.Edge, t.Incarnation, t.Key}] {
+				if m.Build <= a.Build || m.AnsweredAt+c.slacks.exposure >= a.ReceivedAt {
 					continue
 				}
-				life := c.lives[[2]int{t.Edge, t.Life}]
+				life := c.lives[[2]int{t.Edge, t.Incarnation}]
 				binds := true
 				// Every state that the edge may have held from the answer on must bind the key.
-				for _, k := range c.between(t.Edge, life, m.AnsweredAt-c.slacks.exposure, a.At+c.slacks.exposure) {
+				for _, k := range c.between(t.Edge, life, m.AnsweredAt-c.slacks.exposure, a.ReceivedAt+c.slacks.exposure) {
 					r := k.Release
 					if r.Build != m.Build || r.Phase != api.OnTrial && r.Phase != api.Released {
 						binds = false
 					}
 				}
 				if binds {
-					c.break_(5, a.At, t, "key %d, answered by build %d through this edge at %.3fs, sent to build %d", t.Key, m.Build,
+					c.break_(5, a.ReceivedAt, t, "key %d, answered by build %d through this edge at %.3fs, sent to build %d", t.Key, m.Build,
 						m.AnsweredAt.Seconds(), a.Build)
 					break
 				}
--- a/lab/checker_test.go
+++ b/lab/checker_test.go
@@ -28,24 +28,24 @@
 	}
 	r := &Record{Incarnations: []Incarnation{{Edge: 0, Number: 0, StartedAt: 0}}}
 	r.Updates = []EdgeUpdate{{FullList: true}, {Worker: "old1", State: "up"}, {Worker: "old2", State: "up"}, {Worker: "new", State: "up", Started: 1},
-		{Release: &ToldRelease{2, 0, "on-trial", 0.1}}}
+		{Release: &ReleaseState{2, 0, "on-trial", 0.1}}}
 	for i := 0; i < 200; i++ {
 		sent := time.Duration(i) * 50 * ms
-		x := &TxnRecord{ID: uint64(i + 1), Lineage: uint64(i + 1), Product: i % 3, Key: uint64(i % 7), SentAt: sent, Until: sent + time.Second,
+		x := &TxnRecord{ID: uint64(i + 1), FirstTryID: uint64(i + 1), Product: i % 3, Key: uint64(i % 7), SentAt: sent, Deadline: sent + time.Second,
 			AnsweredAt: sent + 30*ms, Status: 200, Build: 1}
 		w, b := "old1", 1
 		if i%30 == 0 { // of product ask
 			w, b, x.Build, x.Key = "new", 2, 2, uint64(1000+i)
 		}
 		r.Txns = append(r.Txns, x)
-		r.Submissions = append(r.Submissions, &Arrival{Txn: x.ID, Worker: w, Build: b, At: sent + 5*ms, Began: true, End: "ok", Finished: sent + 25*ms})
+		r.Submissions = append(r.Submissions, &SubmissionRecord{Txn: x.ID, Worker: w, Build: b, ReceivedAt: sent + 5*ms, TookEffect: true, Result: "ok", FinishedAt: sent + 25*ms})
 	}
 	return d, r
 }
 
 // more is one more submission of txn i, some time after it was sent.
-func (r *Record) more(i int, after time.Duration, worker string, build int) *Arrival {
-	a := &Arrival{Txn: r.Txns[i].ID, Worker: worker, Build: build, At: r.Txns[i].SentAt + after, End: "failed"}
+func (r *Record) more(i int, after time.Duration, worker string, build int) *SubmissionRecord {
+	a := &SubmissionRecord{Txn: r.Txns[i].ID, Worker: worker, Build: build, ReceivedAt: r.Txns[i].SentAt + after, Result: "failed"}
 	r.Submissions = append(r.Submissions, a)
 	return a
 }
@@ -54,7 +54,7 @@
 	d, r := honest(t)
 	r.more(1, 300*ms, "old2", 1) // referenced, within its memory
 	r.Txns[1].AnsweredAt = r.Txns[1].SentAt + 400*ms
-	r.Txns[10].AnsweredAt, r.Txns[10].Status, r.Txns[10].Left = 0, 0, r.Txns[10].SentAt+100*ms // its client left early
+	r.Txns[10].AnsweredAt, r.Txns[10].Status, r.Txns[10].LeftAt = 0, 0, r.Txns[10].SentAt+100*ms // its client left early
 	for _, v := range Check(d, r) {
 		t.Error(v)
 	}
@@ -68,24 +68,24 @@
 		spoil func(r *Record)
 	}{
 		{"no answer", 1, "ended without an answer", func(r *Record) {
-			r.Txns[4].AnsweredAt, r.Txns[4].Status, r.Txns[4].Broken = 0, 0, "broken"
+			r.Txns[4].AnsweredAt, r.Txns[4].Status, r.Txns[4].Failure = 0, 0, "broken"
 		}},
 		{"silence", 1, "no answer within", func(r *Record) {
-			r.Txns[4].AnsweredAt, r.Txns[4].Status, r.Txns[4].Left = 0, 0, r.Txns[4].Until+checkSlack
+			r.Txns[4].AnsweredAt, r.Txns[4].Status, r.Txns[4].LeftAt = 0, 0, r.Txns[4].Deadline+checkSlack
 		}},
-		{"late", 1, "after the client's patience", func(r *Record) { r.Txns[4].AnsweredAt = r.Txns[4].Until + 200*ms }},
-		{"two answers", 1, "more than one answer", func(r *Record) { r.Txns[4].Extra = true }},
-		{"another's answer", 1, "another txn's", func(r *Record) { r.Txns[4].Strange = true }},
+		{"late", 1, "after the client's patience", func(r *Record) { r.Txns[4].AnsweredAt = r.Txns[4].Deadline + 200*ms }},
+		{"two answers", 1, "more than one answer", func(r *Record) { r.Txns[4].ExtraBytes = true }},
+		{"another's answer", 1, "another txn's", func(r *Record) { r.Txns[4].ForeignAnswer = true }},
 		{"sent after its end", 1, "after its end", func(r *Record) { r.more(3, 500*ms, "old1", 1) }},
 		{"a killed edge excuses only its own", 1, "ended without an answer", func(r *Record) {
 			r.Incarnations = append(r.Incarnations, Incarnation{Edge: 1, Number: 1, StartedAt: 0, EndedAt: r.Txns[4].SentAt + 10*ms, Killed: true})
-			r.Txns[4].AnsweredAt, r.Txns[4].Broken = 0, "broken"
+			r.Txns[4].AnsweredAt, r.Txns[4].Failure = 0, "broken"
 		}},
 		{"once-only sent twice", 2, "sent again though it may have run", func(r *Record) { r.more(2, 20*ms, "old2", 1) }},
 		{"once-only declined after it was sent", 2, "declined though it may have run", func(r *Record) {
 			r.Txns[2].Status, r.Txns[2].Outcome = 503, "declined"
 		}},
-		{"once-only effect twice by a client's repeat", 2, "took place 2 times", func(r *Record) { r.Txns[5].Lineage = r.Txns[2].Lineage }},
+		{"once-only effect twice by a client's repeat", 2, "took place 2 times", func(r *Record) { r.Txns[5].FirstTryID = r.Txns[2].FirstTryID }},
 		{"referenced beyond its memory", 2, "workers remember", func(r *Record) {
 			r.more(1, 700*ms, "old2", 1)
 			r.Txns[1].AnsweredAt = r.Txns[1].SentAt + 800*ms
@@ -97,10 +97,10 @@
 			r.Updates = append(r.Updates, EdgeUpdate{At: 4 * time.Second, FullList: true}, EdgeUpdate{At: 4 * time.Second, Worker: "old2", State: "up"})
 		}},
 		{"pushed over", 4, "was pushed over", func(r *Record) {
-			r.Falls = []Fall{{"new", 1, 5 * time.Second, map[int]time.Duration{0: time.Second}}}
+			r.OverloadFailures = []OverloadFailure{{"new", 1, 5 * time.Second, map[int]time.Duration{0: time.Second}}}
 		}},
 		{"pushed over, mostly by those told", 4, "was pushed over", func(r *Record) {
-			r.Falls = []Fall{{"new", 1, 5 * time.Second, map[int]time.Duration{0: 2 * time.Second, 1: time.Second}}}
+			r.OverloadFailures = []OverloadFailure{{"new", 1, 5 * time.Second, map[int]time.Duration{0: 2 * time.Second, 1: time.Second}}}
 		}},
 		{"over the cap", 5, "allowed", func(r *Record) {
 			for i := 3; i < 60; i += 3 {
@@ -113,7 +113,7 @@
 			}
 		}},
 		{"at a cap of 0", 5, "at a cap of 0", func(r *Record) {
-			r.Updates = append(r.Updates, EdgeUpdate{At: 2 * time.Second, Release: &ToldRelease{2, 0, "going-back", 0}})
+			r.Updates = append(r.Updates, EdgeUpdate{At: 2 * time.Second, Release: &ReleaseState{2, 0, "going-back", 0}})
 		}},
 		{"an effect in a guarded stage", 5, "guarded stage", func(r *Record) { r.Submissions[31].Build, r.Submissions[31].Worker = 2, "new" }},
 		{"a key that met the new build", 5, "answered by build 2", func(r *Record) { r.Txns[40].Key = r.Txns[30].Key }},
@@ -144,11 +144,11 @@
 	}{
 		{"what a killed edge held", func(r *Record) {
 			r.Incarnations[0].EndedAt, r.Incarnations[0].Killed = r.Txns[199].SentAt+10*ms, true
-			r.Txns[199].AnsweredAt, r.Txns[199].Broken = 0, "broken"
+			r.Txns[199].AnsweredAt, r.Txns[199].Failure = 0, "broken"
 		}},
 		{"a client that wrote as an idle connection closed", func(r *Record) {
 			r.Incarnations[0].StopRequestedAt, r.Incarnations[0].EndedAt = r.Txns[199].SentAt-5*ms, r.Txns[199].SentAt+50*ms
-			r.Txns[199].AnsweredAt, r.Txns[199].Broken = 0, "broken"
+			r.Txns[199].AnsweredAt, r.Txns[199].Failure = 0, "broken"
 			r.Submissions = r.Submissions[:199]
 		}},
 		{"a worker that is back", func(r *Record) {
@@ -156,12 +156,12 @@
 			r.Submissions[199].Worker = "old2"
 		}},
 		{"a key after the build went back", func(r *Record) {
-			r.Updates = append(r.Updates, EdgeUpdate{At: 9 * time.Second, Release: &ToldRelease{2, 0, "going-back", 0}})
+			r.Updates = append(r.Updates, EdgeUpdate{At: 9 * time.Second, Release: &ReleaseState{2, 0, "going-back", 0}})
 			r.Txns[199].Key = r.Txns[30].Key
 			r.Submissions[180].Build = 1
 		}},
 		{"workers pushed over by edges that were not told", func(r *Record) {
-			r.Falls = []Fall{{"new", 1, 5 * time.Second, map[int]time.Duration{0: time.Second, 1: 2 * time.Second}}}
+			r.OverloadFailures = []OverloadFailure{{"new", 1, 5 * time.Second, map[int]time.Duration{0: time.Second, 1: 2 * time.Second}}}
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/lab/clients.go
+++ b/lab/clients.go
@@ -145,19 +145,19 @@
 	patience := time.Duration(o.share * float64(p.Expiry))
 	lineage := uint64(0)
 	for try := 0; ; try++ {
-		r := &TxnRecord{ID: c.next.Add(1), Edge: o.edge.index, Life: int(o.edge.incarnation.Load()), Product: o.product, Key: o.key, SentAt: c.now(),
-			Bad: o.bad, Retry: try > 0}
+		r := &TxnRecord{ID: c.next.Add(1), Edge: o.edge.index, Incarnation: int(o.edge.incarnation.Load()), Product: o.product, Key: o.key, SentAt: c.now(),
+			Malformed: o.bad, IsRetry: try > 0}
 		if lineage == 0 {
 			lineage = r.ID
 		}
-		r.Lineage = lineage
-		r.Until = r.SentAt + patience
+		r.FirstTryID = lineage
+		r.Deadline = r.SentAt + patience
 		r.Revenue = p.Revenue
 		after := c.send(o, r)
-		c.rec.txn(r)
+		c.rec.addTxn(r)
 		// A once-only txn goes again only where the edge was not reached, or said that it does no harm.
-		again := r.Broken == "refused" || r.Outcome == "declined" || p.Effect == "inquiry-like" && r.Status != 200 && r.Left == 0 && !o.bad ||
-			p.Effect == "referenced" && r.Status != 200 && r.Left == 0 && !o.bad && c.now()-first < p.DedupMemory/2
+		again := r.Failure == "refused" || r.Outcome == "declined" || p.Effect == "inquiry-like" && r.Status != 200 && r.LeftAt == 0 && !o.bad ||
+			p.Effect == "referenced" && r.Status != 200 && r.LeftAt == 0 && !o.bad && c.now()-first < p.DedupMemory/2
 		if !again || try >= c.day.Retries || c.now()+after+c.day.Backoff > first+2*patience {
 			return
 		}
@@ -171,18 +171,18 @@
 	p := &c.day.Products[o.product]
 	conn := o.edge.take()
 	if conn == nil {
-		d := net.Dialer{Timeout: r.Until - r.SentAt}
+		d := net.Dialer{Timeout: r.Deadline - r.SentAt}
 		raw, err := d.Dial("tcp", o.edge.address)
 		if err != nil {
-			r.Broken = "refused"
+			r.Failure = "refused"
 			return 0
 		}
 		conn = &clientSide{Conn: raw, in: bufio.NewReader(raw)}
 	}
-	r.Reused = conn.used > 0
+	r.ReusedConn = conn.used > 0
 	conn.used++
 	// The client waits a little past its patience, so that an answer that is late by a hair is seen as that.
-	wait := r.Until - c.now() + checkSlack
+	wait := r.Deadline - c.now() + checkSlack
 	if o.early > 0 {
 		wait = o.early
 	}
@@ -193,10 +193,10 @@
 	}
 	mark := ""
 	if p.Effect == "referenced" {
-		mark = fmt.Sprintf("Idempotency-Key: %d\r\n", r.Lineage)
+		mark = fmt.Sprintf("Idempotency-Key: %d\r\n", r.FirstTryID)
 	}
 	if p.Effect != "inquiry-like" { // as a shop traces its orders: a repeat has its first try's trace id
-		mark += fmt.Sprintf("traceparent: 00-%016x%016x-%016x-01\r\n", uint64(c.day.Seed)+1, r.Lineage, r.ID)
+		mark += fmt.Sprintf("traceparent: 00-%016x%016x-%016x-01\r\n", uint64(c.day.Seed)+1, r.FirstTryID, r.ID)
 	}
 	bad := ""
 	if o.bad {
@@ -204,7 +204,7 @@
 	}
 	head := fmt.Sprintf("%s /%s/%d HTTP/1.1\r\nHost: lab\r\n%s%sLab-Txn: %d\r\nLab-Edge: %d\r\nLab-Key: %d\r\nLab-Product: %d\r\n"+
 		"Lab-Work-Ns: %d\r\nLab-Cost-Ms: %.3f\r\n%sx-envoy-upstream-rq-timeout-ms: %d\r\n\r\n", method, p.Name, o.key, length, mark,
-		r.ID, o.edge.index, o.key, o.product, int64(o.work), float64(o.hint)/1e6, bad, (r.Until-r.SentAt)/time.Millisecond)
+		r.ID, o.edge.index, o.key, o.product, int64(o.work), float64(o.hint)/1e6, bad, (r.Deadline-r.SentAt)/time.Millisecond)
 	out := append(make([]byte, 0, len(head)+p.BodyBytes), head...)
 	for i := 0; i < p.BodyBytes; i++ {
 		out = append(out, 'x')
@@ -226,11 +226,11 @@
 	}
 	r.AnsweredAt, r.Status, r.Outcome = c.now(), resp.StatusCode, resp.Header.Get("Dunegrade-Outcome")
 	if v := resp.Header.Get("Lab-Txn"); v != "" && v != strconv.FormatUint(r.ID, 10) {
-		r.Strange = true
+		r.ForeignAnswer = true
 	}
 	r.Build, _ = strconv.Atoi(resp.Header.Get("Lab-Build"))
-	r.Wrong = resp.Header.Get("Lab-Wrong") != ""
-	if r.Wrong && c.chance() < c.day.WrongReportShare {
+	r.WrongAnswer = resp.Header.Get("Lab-Wrong") != ""
+	if r.WrongAnswer && c.chance() < c.day.WrongReportShare {
 		edge, product, worker, sent := o.edge.index, p.Name, resp.Header.Get("Lab-Worker"), r.SentAt
 		time.AfterFunc(c.day.WrongReportDelay, func() { c.flag(edge, product, worker, c.now()-sent) })
 	}
@@ -238,9 +238,9 @@
 		after = time.Duration(ms) * time.Millisecond
 	}
 	if conn.in.Buffered() > 0 {
-		r.Extra = true
+		r.ExtraBytes = true
 	}
-	if resp.Close || r.Extra || r.Strange {
+	if resp.Close || r.ExtraBytes || r.ForeignAnswer {
 		conn.Close()
 		return after
 	}
@@ -258,10 +258,10 @@
 func (c *clients) broke(conn *clientSide, r *TxnRecord, err error, o order) {
 	conn.Close()
 	if e, ok := err.(net.Error); ok && e.Timeout() {
-		r.Left = c.now()
+		r.LeftAt = c.now()
 		return
 	}
-	r.Broken = "broken"
+	r.Failure = "broken"
 	r.AnsweredAt = 0
 }
 
--- a/lab/figures.go
+++ b/lab/figures.go
@@ -68,7 +68,7 @@
 
 // Sum works out the figures of a record.
 func Sum(day *Day, rec *Record, edge string, broken []Violation) *Figures {
-	f := &Figures{Day: day.Name, Seed: day.Seed, Edge: edge, Votes: map[string]int{}, Falls: len(rec.Falls), Behind: rec.maxSendDelay.Seconds()}
+	f := &Figures{Day: day.Name, Seed: day.Seed, Edge: edge, Votes: map[string]int{}, Falls: len(rec.OverloadFailures), Behind: rec.maxSendDelay.Seconds()}
 	f.Series = make([]Second, int(day.Length/time.Second)+1)
 	f.Products = make([]ProductFigures, len(day.Products))
 	for i, p := range day.Products {
@@ -76,8 +76,8 @@
 	}
 	tries := map[uint64][]*TxnRecord{}
 	for _, t := range rec.Txns {
-		tries[t.Lineage] = append(tries[t.Lineage], t)
-		if t.Retry {
+		tries[t.FirstTryID] = append(tries[t.FirstTryID], t)
+		if t.IsRetry {
 			f.Retries++
 		}
 	}
@@ -92,7 +92,7 @@
 		list := tries[id]
 		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 		first, last := list[0], list[len(list)-1]
-		if first.Bad {
+		if first.Malformed {
 			continue
 		}
 		f.Txns++
@@ -103,7 +103,7 @@
 		second.Asked++
 		got := 0.0
 		switch took := last.AnsweredAt - first.SentAt; {
-		case last.Status == 200 && last.Wrong:
+		case last.Status == 200 && last.WrongAnswer:
 			p.Wrong++
 			harm += spec.Revenue
 		case last.Status == 200:
@@ -183,10 +183,10 @@
 		if b := per[a.Build]; b != nil {
 			b.Submissions++
 		}
-		if n := int(a.At / time.Second); rec.newestAt(a.At) == a.Build && a.Build > 1 && n < len(f.Series) {
+		if n := int(a.ReceivedAt / time.Second); rec.newestAt(a.ReceivedAt) == a.Build && a.Build > 1 && n < len(f.Series) {
 			f.Series[n].Trial++
 		}
-		if bad[a.Build] && a.End == "failed" && day.Products[t.Product].Effect != "inquiry-like" {
+		if bad[a.Build] && a.Result == "failed" && day.Products[t.Product].Effect != "inquiry-like" {
 			*harm += day.Products[t.Product].Revenue
 			per[a.Build].Harm += day.Products[t.Product].Revenue / asked
 		}
--- a/lab/platform.go
+++ b/lab/platform.go
@@ -508,7 +508,7 @@
 }
 
 func (p *platform) recordReleaseUpdate(edge int, e api.ReleaseEvent) {
-	p.rec.addUpdate(EdgeUpdate{Edge: edge, At: p.now(), Release: &ToldRelease{e.Release.Build, e.Release.Stage, e.Release.Phase, e.Release.Cap}})
+	p.rec.addUpdate(EdgeUpdate{Edge: edge, At: p.now(), Release: &ReleaseState{e.Release.Build, e.Release.Stage, e.Release.Phase, e.Release.Cap}})
 }
 
 // stream writes lines of a watch until the client leaves: each round asks for the lines that are due.
--- a/lab/record.go
+++ b/lab/record.go
@@ -5,87 +5,88 @@
 	"time"
 )
 
-// runTime is a moment of a run: nanoseconds since its start, by the one clock that clients, workers and platform share.
+// runTime is a time on the run's clock, or a span of it, in nanoseconds since the run's start. Clients, workers and the
+// platform share this clock.
 type runTime = time.Duration
 
-// TxnRecord is what a client saw of one txn. Moments that did not come are 0.
+// TxnRecord is one try of a txn as its client saw it. A time of 0 means that the event did not happen.
 type TxnRecord struct {
-	ID         uint64
-	Lineage    uint64 // the first try's id: a client's repeats share it
-	Edge       int
-	Life       int // of the edge, when it was sent: a restart begins a new one
-	Product    int
-	Key        uint64
-	SentAt     runTime
-	Until      runTime // when the client's patience ends
-	AnsweredAt runTime
-	Left       runTime // when the client hung up by itself
-	Status     int
-	Outcome    string // declined or voided, as the edge says
-	Broken     string // refused: no connection; broken: it ended without an answer
-	Reused     bool   // the connection had carried txns before
-	Extra      bool   // more came than the one answer
-	Strange    bool   // the answer was another txn's
-	Bad        bool   // malformed on purpose
-	Build      int    // whose answer it was
-	Wrong      bool
-	Retry      bool
-	Revenue    float64
+	ID            uint64
+	FirstTryID    uint64 // ID of the first try, which all retries of the client share
+	Edge          int
+	Incarnation   int // number of the edge's process when the txn was sent
+	Product       int
+	Key           uint64
+	SentAt        runTime
+	Deadline      runTime // when the client stops waiting
+	AnsweredAt    runTime
+	LeftAt        runTime // when the client closed the connection
+	Status        int
+	Outcome       string // declined or voided, from the edge's response header
+	Failure       string // refused: no connection; broken: the connection ended without an answer
+	ReusedConn    bool   // whether the connection had carried earlier txns
+	ExtraBytes    bool   // whether bytes followed the answer
+	ForeignAnswer bool   // whether the answer belongs to another txn
+	Malformed     bool   // whether the client sent a request that every worker fails
+	Build         int    // build that answered; 0: unknown
+	WrongAnswer   bool   // whether the content of the answer was wrong
+	IsRetry       bool
+	Revenue       float64
 }
 
-// Arrival is what a worker saw of one submission.
-type Arrival struct {
-	Txn      uint64
-	Worker   string
-	Place    int
-	Build    int
-	Started  runTime
-	At       runTime
-	Began    bool // its work began: its effect took place
-	Dropped  bool // a repeat, answered without running
-	Turned   bool // away, unseen
-	End      string
-	Finished runTime
+// SubmissionRecord is one submission as a worker saw it.
+type SubmissionRecord struct {
+	Txn             uint64
+	Worker          string
+	Replica         int
+	Build           int
+	WorkerStartedAt runTime
+	ReceivedAt      runTime
+	TookEffect      bool // the worker started the job, so its effect took place
+	Duplicate       bool // answered as a duplicate, without running the job
+	Rejected        bool // turned away before the worker read the txn
+	Result          string
+	FinishedAt      runTime
 }
 
-// EdgeUpdate is one thing that the platform told one edge, when its bytes were written.
+// EdgeUpdate is one update that the platform sent to an edge. At is when its bytes were written.
 type EdgeUpdate struct {
 	Edge     int
 	At       runTime
-	FullList bool // the whole list: what it lacks is gone
+	FullList bool // marks the start of a full worker list; workers not on it are gone
 	Worker   string
 	State    string
 	Started  runTime
 	Build    int
-	Release  *ToldRelease
+	Release  *ReleaseState
 }
 
-// ToldRelease is told news of the newest build.
-type ToldRelease struct {
+// ReleaseState is the state of the newest build's release as sent to an edge.
+type ReleaseState struct {
 	Build, Stage int
 	Phase        string
 	Cap          float64
 }
 
-// Incarnation is the time between an edge's start and its end.
+// Incarnation is one run of an edge process, from its start to its end.
 type Incarnation struct {
 	Edge            int
 	Number          int
 	StartedAt       runTime
-	StopRequestedAt runTime // when it was asked to stop; 0: it was not
+	StopRequestedAt runTime // 0: the process was not asked to stop
 	EndedAt         runTime
 	Killed          bool
 }
 
-// Fall is a machine that was pushed over.
-type Fall struct {
-	Worker  string
-	Started runTime
-	At      runTime
-	From    map[int]time.Duration // work of the last moments, by edge
+// OverloadFailure is the failure of a cold worker from overload.
+type OverloadFailure struct {
+	Worker          string
+	WorkerStartedAt runTime
+	At              runTime
+	WorkByEdge      map[int]time.Duration // work that each edge sent within the machine's overload window
 }
 
-// VoteRecord is a vote that reached the platform.
+// VoteRecord is a vote that the platform received.
 type VoteRecord struct {
 	Edge    int
 	At      runTime
@@ -95,34 +96,34 @@
 	Counted bool
 }
 
-// Record is all that went over the sockets of a run. It is safe for concurrent use while the run lasts.
+// Record holds everything that went over the sockets of a run. Its methods are safe for concurrent use.
 type Record struct {
-	mu           sync.Mutex
-	Txns         []*TxnRecord
-	Submissions  []*Arrival
-	Updates      []EdgeUpdate
-	Incarnations []Incarnation
-	Falls        []Fall
-	Votes        []VoteRecord
-	Marks        []string // what happened, for people
-	builds       []BuildFigures
-	maxSendDelay time.Duration
+	mu               sync.Mutex
+	Txns             []*TxnRecord
+	Submissions      []*SubmissionRecord
+	Updates          []EdgeUpdate
+	Incarnations     []Incarnation
+	OverloadFailures []OverloadFailure
+	Votes            []VoteRecord
+	Marks            []string // log of the run for the report
+	builds           []BuildFigures
+	maxSendDelay     time.Duration // largest delay of a txn's sending past its scheduled time
 }
 
-func (r *Record) txn(t *TxnRecord) {
+func (r *Record) addTxn(t *TxnRecord) {
 	r.mu.Lock()
 	r.Txns = append(r.Txns, t)
 	r.mu.Unlock()
 }
 
-func (r *Record) arrival(a *Arrival) {
+func (r *Record) addSubmission(s *SubmissionRecord) {
 	r.mu.Lock()
-	r.Submissions = append(r.Submissions, a)
+	r.Submissions = append(r.Submissions, s)
 	r.mu.Unlock()
 }
 
-func (r *Record) addUpdate(t EdgeUpdate) {
+func (r *Record) addUpdate(u EdgeUpdate) {
 	r.mu.Lock()
-	r.Updates = append(r.Updates, t)
+	r.Updates = append(r.Updates, u)
 	r.mu.Unlock()
 }
--- a/lab/virtual_test.go
+++ b/lab/virtual_test.go
@@ -105,7 +105,7 @@
 	s       *vsentry
 	n       int
 	sent    runTime
-	arrival *Arrival
+	arrival *SubmissionRecord
 	w       *vworker
 	ended   bool
 	job     uint64
@@ -202,11 +202,11 @@
 		s = d.sentries[(s.n+1)%len(d.sentries)]
 	}
 	p := &d.day.Products[product]
-	d.rec.Txns = append(d.rec.Txns, &TxnRecord{ID: uint64(len(d.rec.Txns) + 1), Edge: s.n, Life: s.life, Product: product, Key: key,
-		SentAt: d.now, Until: d.now + p.Expiry, Revenue: p.Revenue})
+	d.rec.Txns = append(d.rec.Txns, &TxnRecord{ID: uint64(len(d.rec.Txns) + 1), Edge: s.n, Incarnation: s.life, Product: product, Key: key,
+		SentAt: d.now, Deadline: d.now + p.Expiry, Revenue: p.Revenue})
 	r := d.rec.Txns[len(d.rec.Txns)-1]
-	r.Lineage = r.ID
-	t := &vtxn{id: logic.TxnID(r.ID), rec: r, expiry: r.Until - 20*ms}
+	r.FirstTryID = r.ID
+	t := &vtxn{id: logic.TxnID(r.ID), rec: r, expiry: r.Deadline - 20*ms}
 	s.txns[t.id] = t
 	s.held++
 	life := s.life
@@ -215,16 +215,16 @@
 			s.expire(t)
 		}
 	})
-	d.at(r.Until, func() { // the client's patience
-		if r.AnsweredAt == 0 && r.Left == 0 && r.Broken == "" {
-			r.Left = d.now
+	d.at(r.Deadline, func() { // the client's patience
+		if r.AnsweredAt == 0 && r.LeftAt == 0 && r.Failure == "" {
+			r.LeftAt = d.now
 		}
 	})
 	if leaves {
 		d.in(runTime(d.rng.Float64()*float64(100*ms)), func() {
 			if s.life == life && !s.dead && !t.over {
 				d.hits["left"]++
-				t.over, r.Left = true, d.now
+				t.over, r.LeftAt = true, d.now
 				s.held--
 				s.hand(func() { s.m.ClientLeft(d.clock(), t.id) })
 			}
@@ -279,7 +279,7 @@
 	for _, t := range s.inHand(true) {
 		if !t.over {
 			t.over = true
-			t.rec.Broken = "broken"
+			t.rec.Failure = "broken"
 			s.d.hits["killed"]++
 		}
 		for _, b := range t.subs {
@@ -361,7 +361,7 @@
 	s.d.in(way, func() {
 		if w := b.w; w != nil && w.up && w.jobs[b.job] == b {
 			if began, found := w.m.Cancel(fleet.Nanos(s.d.now), b.job); found {
-				b.arrival.Began = b.arrival.Began || began
+				b.arrival.TookEffect = b.arrival.TookEffect || began
 				delete(w.jobs, b.job)
 				w.look()
 			}
@@ -392,7 +392,7 @@
 		return
 	}
 	if t.over {
-		t.rec.Extra = true
+		t.rec.ExtraBytes = true
 		return
 	}
 	t.over = true
@@ -441,7 +441,7 @@
 	}
 	if noted {
 		s.keptNews = n
-		s.d.rec.Updates = append(s.d.rec.Updates, EdgeUpdate{Edge: s.n, At: s.d.now, Release: &ToldRelease{int(n.Rel), n.Stage, phaseNames[n.Phase], n.Cap}})
+		s.d.rec.Updates = append(s.d.rec.Updates, EdgeUpdate{Edge: s.n, At: s.d.now, Release: &ReleaseState{int(n.Rel), n.Stage, phaseNames[n.Phase], n.Cap}})
 	}
 	s.hand(func() { s.m.ReleaseUpdate(s.d.clock(), n) })
 }
@@ -526,7 +526,7 @@
 	slices.Sort(lost)
 	for _, id := range lost {
 		b := w.jobs[id]
-		b.arrival.Began = true // as far as anyone knows
+		b.arrival.TookEffect = true // as far as anyone knows
 		d.in(way, func() {
 			d.hits["broken"]++
 			b.s.over(b, logic.Disconnected, nil)
@@ -591,25 +591,25 @@
 	}
 	t := b.t.rec
 	p := &d.day.Products[t.Product]
-	b.arrival = &Arrival{Txn: t.ID, Worker: id, Place: w.place, Build: w.build, Started: w.started, At: d.now, End: "lost"}
+	b.arrival = &SubmissionRecord{Txn: t.ID, Worker: id, Replica: w.place, Build: w.build, WorkerStartedAt: w.started, ReceivedAt: d.now, Result: "lost"}
 	b.w = w
 	d.rec.Submissions = append(d.rec.Submissions, b.arrival)
 	d.ids++
 	b.job = uint64(d.ids)
 	j := fleet.Job{ID: b.job, Product: t.Product, Work: fleet.Nanos(float64(p.MeanWork) * (0.5 + d.rng.Float64())), From: b.s.n}
 	if p.Effect == "referenced" {
-		j.DedupKey, j.Memory = t.Lineage, fleet.Nanos(p.DedupMemory)
+		j.DedupKey, j.Memory = t.FirstTryID, fleet.Nanos(p.DedupMemory)
 	}
 	switch w.m.Submit(fleet.Nanos(d.now), j) {
 	case fleet.Refused:
-		b.arrival.Turned, b.arrival.End = true, "turned away"
+		b.arrival.Rejected, b.arrival.Result = true, "turned away"
 		d.in(way, func() { b.s.over(b, logic.Rejected, nil) })
 	case fleet.MachineDown:
 		from := map[int]time.Duration{}
 		for k, v := range w.m.RecentWork() {
 			from[k] = time.Duration(v)
 		}
-		d.rec.Falls = append(d.rec.Falls, Fall{Worker: id, Started: w.started, At: d.now, From: from})
+		d.rec.OverloadFailures = append(d.rec.OverloadFailures, OverloadFailure{Worker: id, WorkerStartedAt: w.started, At: d.now, WorkByEdge: from})
 		w.jobs[b.job] = b
 		w.die(api.Gone)
 	default:
@@ -635,11 +635,11 @@
 				continue
 			}
 			delete(w.jobs, done.ID)
-			b.arrival.Began, b.arrival.Dropped, b.arrival.Finished = done.TookEffect(), done.End == fleet.Dropped, d.now
+			b.arrival.TookEffect, b.arrival.Duplicate, b.arrival.FinishedAt = done.TookEffect(), done.End == fleet.Dropped, d.now
 			e := logic.OK
-			b.arrival.End = "ok"
+			b.arrival.Result = "ok"
 			if done.End == fleet.Failed || w.garbage > 0 && d.rng.Float64() < w.garbage {
-				e, b.arrival.End = logic.ErrorResponse, "failed"
+				e, b.arrival.Result = logic.ErrorResponse, "failed"
 				d.hits["erred"]++
 			}
 			r := m.Load(fleet.Nanos(d.now))
--- a/lab/workers.go
+++ b/lab/workers.go
@@ -64,7 +64,7 @@
 }
 
 type job struct {
-	arrival *Arrival
+	arrival *SubmissionRecord
 	conn    *workConn
 	head    bool
 }
@@ -237,7 +237,7 @@
 	}
 	began, found := w.m.Cancel(fleet.Nanos(w.p.now()), c.cur)
 	if found {
-		j.arrival.Began, j.arrival.End, j.arrival.Finished = began, "cancelled", w.p.now()
+		j.arrival.TookEffect, j.arrival.Result, j.arrival.FinishedAt = began, "cancelled", w.p.now()
 		delete(w.jobs, c.cur)
 		w.arm()
 	}
@@ -270,7 +270,7 @@
 func (w *worker) take(c *workConn, r *http.Request) {
 	p := w.p
 	now := p.now()
-	a := &Arrival{Txn: headerInt(r, "Lab-Txn"), Worker: w.id, Place: w.replica, Build: w.build.Number, At: now}
+	a := &SubmissionRecord{Txn: headerInt(r, "Lab-Txn"), Worker: w.id, Replica: w.replica, Build: w.build.Number, ReceivedAt: now}
 	work := time.Duration(headerInt(r, "Lab-Work-Ns"))
 	product := int(headerInt(r, "Lab-Product"))
 	bad := r.Header.Get("Lab-Bad") != ""
@@ -284,13 +284,13 @@
 		c.reset()
 		return
 	}
-	a.Started = w.started
+	a.WorkerStartedAt = w.started
 	p.recent[w.build.Number]++
 	if w.silent {
 		// Taken in by the host's buffers; the process never sees it.
 		p.mu.Unlock()
-		a.End = "silent"
-		p.rec.arrival(a)
+		a.Result = "silent"
+		p.rec.addSubmission(a)
 		return
 	}
 	if product >= len(p.day.Products) {
@@ -305,7 +305,7 @@
 	verdict := fleet.Accepted
 	switch {
 	case bad:
-		a.End, a.Began = "bad", false
+		a.Result, a.TookEffect = "bad", false
 		out = answer(500, "", nil, a, w, false, j.head)
 	default:
 		verdict = w.m.Submit(fleet.Nanos(now), fleet.Job{ID: id, Product: product, DedupKey: mark, Memory: fleet.Nanos(spec.DedupMemory),
@@ -313,7 +313,7 @@
 	}
 	switch verdict {
 	case fleet.Refused:
-		a.Turned, a.End = true, "turned-away"
+		a.Rejected, a.Result = true, "turned-away"
 		out = answer(503, "Dunegrade-Unseen: 1\r\n", nil, a, w, false, j.head)
 	case fleet.MachineDown:
 		if !w.fell {
@@ -323,10 +323,10 @@
 				from[e] = time.Duration(sum)
 			}
 			p.rec.mu.Lock()
-			p.rec.Falls = append(p.rec.Falls, Fall{w.id, w.started, now, from})
+			p.rec.OverloadFailures = append(p.rec.OverloadFailures, OverloadFailure{w.id, w.started, now, from})
 			p.rec.mu.Unlock()
 		}
-		a.End = "down"
+		a.Result = "down"
 		w.end()
 	}
 	if out == nil && verdict == fleet.Accepted {
@@ -335,7 +335,7 @@
 		w.arm()
 	}
 	p.mu.Unlock()
-	p.rec.arrival(a)
+	p.rec.addSubmission(a)
 	if out != nil {
 		c.Write(out)
 	}
@@ -392,17 +392,17 @@
 	}
 	delete(w.jobs, d.ID)
 	a := j.arrival
-	a.Finished, a.Began, a.Dropped = w.p.now(), d.TookEffect(), d.End == fleet.Dropped
+	a.FinishedAt, a.TookEffect, a.Duplicate = w.p.now(), d.TookEffect(), d.End == fleet.Dropped
 	status, wrong := 200, false
 	switch d.End {
 	case fleet.Failed:
-		a.End, status = "failed", 500
+		a.Result, status = "failed", 500
 	case fleet.WrongAnswer:
-		a.End, wrong = "wrong", true
+		a.Result, wrong = "wrong", true
 	case fleet.Dropped:
-		a.End = "dropped"
+		a.Result = "dropped"
 	default:
-		a.End = "ok"
+		a.Result = "ok"
 	}
 	if w.p.day.TallyInterval > 0 && w.rng.Float64() < w.p.day.TallySampleShare {
 		k := countOf{w.build.Number, d.Product}
@@ -411,7 +411,7 @@
 		}
 		w.p.counts[k].many++
 		if status == 200 {
-			w.p.counts[k].sum += a.Finished - a.At
+			w.p.counts[k].sum += a.FinishedAt - a.ReceivedAt
 		} else {
 			w.p.counts[k].bad++
 		}
@@ -422,7 +422,7 @@
 	}
 	c.cur = 0
 	if w.garbageRate > 0 && w.rng.Float64() < w.garbageRate {
-		a.End = "garbage"
+		a.Result = "garbage"
 		send(c, []byte("\x00\x01 this is no answer\r\n\r\n"))
 		return
 	}
@@ -432,7 +432,7 @@
 
 var answerBody = []byte("0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcde\n")
 
-func answer(status int, extra string, load *fleet.LoadReport, a *Arrival, w *worker, wrong, head bool) []byte {
+func answer(status int, extra string, load *fleet.LoadReport, a *SubmissionRecord, w *worker, wrong, head bool) []byte {
 	out := make([]byte, 0, 512)
 	out = fmt.Appendf(out, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\nLab-Txn: %d\r\nLab-Build: %d\r\nLab-Worker: %s\r\n%s", status,
 		http.StatusText(status), len(answerBody), a.Txn, w.build.Number, w.id, extra)
