--- a/lab/platform.go
+++ b/lab/platform.go
@@ -101,7 +101,7 @@
 func (p *platform) start(host string) error {
 	for i := 0; i < p.day.Machines; i++ {
 		s := &replicaState{n: i, speed: p.day.MinSpeed + (p.day.MaxSpeed-p.day.MinSpeed)*p.rng.Float64()}
-		s.oldWorker = p.park.add(i, p.builds[1], s.speed, fleet.MachineFault{})
+		s.oldWorker = p.park.newWorker(i, p.builds[1], s.speed, fleet.MachineFault{})
 		if err := s.oldWorker.start(false); err != nil {
 			return err
 		}
@@ -146,7 +146,7 @@
 // addWorkerChange notes a change of the addWorkerChange, seen after the addWorkerChange's delay. The lock is held, or nobody else is there yet.
 func (p *platform) addWorkerChange(delay time.Duration, w *worker, state string) {
 	x := api.Worker{ID: w.id, Address: w.address, Zone: "lab", Kind: "std", State: state, Weight: 1, Build: w.build.Number,
-		StartedAt: int64(w.started)}
+		StartedAt: int64(w.startedAt)}
 	when := p.now() + delay
 	if n := len(p.workerChanges); n > 0 {
 		when = max(when, p.workerChanges[n-1].at) // changes keep their order
@@ -226,7 +226,7 @@
 		case <-t.C:
 		}
 		if n%5 == 0 {
-			p.park.drag()
+			p.park.updateSlowdown()
 		}
 		p.mu.Lock()
 		if !p.stalled {
@@ -292,7 +292,7 @@
 
 // starting has a machine start at a place.
 func (p *platform) starting(s *replicaState, b fleet.Build) {
-	s.boot = p.park.add(s.n, b, s.speed, fleet.MachineFault{})
+	s.boot = p.park.newWorker(s.n, b, s.speed, fleet.MachineFault{})
 	s.boots = p.now() + p.day.BootTime
 }
 
@@ -678,15 +678,15 @@
 	defer p.park.mu.Unlock()
 	for build := 1; build <= p.build; build++ {
 		for i := range p.day.Products {
-			c := p.park.counts[countOf{build, i}]
-			if c == nil || c.many == 0 {
+			c := p.park.tallies[tallyKey{build, i}]
+			if c == nil || c.answers == 0 {
 				continue
 			}
-			t := api.Tally{Type: api.Change, Build: build, Product: p.day.Products[i].Name, Many: c.many, Bad: c.bad}
-			if c.many > c.bad {
-				t.Mean = int64(c.sum) / int64(c.many-c.bad)
+			t := api.Tally{Type: api.Change, Build: build, Product: p.day.Products[i].Name, Many: c.answers, Bad: c.failures}
+			if c.answers > c.failures {
+				t.Mean = int64(c.totalTime) / int64(c.answers-c.failures)
 			}
-			*c = count{}
+			*c = tally{}
 			p.tallies = append(p.tallies, tallyItem{now + p.day.ReleaseUpdateDelay, t})
 		}
 	}
--- a/lab/workers.go
+++ b/lab/workers.go
@@ -15,122 +15,129 @@
 	"dunegrade/fleet"
 )
 
-// workerFleet is all workers of a run, on sockets. One lock guards the machines: they are models, and quick.
+// submissionDecay is the factor by which counts of recent submissions shrink at each call of updateSlowdown. At 10 calls a
+// second, submissions count for about a second.
+const submissionDecay = 0.9
+
+// workerFleet holds all workers of a run, which serve HTTP on loopback sockets. One lock guards all their machines, which
+// are models and return at once.
 type workerFleet struct {
-	day    *Day
-	rec    *Record
-	now    func() runTime
-	host   string // the loopback address they listen on
-	mu     sync.Mutex
-	shared *fleet.SharedState
-	group  sync.WaitGroup
-	next   int // id of a job
-	ids    int // of a worker
-	byID   map[string]*worker
-	recent map[int]float64 // submissions by build, fading
-	counts map[countOf]*count
-	closed bool
+	day               *Day
+	rec               *Record
+	now               func() runTime
+	host              string // loopback address that the workers listen on
+	mu                sync.Mutex
+	sharedState       *fleet.SharedState
+	goroutines        sync.WaitGroup
+	lastJobID         int
+	lastWorkerID      int
+	workers           map[string]*worker
+	recentSubmissions map[int]float64 // submissions by build, decaying exponentially
+	tallies           map[tallyKey]*tally
+	closed            bool
 }
 
-// countOf says what is counted together; count is a sample of how it went since it was last told.
-type countOf struct{ build, product int }
+// tallyKey identifies a tally.
+type tallyKey struct{ build, product int }
 
-type count struct {
-	many, bad int
-	sum       time.Duration
+// tally counts a sample of the answers of one build to one product since the platform last sent its tallies.
+type tally struct {
+	answers, failures int
+	totalTime         time.Duration // of the answers that are no failures
 }
 
-// worker is one process of the fleet.
+// worker is one worker process of the fleet.
 type worker struct {
-	p            *workerFleet
+	fleet        *workerFleet
 	id           string
 	replica      int
 	address      string
 	build        fleet.Build
 	speed        float64
-	ail          fleet.MachineFault
-	ln           net.Listener
-	m            *fleet.Machine
-	started      runTime
-	up           bool
-	silent       bool // vanished: nothing goes out, nothing is taken in
-	garbageRate  float64
-	connectDelay time.Duration // what a new connection costs
+	fault        fleet.MachineFault
+	listener     net.Listener
+	machine      *fleet.Machine
+	startedAt    runTime // 0: before the run, hence warm
+	running      bool
+	silent       bool          // accepts connections and requests, but processes and answers none
+	garbageRate  float64       // share of the answers that are not HTTP
+	connectDelay time.Duration // before a new connection is served
 	rng          *rand.Rand
-	conns        map[*workConn]bool
+	conns        map[*edgeConn]bool
 	jobs         map[uint64]*job
 	timer        *time.Timer
-	fell         bool
+	overloaded   bool // whether its failure from overload has been recorded
 }
 
+// job is a submission that the machine has accepted.
 type job struct {
-	arrival *SubmissionRecord
-	conn    *workConn
-	head    bool
+	submission *SubmissionRecord
+	conn       *edgeConn // nil: closed by the edge
+	isHead     bool
 }
 
-// workConn is one connection from an edge.
-type workConn struct {
+// edgeConn is one connection from an edge.
+type edgeConn struct {
 	net.Conn
-	w   *worker
-	cur uint64 // arrival whose answer is due, 0: none
+	worker     *worker
+	currentJob uint64 // ID of the job to be answered; 0: none
 }
 
 func newWorkerFleet(day *Day, rec *Record, now func() runTime, host string) *workerFleet {
-	return &workerFleet{day: day, rec: rec, now: now, host: host, shared: fleet.NewSharedState(), byID: map[string]*worker{},
-		recent: map[int]float64{}, counts: map[countOf]*count{}}
+	return &workerFleet{day: day, rec: rec, now: now, host: host, sharedState: fleet.NewSharedState(), workers: map[string]*worker{},
+		recentSubmissions: map[int]float64{}, tallies: map[tallyKey]*tally{}}
 }
 
-// add makes a worker for a place. It does not run yet.
-func (p *workerFleet) add(place int, build fleet.Build, speed float64, ail fleet.MachineFault) *worker {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.ids++
-	w := &worker{p: p, id: fmt.Sprintf("w%03d", p.ids), replica: place, build: build, speed: speed, ail: ail,
-		conns: map[*workConn]bool{}, jobs: map[uint64]*job{}, rng: rand.New(rand.NewSource(p.day.Seed*1000 + int64(p.ids)))}
-	p.byID[w.id] = w
+// newWorker creates a worker for a replica, without starting it.
+func (f *workerFleet) newWorker(replica int, build fleet.Build, speed float64, fault fleet.MachineFault) *worker {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.lastWorkerID++
+	w := &worker{fleet: f, id: fmt.Sprintf("w%03d", f.lastWorkerID), replica: replica, build: build, speed: speed, fault: fault,
+		conns: map[*edgeConn]bool{}, jobs: map[uint64]*job{}, rng: rand.New(rand.NewSource(f.day.Seed*1000 + int64(f.lastWorkerID)))}
+	f.workers[w.id] = w
 	return w
 }
 
-// start has a worker listen and run; cold unless it is of the first ones.
+// start makes the worker listen and serve. It warms up first if cold is set. A restarted worker keeps its address.
 func (w *worker) start(cold bool) error {
 	address := w.address
 	if address == "" {
-		address = net.JoinHostPort(w.p.host, "0")
+		address = net.JoinHostPort(w.fleet.host, "0")
 	}
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("worker %s: %w", w.id, err)
 	}
-	w.p.mu.Lock()
-	defer w.p.mu.Unlock()
-	w.address, w.ln, w.up, w.silent, w.fell = ln.Addr().String(), ln, true, false, false
-	w.started = 0
+	w.fleet.mu.Lock()
+	defer w.fleet.mu.Unlock()
+	w.address, w.listener, w.running, w.silent, w.overloaded = ln.Addr().String(), ln, true, false, false
+	w.startedAt = 0
 	if cold {
-		w.started = max(1, w.p.now())
+		w.startedAt = max(1, w.fleet.now())
 	}
-	kind := w.p.day.MachineKind
+	kind := w.fleet.day.MachineKind
 	kind.Speed = w.speed
-	w.m = fleet.NewMachine(kind, w.build, fleet.Nanos(w.started), w.p.shared, w.rng.Int63())
-	w.m.Fault = w.ail
-	w.p.group.Go(func() { w.accept(ln) })
+	w.machine = fleet.NewMachine(kind, w.build, fleet.Nanos(w.startedAt), w.fleet.sharedState, w.rng.Int63())
+	w.machine.Fault = w.fault
+	w.fleet.goroutines.Go(func() { w.accept(ln) })
 	return nil
 }
 
-// stop ends a worker at once: its connections break, its work is lost.
+// stop ends the worker at once: its connections are reset and its jobs are lost.
 func (w *worker) stop() {
-	w.p.mu.Lock()
-	defer w.p.mu.Unlock()
-	w.end()
+	w.fleet.mu.Lock()
+	defer w.fleet.mu.Unlock()
+	w.stopLocked()
 }
 
-// end is stop with the lock held.
-func (w *worker) end() {
-	if !w.up {
+// stopLocked is stop for callers that hold the fleet's lock.
+func (w *worker) stopLocked() {
+	if !w.running {
 		return
 	}
-	w.up = false
-	w.ln.Close()
+	w.running = false
+	w.listener.Close()
 	if w.timer != nil {
 		w.timer.Stop()
 	}
@@ -141,27 +148,28 @@
 	clear(w.jobs)
 }
 
-func (c *workConn) reset() {
+func (c *edgeConn) reset() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
 	c.Conn.Close()
 }
 
-// changeFault changes what is wrong with a worker.
+// changeFault changes the fault of the worker's machine.
 func (w *worker) changeFault(change func(*fleet.MachineFault)) {
-	w.p.mu.Lock()
-	defer w.p.mu.Unlock()
-	change(&w.ail)
-	if w.m != nil {
-		w.m.Fault = w.ail
+	w.fleet.mu.Lock()
+	defer w.fleet.mu.Unlock()
+	change(&w.fault)
+	if w.machine != nil {
+		w.machine.Fault = w.fault
 	}
 }
 
-// setSilent silences a worker, or lets it speak again; what it held meanwhile is lost.
+// setSilent makes the worker unresponsive, or responsive again. In the latter case its connections are reset and the jobs
+// that it holds are lost.
 func (w *worker) setSilent(silent bool) {
-	w.p.mu.Lock()
-	defer w.p.mu.Unlock()
+	w.fleet.mu.Lock()
+	defer w.fleet.mu.Unlock()
 	w.silent = silent
 	if !silent {
 		for c := range w.conns {
@@ -178,76 +186,76 @@
 		if err != nil {
 			return
 		}
-		wc := &workConn{Conn: c, w: w}
-		w.p.mu.Lock()
-		if !w.up || w.ln != ln {
-			w.p.mu.Unlock()
-			wc.reset()
+		conn := &edgeConn{Conn: c, worker: w}
+		w.fleet.mu.Lock()
+		if !w.running || w.listener != ln {
+			w.fleet.mu.Unlock()
+			conn.reset()
 			continue
 		}
-		w.conns[wc] = true
-		cost := w.connectDelay
-		w.p.mu.Unlock()
-		w.p.group.Go(func() {
-			if cost > 0 {
-				t := time.NewTimer(cost)
+		w.conns[conn] = true
+		delay := w.connectDelay
+		w.fleet.mu.Unlock()
+		w.fleet.goroutines.Go(func() {
+			if delay > 0 {
+				t := time.NewTimer(delay)
 				<-t.C
 			}
-			w.serve(wc)
-			w.p.mu.Lock()
-			delete(w.conns, wc)
-			w.p.mu.Unlock()
-			wc.Close()
+			w.serve(conn)
+			w.fleet.mu.Lock()
+			delete(w.conns, conn)
+			w.fleet.mu.Unlock()
+			conn.Close()
 		})
 	}
 }
 
-// serve reads requests; answers are written when the machine is through with them. While one is out, a further
-// read tells when the edge hangs up.
-func (w *worker) serve(c *workConn) {
+// serve reads requests; the answers are written when the machine completes the jobs. While a job is pending, the next read
+// detects that the edge closes the connection.
+func (w *worker) serve(c *edgeConn) {
 	in := bufio.NewReader(c)
 	for {
 		if _, err := in.Peek(1); err != nil {
-			w.hungUp(c)
+			w.handleDisconnect(c)
 			return
 		}
 		req, err := http.ReadRequest(in)
 		if err != nil {
-			w.hungUp(c)
+			w.handleDisconnect(c)
 			return
 		}
-		if _, err := io.Copy(io.Discard, req.Body); err != nil || c.withdrawn() {
-			w.hungUp(c)
+		if _, err := io.Copy(io.Discard, req.Body); err != nil || c.isReset() {
+			w.handleDisconnect(c)
 			return
 		}
-		w.take(c, req)
+		w.handleRequest(c, req)
 	}
 }
 
-// hungUp ends the work of a connection that has gone, where the machines do so.
-func (w *worker) hungUp(c *workConn) {
-	w.p.mu.Lock()
-	defer w.p.mu.Unlock()
-	if c.cur == 0 || w.m == nil {
+// handleDisconnect cancels the job of a closed connection, if the machine stops on cancellation.
+func (w *worker) handleDisconnect(c *edgeConn) {
+	w.fleet.mu.Lock()
+	defer w.fleet.mu.Unlock()
+	if c.currentJob == 0 || w.machine == nil {
 		return
 	}
-	j := w.jobs[c.cur]
+	j := w.jobs[c.currentJob]
 	if j == nil {
 		return
 	}
-	began, found := w.m.Cancel(fleet.Nanos(w.p.now()), c.cur)
+	started, found := w.machine.Cancel(fleet.Nanos(w.fleet.now()), c.currentJob)
 	if found {
-		j.arrival.TookEffect, j.arrival.Result, j.arrival.FinishedAt = began, "cancelled", w.p.now()
-		delete(w.jobs, c.cur)
-		w.arm()
+		j.submission.TookEffect, j.submission.Result, j.submission.FinishedAt = started, "cancelled", w.fleet.now()
+		delete(w.jobs, c.currentJob)
+		w.scheduleTimer()
 	}
 	j.conn = nil
-	c.cur = 0
+	c.currentJob = 0
 }
 
-// withdrawn tells whether the edge has reset the connection already. Danger: what lay in the host's buffers while a
-// process was busy with a costly connection reads like any request, long after it was called off.
-func (c *workConn) withdrawn() bool {
+// isReset reports whether the edge has reset the connection. A request can wait in the socket buffer while the worker
+// delays a new connection, and reads like any other request long after the edge has cancelled it.
+func (c *edgeConn) isReset() bool {
 	t, ok := c.Conn.(*net.TCPConn)
 	if !ok {
 		return false
@@ -256,187 +264,191 @@
 	if err != nil {
 		return true
 	}
-	fault := 0
-	raw.Control(func(fd uintptr) { fault, _ = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR) })
-	return fault != 0
+	socketError := 0
+	raw.Control(func(fd uintptr) {
+		socketError, _ = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR)
+	})
+	return socketError != 0
 }
 
-func headerInt(r *http.Request, name string) uint64 {
+func headerUint(r *http.Request, name string) uint64 {
 	n, _ := strconv.ParseUint(r.Header.Get(name), 10, 64)
 	return n
 }
 
-// take gives a submission to the machine.
-func (w *worker) take(c *workConn, r *http.Request) {
-	p := w.p
-	now := p.now()
-	a := &SubmissionRecord{Txn: headerInt(r, "Lab-Txn"), Worker: w.id, Replica: w.replica, Build: w.build.Number, ReceivedAt: now}
-	work := time.Duration(headerInt(r, "Lab-Work-Ns"))
-	product := int(headerInt(r, "Lab-Product"))
-	bad := r.Header.Get("Lab-Bad") != ""
-	mark := uint64(0)
+// handleRequest submits a request to the machine.
+func (w *worker) handleRequest(c *edgeConn, r *http.Request) {
+	f := w.fleet
+	now := f.now()
+	record := &SubmissionRecord{Txn: headerUint(r, "Lab-Txn"), Worker: w.id, Replica: w.replica, Build: w.build.Number, ReceivedAt: now}
+	work := time.Duration(headerUint(r, "Lab-Work-Ns"))
+	product := int(headerUint(r, "Lab-Product"))
+	malformed := r.Header.Get("Lab-Bad") != ""
+	dedupKey := uint64(0)
 	if r.Header.Get("Idempotency-Key") != "" {
-		mark = headerInt(r, "Idempotency-Key")
+		dedupKey = headerUint(r, "Idempotency-Key")
 	}
-	p.mu.Lock()
-	if !w.up {
-		p.mu.Unlock()
+	f.mu.Lock()
+	if !w.running {
+		f.mu.Unlock()
 		c.reset()
 		return
 	}
-	a.WorkerStartedAt = w.started
-	p.recent[w.build.Number]++
+	record.WorkerStartedAt = w.startedAt
+	f.recentSubmissions[w.build.Number]++
 	if w.silent {
-		// Taken in by the host's buffers; the process never sees it.
-		p.mu.Unlock()
-		a.Result = "silent"
-		p.rec.addSubmission(a)
+		// The request only reaches the socket buffer; the process never reads it.
+		f.mu.Unlock()
+		record.Result = "silent"
+		f.rec.addSubmission(record)
 		return
 	}
-	if product >= len(p.day.Products) {
+	if product >= len(f.day.Products) {
 		product = 0
 	}
-	p.next++
-	id := uint64(p.next)
-	var out []byte
-	j := &job{arrival: a, conn: c, head: r.Method == http.MethodHead}
-	spec := &p.day.Products[product]
-	sends := w.collect()
-	verdict := fleet.Accepted
+	f.lastJobID++
+	id := uint64(f.lastJobID)
+	var reply []byte
+	j := &job{submission: record, conn: c, isHead: r.Method == http.MethodHead}
+	productSpec := &f.day.Products[product]
+	responses := w.completeJobs()
+	admission := fleet.Accepted
 	switch {
-	case bad:
-		a.Result, a.TookEffect = "bad", false
-		out = answer(500, "", nil, a, w, false, j.head)
+	case malformed:
+		record.Result, record.TookEffect = "bad", false
+		reply = formatResponse(500, "", nil, record, w, false, j.isHead)
 	default:
-		verdict = w.m.Submit(fleet.Nanos(now), fleet.Job{ID: id, Product: product, DedupKey: mark, Memory: fleet.Nanos(spec.DedupMemory),
-			Work: fleet.Nanos(work), From: int(headerInt(r, "Lab-Edge"))})
+		admission = w.machine.Submit(fleet.Nanos(now), fleet.Job{ID: id, Product: product, DedupKey: dedupKey, Memory: fleet.Nanos(productSpec.DedupMemory),
+			Work: fleet.Nanos(work), From: int(headerUint(r, "Lab-Edge"))})
 	}
-	switch verdict {
+	switch admission {
 	case fleet.Refused:
-		a.Rejected, a.Result = true, "turned-away"
-		out = answer(503, "Dunegrade-Unseen: 1\r\n", nil, a, w, false, j.head)
+		record.Rejected, record.Result = true, "turned-away"
+		reply = formatResponse(503, "Dunegrade-Unseen: 1\r\n", nil, record, w, false, j.isHead)
 	case fleet.MachineDown:
-		if !w.fell {
-			w.fell = true
-			from := map[int]time.Duration{}
-			for e, sum := range w.m.RecentWork() {
-				from[e] = time.Duration(sum)
+		if !w.overloaded {
+			w.overloaded = true
+			workByEdge := map[int]time.Duration{}
+			for edge, sum := range w.machine.RecentWork() {
+				workByEdge[edge] = time.Duration(sum)
 			}
-			p.rec.mu.Lock()
-			p.rec.OverloadFailures = append(p.rec.OverloadFailures, OverloadFailure{w.id, w.started, now, from})
-			p.rec.mu.Unlock()
+			f.rec.mu.Lock()
+			f.rec.OverloadFailures = append(f.rec.OverloadFailures, OverloadFailure{w.id, w.startedAt, now, workByEdge})
+			f.rec.mu.Unlock()
 		}
-		a.Result = "down"
-		w.end()
+		record.Result = "down"
+		w.stopLocked()
 	}
-	if out == nil && verdict == fleet.Accepted {
+	if reply == nil && admission == fleet.Accepted {
 		w.jobs[id] = j
-		c.cur = id
-		w.arm()
+		c.currentJob = id
+		w.scheduleTimer()
 	}
-	p.mu.Unlock()
-	p.rec.addSubmission(a)
-	if out != nil {
-		c.Write(out)
+	f.mu.Unlock()
+	f.rec.addSubmission(record)
+	if reply != nil {
+		c.Write(reply)
 	}
-	for _, s := range sends {
-		s.c.Write(s.out)
+	for _, response := range responses {
+		response.conn.Write(response.data)
 	}
 }
 
-type sending struct {
-	c   *workConn
-	out []byte
+// pendingResponse is a response to be written once the fleet's lock is released.
+type pendingResponse struct {
+	conn *edgeConn
+	data []byte
 }
 
-// collect ends what is through by now, and gives the answers to send. The lock is held.
-func (w *worker) collect() (sends []sending) {
-	for _, d := range w.m.Advance(fleet.Nanos(w.p.now())) {
-		w.finish(d, func(c *workConn, out []byte) { sends = append(sends, sending{c, out}) })
+// completeJobs completes the jobs that have ended by now, and returns the responses to send. The caller holds the fleet's
+// lock.
+func (w *worker) completeJobs() (responses []pendingResponse) {
+	for _, done := range w.machine.Advance(fleet.Nanos(w.fleet.now())) {
+		w.completeJob(done, func(c *edgeConn, data []byte) { responses = append(responses, pendingResponse{c, data}) })
 	}
-	return sends
+	return responses
 }
 
-// arm sets the timer for the next job's end. The lock is held.
-func (w *worker) arm() {
-	next := time.Duration(w.m.NextCompletion())
+// scheduleTimer sets the timer to the end of the next job. The caller holds the fleet's lock.
+func (w *worker) scheduleTimer() {
+	next := time.Duration(w.machine.NextCompletion())
 	if w.timer != nil {
 		w.timer.Stop()
 	}
-	if next > 1<<62 {
+	if next > 1<<62 { // no job is running
 		return
 	}
-	w.timer = time.AfterFunc(max(0, next-w.p.now()), w.step)
+	w.timer = time.AfterFunc(max(0, next-w.fleet.now()), w.handleTimer)
 }
 
-// step ends what is through, and answers it.
-func (w *worker) step() {
-	p := w.p
-	p.mu.Lock()
-	var sends []sending
-	if w.up && w.m != nil {
-		sends = w.collect()
-		w.arm()
-	}
-	p.mu.Unlock()
-	for _, s := range sends {
-		s.c.Write(s.out)
+// handleTimer completes the jobs that have ended, and sends their responses.
+func (w *worker) handleTimer() {
+	f := w.fleet
+	f.mu.Lock()
+	var responses []pendingResponse
+	if w.running && w.machine != nil {
+		responses = w.completeJobs()
+		w.scheduleTimer()
+	}
+	f.mu.Unlock()
+	for _, response := range responses {
+		response.conn.Write(response.data)
 	}
 }
 
-// finish books a job's end, and has its answer sent. The lock is held.
-func (w *worker) finish(d fleet.CompletedJob, send func(*workConn, []byte)) {
-	j := w.jobs[d.ID]
+// completeJob records the end of a job and passes its response to send. The caller holds the fleet's lock.
+func (w *worker) completeJob(done fleet.CompletedJob, send func(*edgeConn, []byte)) {
+	j := w.jobs[done.ID]
 	if j == nil {
 		return
 	}
-	delete(w.jobs, d.ID)
-	a := j.arrival
-	a.FinishedAt, a.TookEffect, a.Duplicate = w.p.now(), d.TookEffect(), d.End == fleet.Dropped
-	status, wrong := 200, false
-	switch d.End {
+	delete(w.jobs, done.ID)
+	record := j.submission
+	record.FinishedAt, record.TookEffect, record.Duplicate = w.fleet.now(), done.TookEffect(), done.End == fleet.Dropped
+	status, wrongAnswer := 200, false
+	switch done.End {
 	case fleet.Failed:
-		a.Result, status = "failed", 500
+		record.Result, status = "failed", 500
 	case fleet.WrongAnswer:
-		a.Result, wrong = "wrong", true
+		record.Result, wrongAnswer = "wrong", true
 	case fleet.Dropped:
-		a.Result = "dropped"
+		record.Result = "dropped"
 	default:
-		a.Result = "ok"
+		record.Result = "ok"
 	}
-	if w.p.day.TallyInterval > 0 && w.rng.Float64() < w.p.day.TallySampleShare {
-		k := countOf{w.build.Number, d.Product}
-		if w.p.counts[k] == nil {
-			w.p.counts[k] = &count{}
+	if w.fleet.day.TallyInterval > 0 && w.rng.Float64() < w.fleet.day.TallySampleShare {
+		key := tallyKey{w.build.Number, done.Product}
+		if w.fleet.tallies[key] == nil {
+			w.fleet.tallies[key] = &tally{}
 		}
-		w.p.counts[k].many++
+		w.fleet.tallies[key].answers++
 		if status == 200 {
-			w.p.counts[k].sum += a.FinishedAt - a.ReceivedAt
+			w.fleet.tallies[key].totalTime += record.FinishedAt - record.ReceivedAt
 		} else {
-			w.p.counts[k].bad++
+			w.fleet.tallies[key].failures++
 		}
 	}
 	c := j.conn
 	if c == nil || w.silent {
 		return
 	}
-	c.cur = 0
+	c.currentJob = 0
 	if w.garbageRate > 0 && w.rng.Float64() < w.garbageRate {
-		a.Result = "garbage"
+		record.Result = "garbage"
 		send(c, []byte("\x00\x01 this is no answer\r\n\r\n"))
 		return
 	}
-	load := w.m.Load(fleet.Nanos(w.p.now()))
-	send(c, answer(status, "", &load, a, w, wrong, j.head))
+	load := w.machine.Load(fleet.Nanos(w.fleet.now()))
+	send(c, formatResponse(status, "", &load, record, w, wrongAnswer, j.isHead))
 }
 
-var answerBody = []byte("0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcde\n")
+var responseBody = []byte("0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcde\n")
 
-func answer(status int, extra string, load *fleet.LoadReport, a *SubmissionRecord, w *worker, wrong, head bool) []byte {
+func formatResponse(status int, extra string, load *fleet.LoadReport, record *SubmissionRecord, w *worker, wrongAnswer, isHead bool) []byte {
 	out := make([]byte, 0, 512)
 	out = fmt.Appendf(out, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\nLab-Txn: %d\r\nLab-Build: %d\r\nLab-Worker: %s\r\n%s", status,
-		http.StatusText(status), len(answerBody), a.Txn, w.build.Number, w.id, extra)
-	if wrong {
+		http.StatusText(status), len(responseBody), record.Txn, w.build.Number, w.id, extra)
+	if wrongAnswer {
 		out = append(out, "Lab-Wrong: 1\r\n"...)
 	}
 	if load != nil {
@@ -444,38 +456,39 @@
 			load.Util, load.Queue, load.Busy)
 	}
 	out = append(out, "\r\n"...)
-	if !head {
-		out = append(out, answerBody...)
+	if !isHead {
+		out = append(out, responseBody...)
 	}
 	return out
 }
 
-// drag sets how much a build that slows all does so, by its share of the traffic of the last second or so.
-func (p *workerFleet) drag() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	all, most := 0.0, 1.0
-	for _, n := range p.recent {
-		all += n
-	}
-	for _, w := range p.byID {
-		if w.build.Flaw == fleet.SlowsFleet && all > 0 {
-			most = max(most, 1+(w.build.Strength-1)*p.recent[w.build.Number]/all)
+// updateSlowdown sets the slowdown that a build with the flaw SlowsFleet causes on all machines, in proportion to its share
+// of the recent traffic. It is called every 100 ms.
+func (f *workerFleet) updateSlowdown() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	total, slowdown := 0.0, 1.0
+	for _, n := range f.recentSubmissions {
+		total += n
+	}
+	for _, w := range f.workers {
+		if w.build.Flaw == fleet.SlowsFleet && total > 0 {
+			slowdown = max(slowdown, 1+(w.build.Strength-1)*f.recentSubmissions[w.build.Number]/total)
 		}
 	}
-	p.shared.SlowdownFactor = most
-	for b := range p.recent {
-		p.recent[b] *= 0.9
+	f.sharedState.SlowdownFactor = slowdown
+	for build := range f.recentSubmissions {
+		f.recentSubmissions[build] *= submissionDecay
 	}
 }
 
-// close ends all workers and waits for their goroutines.
-func (p *workerFleet) close() {
-	p.mu.Lock()
-	p.closed = true
-	for _, w := range p.byID {
-		w.end()
-	}
-	p.mu.Unlock()
-	p.group.Wait()
+// close stops all workers and waits for their goroutines.
+func (f *workerFleet) close() {
+	f.mu.Lock()
+	f.closed = true
+	for _, w := range f.workers {
+		w.stopLocked()
+	}
+	f.mu.Unlock()
+	f.goroutines.Wait()
 }
