--- a/lab/clients.go
+++ b/lab/clients.go
@@ -15,264 +15,273 @@
 	"time"
 )
 
-// clients send txns at times drawn ahead, whatever becomes of earlier ones, so that a slow edge meets the load that
-// real clients would bring it (no coordinated omission).
+// clients sends txns at random times that don't depend on the progress of earlier ones, so that a slow edge gets the load
+// that real clients would send it (no coordinated omission).
 type clients struct {
-	day   *Day
-	rec   *Record
-	now   func() runTime
-	rng   *rand.Rand
-	zipf  *rand.Zipf
-	edges []*edgeEndpoint
-	group sync.WaitGroup
-	next  atomic.Uint64
-	flag  func(edge int, product, worker string, age time.Duration)
-	mu    sync.Mutex // guards chance drawn after the start
-	late  *rand.Rand
+	day               *Day
+	rec               *Record
+	now               func() runTime
+	rng               *rand.Rand
+	keyDistribution   *rand.Zipf
+	edges             []*edgeEndpoint
+	goroutines        sync.WaitGroup
+	lastTxnID         atomic.Uint64
+	reportWrongAnswer func(edge int, product, worker string, age time.Duration)
+	runtimeRNGLock    sync.Mutex
+	runtimeRNG        *rand.Rand // used by the goroutines of txns, while rng draws the plans in order
 
-	rateFactor   atomic.Uint64 // times the traffic, as float bits
-	giveUpShare  atomic.Uint64 // share that leaves early
-	badKeyShare  atomic.Uint64
-	maxSendDelay atomic.Int64 // the latest that an arrival was sent after its time, in nanoseconds
+	// The script of the day changes the next three, which hold the bits of a float.
+	rateFactor  atomic.Uint64 // multiplies the rate of txns
+	giveUpShare atomic.Uint64 // share of clients that leave before an answer or their deadline
+	badKeyShare atomic.Uint64 // share of keys whose txns are malformed
+
+	maxSendDelay atomic.Int64 // largest delay of a txn's sending past its scheduled time, in nanoseconds
 }
 
-// edgeEndpoint is an edge as clients see it, with connections kept for reuse.
+// edgeEndpoint is an edge as its clients see it, with its idle connections.
 type edgeEndpoint struct {
 	index       int
 	address     string
 	weight      float64
 	incarnation atomic.Int64 // number of the process now running
 	mu          sync.Mutex
-	idle        []*clientSide
+	idle        []*clientConn
 }
 
-type clientSide struct {
+// clientConn is a connection from a client to an edge.
+type clientConn struct {
 	net.Conn
-	in   *bufio.Reader
-	used int
+	reader   *bufio.Reader
+	requests int
 }
 
-func floatOf(a *atomic.Uint64) float64       { return math.Float64frombits(a.Load()) }
+func loadFloat(a *atomic.Uint64) float64     { return math.Float64frombits(a.Load()) }
 func storeFloat(a *atomic.Uint64, v float64) { a.Store(math.Float64bits(v)) }
 
-func newClients(day *Day, rec *Record, now func() runTime, flag func(int, string, string, time.Duration)) *clients {
+func newClients(day *Day, rec *Record, now func() runTime, reportWrongAnswer func(int, string, string, time.Duration)) *clients {
 	rng := rand.New(rand.NewSource(day.Seed + 99))
-	c := &clients{day: day, rec: rec, now: now, rng: rng, zipf: rand.NewZipf(rng, 1.1, 10, uint64(max(1, day.Keys-1))),
-		flag: flag, late: rand.New(rand.NewSource(day.Seed + 101))}
+	c := &clients{day: day, rec: rec, now: now, rng: rng, keyDistribution: rand.NewZipf(rng, 1.1, 10, uint64(max(1, day.Keys-1))),
+		reportWrongAnswer: reportWrongAnswer, runtimeRNG: rand.New(rand.NewSource(day.Seed + 101))}
 	storeFloat(&c.rateFactor, 1)
 	return c
 }
 
-// run sends the day's traffic until its length is over, then waits for what is out.
+// run sends the day's traffic until the day's end, then waits for the pending txns.
 func (c *clients) run(quit <-chan struct{}) {
 	t := time.NewTimer(0)
 	defer t.Stop()
-	due := c.now()
-	for due < c.day.Length {
-		due += time.Duration(c.rng.ExpFloat64() / (c.day.Rate * floatOf(&c.rateFactor)) * float64(time.Second))
-		if wait := due - c.now(); wait > 0 {
+	sendAt := c.now()
+	for sendAt < c.day.Length {
+		sendAt += time.Duration(c.rng.ExpFloat64() / (c.day.Rate * loadFloat(&c.rateFactor)) * float64(time.Second))
+		if wait := sendAt - c.now(); wait > 0 {
 			t.Reset(wait)
 			select {
 			case <-quit:
-				c.group.Wait()
+				c.goroutines.Wait()
 				return
 			case <-t.C:
 			}
 		} else if int64(-wait) > c.maxSendDelay.Load() {
 			c.maxSendDelay.Store(int64(-wait))
 		}
-		txn := c.draw()
-		c.group.Go(func() { c.play(txn) })
+		plan := c.drawTxn()
+		c.goroutines.Go(func() { c.runTxn(plan) })
 	}
-	c.group.Wait()
+	c.goroutines.Wait()
 }
 
-// order is one txn as it is asked for.
-type order struct {
-	product int
-	key     uint64
-	work    time.Duration
-	hint    time.Duration
-	edge    *edgeEndpoint
-	share   float64 // of the expiry that the client waits
-	early   time.Duration
-	bad     bool
+// txnPlan holds the random choices of one txn.
+type txnPlan struct {
+	product       int
+	key           uint64
+	work          time.Duration
+	costHint      time.Duration // estimate of work that the request carries
+	edge          *edgeEndpoint
+	patienceShare float64       // of the expiry that the client waits
+	leaveAfter    time.Duration // 0: the client waits for its deadline
+	malformed     bool
 }
 
-func (c *clients) draw() order {
-	o := order{key: 1 + c.zipf.Uint64()}
+func (c *clients) drawTxn() txnPlan {
+	plan := txnPlan{key: 1 + c.keyDistribution.Uint64()}
 	x := c.rng.Float64()
 	for i, p := range c.day.Products {
-		if o.product = i; x < p.Share {
+		if plan.product = i; x < p.Share {
 			break
 		}
 		x -= p.Share
 	}
-	p := &c.day.Products[o.product]
-	cv := c.day.WorkCV
-	sigma := math.Sqrt(math.Log(1 + cv*cv))
-	o.work = time.Duration(float64(p.MeanWork) * math.Exp(sigma*c.rng.NormFloat64()-sigma*sigma/2))
-	o.hint = time.Duration(float64(o.work) * math.Exp(0.3*c.rng.NormFloat64()))
-	o.edge = c.pick(c.rng.Float64())
-	o.share = c.day.MinPatience + (1-c.day.MinPatience)*c.rng.Float64()
-	if c.rng.Float64() < floatOf(&c.giveUpShare) {
-		o.early = time.Duration((0.1 + 0.8*c.rng.Float64()) * float64(p.SLA))
+	p := &c.day.Products[plan.product]
+	workCV := c.day.WorkCV
+	sigma := math.Sqrt(math.Log(1 + workCV*workCV))
+	plan.work = time.Duration(float64(p.MeanWork) * math.Exp(sigma*c.rng.NormFloat64()-sigma*sigma/2))
+	plan.costHint = time.Duration(float64(plan.work) * math.Exp(0.3*c.rng.NormFloat64()))
+	plan.edge = c.pickEdge(c.rng.Float64())
+	plan.patienceShare = c.day.MinPatience + (1-c.day.MinPatience)*c.rng.Float64()
+	if c.rng.Float64() < loadFloat(&c.giveUpShare) {
+		plan.leaveAfter = time.Duration((0.1 + 0.8*c.rng.Float64()) * float64(p.SLA))
 	}
-	o.bad = float64(o.key*0x9e3779b97f4a7c15>>40)/(1<<24) < floatOf(&c.badKeyShare) // all of a key, as real ones are
-	return o
+	// Decided by key, as in practice: all txns of a key are malformed, or none.
+	plan.malformed = float64(plan.key*0x9e3779b97f4a7c15>>40)/(1<<24) < loadFloat(&c.badKeyShare)
+	return plan
 }
 
-// pick chooses an edge by a number from 0 to 1, and the edges' weights.
-func (c *clients) pick(x float64) *edgeEndpoint {
-	sum := 0.0
-	for _, e := range c.edges {
-		sum += e.weight
+// pickEdge chooses an edge by the edges' weights. x is a random number in [0, 1).
+func (c *clients) pickEdge(x float64) *edgeEndpoint {
+	totalWeight := 0.0
+	for _, edge := range c.edges {
+		totalWeight += edge.weight
 	}
-	x *= sum
-	for _, e := range c.edges {
-		if x < e.weight {
-			return e
+	x *= totalWeight
+	for _, edge := range c.edges {
+		if x < edge.weight {
+			return edge
 		}
-		x -= e.weight
+		x -= edge.weight
 	}
 	return c.edges[len(c.edges)-1]
 }
 
-// play sends a txn and, where that does no harm, sends it again by itself, as clients do.
-func (c *clients) play(o order) {
-	p := &c.day.Products[o.product]
-	first := c.now()
-	patience := time.Duration(o.share * float64(p.Expiry))
-	lineage := uint64(0)
+// runTxn sends a txn, and retries it where that is safe, as clients do.
+func (c *clients) runTxn(plan txnPlan) {
+	product := &c.day.Products[plan.product]
+	firstSentAt := c.now()
+	patience := time.Duration(plan.patienceShare * float64(product.Expiry))
+	firstTryID := uint64(0)
 	for try := 0; ; try++ {
-		r := &TxnRecord{ID: c.next.Add(1), Edge: o.edge.index, Incarnation: int(o.edge.incarnation.Load()), Product: o.product, Key: o.key, SentAt: c.now(),
-			Malformed: o.bad, IsRetry: try > 0}
-		if lineage == 0 {
-			lineage = r.ID
+		record := &TxnRecord{ID: c.lastTxnID.Add(1), Edge: plan.edge.index, Incarnation: int(plan.edge.incarnation.Load()),
+			Product: plan.product, Key: plan.key, SentAt: c.now(), Malformed: plan.malformed, IsRetry: try > 0}
+		if firstTryID == 0 {
+			firstTryID = record.ID
 		}
-		r.FirstTryID = lineage
-		r.Deadline = r.SentAt + patience
-		r.Revenue = p.Revenue
-		after := c.send(o, r)
-		c.rec.addTxn(r)
-		// A once-only txn goes again only where the edge was not reached, or said that it does no harm.
-		again := r.Failure == "refused" || r.Outcome == "declined" || p.Effect == "inquiry-like" && r.Status != 200 && r.LeftAt == 0 && !o.bad ||
-			p.Effect == "referenced" && r.Status != 200 && r.LeftAt == 0 && !o.bad && c.now()-first < p.DedupMemory/2
-		if !again || try >= c.day.Retries || c.now()+after+c.day.Backoff > first+2*patience {
+		record.FirstTryID = firstTryID
+		record.Deadline = record.SentAt + patience
+		record.Revenue = product.Revenue
+		retryAfter := c.sendTry(plan, record)
+		c.rec.addTxn(record)
+		// A once-only txn is retried only if the edge was not reached or has declined it. A referenced one is retried while
+		// workers are sure to recognize it as a duplicate.
+		mayRetry := record.Failure == "refused" || record.Outcome == "declined" ||
+			product.Effect == "inquiry-like" && record.Status != 200 && record.LeftAt == 0 && !plan.malformed ||
+			product.Effect == "referenced" && record.Status != 200 && record.LeftAt == 0 && !plan.malformed &&
+				c.now()-firstSentAt < product.DedupMemory/2
+		if !mayRetry || try >= c.day.Retries || c.now()+retryAfter+c.day.Backoff > firstSentAt+2*patience {
 			return
 		}
-		time.Sleep(after + c.day.Backoff)
-		o.edge = c.pick(c.chance()) // what spreads clients over edges does so for each try
+		time.Sleep(retryAfter + c.day.Backoff)
+		plan.edge = c.pickEdge(c.randFloat()) // as a load balancer in front of the edges would do for each try
 	}
 }
 
-// send plays one try, and gives how long the edge asked the client to stay away.
-func (c *clients) send(o order, r *TxnRecord) (after time.Duration) {
-	p := &c.day.Products[o.product]
-	conn := o.edge.take()
+// sendTry sends one try, and returns the time after which the edge allows a retry.
+func (c *clients) sendTry(plan txnPlan, record *TxnRecord) (retryAfter time.Duration) {
+	product := &c.day.Products[plan.product]
+	conn := plan.edge.takeIdle()
 	if conn == nil {
-		d := net.Dialer{Timeout: r.Deadline - r.SentAt}
-		raw, err := d.Dial("tcp", o.edge.address)
+		d := net.Dialer{Timeout: record.Deadline - record.SentAt}
+		raw, err := d.Dial("tcp", plan.edge.address)
 		if err != nil {
-			r.Failure = "refused"
+			record.Failure = "refused"
 			return 0
 		}
-		conn = &clientSide{Conn: raw, in: bufio.NewReader(raw)}
+		conn = &clientConn{Conn: raw, reader: bufio.NewReader(raw)}
 	}
-	r.ReusedConn = conn.used > 0
-	conn.used++
-	// The client waits a little past its patience, so that an answer that is late by a hair is seen as that.
-	wait := r.Deadline - c.now() + checkSlack
-	if o.early > 0 {
-		wait = o.early
+	record.ReusedConn = conn.requests > 0
+	conn.requests++
+	// Waiting slightly past the deadline distinguishes an answer that is a little late from none.
+	wait := record.Deadline - c.now() + checkSlack
+	if plan.leaveAfter > 0 {
+		wait = plan.leaveAfter
 	}
 	conn.SetDeadline(time.Now().Add(wait))
 	method, length := "GET", ""
-	if p.Effect != "inquiry-like" || p.BodyBytes > 0 {
-		method, length = "POST", "Content-Length: "+strconv.Itoa(p.BodyBytes)+"\r\n"
+	if product.Effect != "inquiry-like" || product.BodyBytes > 0 {
+		method, length = "POST", "Content-Length: "+strconv.Itoa(product.BodyBytes)+"\r\n"
 	}
-	mark := ""
-	if p.Effect == "referenced" {
-		mark = fmt.Sprintf("Idempotency-Key: %d\r\n", r.FirstTryID)
+	extraHeaders := ""
+	if product.Effect == "referenced" {
+		extraHeaders = fmt.Sprintf("Idempotency-Key: %d\r\n", record.FirstTryID)
 	}
-	if p.Effect != "inquiry-like" { // as a shop traces its orders: a repeat has its first try's trace id
-		mark += fmt.Sprintf("traceparent: 00-%016x%016x-%016x-01\r\n", uint64(c.day.Seed)+1, r.FirstTryID, r.ID)
+	if product.Effect != "inquiry-like" { // as where orders are traced: retries carry the trace ID of the first try
+		extraHeaders += fmt.Sprintf("traceparent: 00-%016x%016x-%016x-01\r\n", uint64(c.day.Seed)+1, record.FirstTryID, record.ID)
 	}
-	bad := ""
-	if o.bad {
-		bad = "Lab-Bad: 1\r\n"
+	malformedHeader := ""
+	if plan.malformed {
+		malformedHeader = "Lab-Bad: 1\r\n"
 	}
 	head := fmt.Sprintf("%s /%s/%d HTTP/1.1\r\nHost: lab\r\n%s%sLab-Txn: %d\r\nLab-Edge: %d\r\nLab-Key: %d\r\nLab-Product: %d\r\n"+
-		"Lab-Work-Ns: %d\r\nLab-Cost-Ms: %.3f\r\n%sx-envoy-upstream-rq-timeout-ms: %d\r\n\r\n", method, p.Name, o.key, length, mark,
-		r.ID, o.edge.index, o.key, o.product, int64(o.work), float64(o.hint)/1e6, bad, (r.Deadline-r.SentAt)/time.Millisecond)
-	out := append(make([]byte, 0, len(head)+p.BodyBytes), head...)
-	for i := 0; i < p.BodyBytes; i++ {
-		out = append(out, 'x')
+		"Lab-Work-Ns: %d\r\nLab-Cost-Ms: %.3f\r\n%sx-envoy-upstream-rq-timeout-ms: %d\r\n\r\n", method, product.Name, plan.key, length,
+		extraHeaders, record.ID, plan.edge.index, plan.key, plan.product, int64(plan.work), float64(plan.costHint)/1e6, malformedHeader,
+		(record.Deadline-record.SentAt)/time.Millisecond)
+	request := append(make([]byte, 0, len(head)+product.BodyBytes), head...)
+	for i := 0; i < product.BodyBytes; i++ {
+		request = append(request, 'x')
 	}
-	if _, err := conn.Write(out); err != nil {
-		c.broke(conn, r, err, o)
+	if _, err := conn.Write(request); err != nil {
+		c.recordFailure(conn, record, err, plan)
 		return 0
 	}
-	resp, err := http.ReadResponse(conn.in, nil)
+	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
-		c.broke(conn, r, err, o)
+		c.recordFailure(conn, record, err, plan)
 		return 0
 	}
 	_, err = io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
 	if err != nil {
-		c.broke(conn, r, err, o)
+		c.recordFailure(conn, record, err, plan)
 		return 0
 	}
-	r.AnsweredAt, r.Status, r.Outcome = c.now(), resp.StatusCode, resp.Header.Get("Dunegrade-Outcome")
-	if v := resp.Header.Get("Lab-Txn"); v != "" && v != strconv.FormatUint(r.ID, 10) {
-		r.ForeignAnswer = true
+	record.AnsweredAt, record.Status, record.Outcome = c.now(), resp.StatusCode, resp.Header.Get("Dunegrade-Outcome")
+	if v := resp.Header.Get("Lab-Txn"); v != "" && v != strconv.FormatUint(record.ID, 10) {
+		record.ForeignAnswer = true
 	}
-	r.Build, _ = strconv.Atoi(resp.Header.Get("Lab-Build"))
-	r.WrongAnswer = resp.Header.Get("Lab-Wrong") != ""
-	if r.WrongAnswer && c.chance() < c.day.WrongReportShare {
-		edge, product, worker, sent := o.edge.index, p.Name, resp.Header.Get("Lab-Worker"), r.SentAt
-		time.AfterFunc(c.day.WrongReportDelay, func() { c.flag(edge, product, worker, c.now()-sent) })
+	record.Build, _ = strconv.Atoi(resp.Header.Get("Lab-Build"))
+	record.WrongAnswer = resp.Header.Get("Lab-Wrong") != ""
+	if record.WrongAnswer && c.randFloat() < c.day.WrongReportShare {
+		edge, productName, worker, sent := plan.edge.index, product.Name, resp.Header.Get("Lab-Worker"), record.SentAt
+		time.AfterFunc(c.day.WrongReportDelay, func() { c.reportWrongAnswer(edge, productName, worker, c.now()-sent) })
 	}
 	if ms, err := strconv.Atoi(resp.Header.Get("Dunegrade-Retry-After-Ms")); err == nil {
-		after = time.Duration(ms) * time.Millisecond
+		retryAfter = time.Duration(ms) * time.Millisecond
 	}
-	if conn.in.Buffered() > 0 {
-		r.ExtraBytes = true
+	if conn.reader.Buffered() > 0 {
+		record.ExtraBytes = true
 	}
-	if resp.Close || r.ExtraBytes || r.ForeignAnswer {
+	if resp.Close || record.ExtraBytes || record.ForeignAnswer {
 		conn.Close()
-		return after
+		return retryAfter
 	}
-	o.edge.give(conn)
-	return after
+	plan.edge.putIdle(conn)
+	return retryAfter
 }
 
-func (c *clients) chance() float64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.late.Float64()
+// randFloat returns a random number in [0, 1). It is safe for concurrent use.
+func (c *clients) randFloat() float64 {
+	c.runtimeRNGLock.Lock()
+	defer c.runtimeRNGLock.Unlock()
+	return c.runtimeRNG.Float64()
 }
 
-// broke books a txn whose connection ended, or whose client's patience did.
-func (c *clients) broke(conn *clientSide, r *TxnRecord, err error, o order) {
+// recordFailure records a txn whose connection ended or whose client stopped waiting.
+func (c *clients) recordFailure(conn *clientConn, record *TxnRecord, err error, plan txnPlan) {
 	conn.Close()
-	if e, ok := err.(net.Error); ok && e.Timeout() {
-		r.LeftAt = c.now()
+	if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
+		record.LeftAt = c.now()
 		return
 	}
-	r.Failure = "broken"
-	r.AnsweredAt = 0
+	record.Failure = "broken"
+	record.AnsweredAt = 0
 }
 
-// take gives an idle connection that is still open and silent, or nil.
-func (t *edgeEndpoint) take() *clientSide {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for n := len(t.idle); n > 0; n = len(t.idle) {
-		c := t.idle[n-1]
-		t.idle = t.idle[:n-1]
-		if quiet(c.Conn) {
+// takeIdle returns an idle connection that is still open and has nothing to read, or nil.
+func (e *edgeEndpoint) takeIdle() *clientConn {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for n := len(e.idle); n > 0; n = len(e.idle) {
+		c := e.idle[n-1]
+		e.idle = e.idle[:n-1]
+		if isIdle(c.Conn) {
 			return c
 		}
 		c.Close()
@@ -280,33 +289,33 @@
 	return nil
 }
 
-// quiet tells whether a connection is open with nothing to read, without waiting.
-func quiet(c net.Conn) bool {
-	raw, err := c.(*net.TCPConn).SyscallConn()
+// isIdle reports, without blocking, whether the connection is open and has nothing to read.
+func isIdle(conn net.Conn) bool {
+	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	ok := false
+	idle := false
 	raw.Control(func(fd uintptr) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		ok = err == syscall.EAGAIN
+		idle = err == syscall.EAGAIN
 	})
-	return ok
+	return idle
 }
 
-func (t *edgeEndpoint) give(c *clientSide) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.idle = append(t.idle, c)
+func (e *edgeEndpoint) putIdle(c *clientConn) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.idle = append(e.idle, c)
 }
 
-// closeIdle closes all idle connections, as when the edge has gone.
-func (t *edgeEndpoint) closeIdle() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, c := range t.idle {
+// closeIdle closes all idle connections, for an edge that has stopped.
+func (e *edgeEndpoint) closeIdle() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, c := range e.idle {
 		c.Close()
 	}
-	t.idle = nil
+	e.idle = nil
 }
