--- a/lab/platform.go
+++ b/lab/platform.go
@@ -17,98 +17,113 @@
 	"dunegrade/fleet"
 )
 
-// platform stands in for the planner: it holds workers, releases, steps and caps, counts votes, and speaks the REST
-// API. It is a script's tool: no state outlives it.
+const (
+	stepInterval        = 20 * time.Millisecond  // between updates of machines and releases
+	stepsPerSlowdown    = 5                      // steps between updates of the fleet's slowdown, every 100 ms
+	streamPollInterval  = 10 * time.Millisecond  // between looks for new lines of a watch
+	bookmarkInterval    = 500 * time.Millisecond // silence of a watch after which a bookmark is sent
+	voteLifetime        = 4 * time.Second        // after which a vote no longer counts
+	stalledVoteTimeout  = 5 * time.Second        // for which a stalled platform holds a request with a vote
+	shutdownTimeout     = 2 * time.Second
+	maxVoteBytes        = 64 << 10
+	stageShareTolerance = 1e-9 // of rounding, in machines
+)
+
+// platform simulates the release platform: it manages workers, builds, stages and caps, counts votes, and serves the REST
+// API. It keeps no state on disk.
 type platform struct {
-	day   *Day
-	rec   *Record
-	park  *workerFleet
-	now   func() runTime
-	rng   *rand.Rand
-	http  *http.Server
-	url   string
-	group sync.WaitGroup
-	plays sync.WaitGroup // what is played in a state
-	quit  chan struct{}
+	day        *Day
+	rec        *Record
+	workers    *workerFleet
+	now        func() runTime
+	rng        *rand.Rand
+	http       *http.Server
+	url        string
+	goroutines sync.WaitGroup
+	stateHooks sync.WaitGroup // running calls of stateHook
+	quit       chan struct{}
 
 	mu               sync.Mutex
 	replicas         []*replicaState
-	workerChanges    []change // of the list
-	releaseUpdates   []newsItem
-	build            int // the newest
-	before           int // the one that it follows
+	workerChanges    []workerChange // the worker list as a log; an entry's index + 1 is its revision
+	releaseUpdates   []releaseUpdate
+	build            int // number of the newest build
+	previousBuild    int // number of the build that the newest one replaces
 	builds           map[int]fleet.Build
 	stage            int
 	phase            string
-	since            runTime
-	ready            runTime // when all machines of the stage ran; 0: not yet
-	standing         map[int]VoteRecord
-	tokens           float64
-	refilled         runTime
-	stalled          bool
-	extraUpdateDelay time.Duration
-	reports          map[string][]api.Report
-	tallies          []tallyItem
-	tallied          runTime
-	clock            time.Duration // that the stage has run, under clocked
-	stepped          runTime
-	lists            map[string]api.Worker                 // as the last change left it
-	next             int                                   // offer
-	stateHook        func(state string)                    // played in each state, which does not end before it does; may be nil
-	holds            int                                   // of them that are played
-	corruptLine      func(w http.ResponseWriter, line any) // has its way before each line of a watch is written; may be nil
-	backAt           map[int]runTime                       // when a build was called back
-	released         map[int]runTime
-	offered          map[int]runTime
-}
-
-// replicaState is one place of the fleet: what runs there, and what starts.
+	phaseSince       runTime
+	stageReadyAt     runTime            // when all machines of the stage were up; 0: not yet
+	latestVotes      map[int]VoteRecord // by sentry
+	voteTokens       float64            // of the token bucket that limits votes
+	tokensRefilledAt runTime
+	stalled          bool                    // whether the platform answers nothing
+	extraUpdateDelay time.Duration           // of release updates, on top of the day's
+	reports          map[string][]api.Report // reports of wrong answers that are not sent yet, by edge
+	tallies          []scheduledTally
+	talliedAt        runTime
+	stageElapsed     time.Duration // time on the stage's clock, with clocked votes
+	steppedAt        runTime
+	latestEntries    map[string]api.Worker
+	nextOffer        int                                   // index into the day's offers
+	stateHook        func(state string)                    // called in each state, which lasts until it returns; may be nil
+	runningHooks     int                                   // number of running calls of stateHook
+	corruptLine      func(w http.ResponseWriter, line any) // called before each line of a watch is written; may be nil
+	wentBackAt       map[int]runTime                       // when each build first went back
+	releasedAt       map[int]runTime
+	offeredAt        map[int]runTime
+}
+
+// replicaState is one replica of the fleet with the workers that serve it.
 type replicaState struct {
-	n         int
-	speed     float64
-	oldWorker *worker // of the earlier build, nil when gone
-	newWorker *worker // of the newest, nil when there is none
-	gone      runTime // when the drained one is to be stopped
-	drain     *worker
-	boots     runTime // when the starting one is up
-	boot      *worker
-}
-
-type change struct {
+	index          int
+	speed          float64
+	oldWorker      *worker // of the previous build; nil: none
+	newWorker      *worker // of the newest build; nil: none
+	stopAt         runTime // when drainingWorker is to be stopped
+	drainingWorker *worker
+	bootDoneAt     runTime // when bootingWorker is to start serving
+	bootingWorker  *worker
+}
+
+// workerChange is a change of the worker list that edges see from a given time on.
+type workerChange struct {
 	at     runTime
 	worker api.Worker
 }
 
-type tallyItem struct {
+// scheduledTally is a tally that edges see from a given time on.
+type scheduledTally struct {
 	at    runTime
 	tally api.Tally
 }
 
-type newsItem struct {
+// releaseUpdate is a state of the newest build's release that edges see from a given time on.
+type releaseUpdate struct {
 	at      runTime
 	release api.Release
 }
 
-func newPlatform(day *Day, rec *Record, park *workerFleet, now func() runTime) *platform {
-	p := &platform{day: day, rec: rec, park: park, now: now, rng: rand.New(rand.NewSource(day.Seed + 17)), quit: make(chan struct{}),
-		build: 1, before: 1, builds: map[int]fleet.Build{1: {Number: 1, Flaw: fleet.NoFlaw, Speed: 1}}, phase: api.Released,
-		stage: len(day.StageShares) - 1, standing: map[int]VoteRecord{}, tokens: 2 * day.VotesPerSecond, reports: map[string][]api.Report{},
-		lists: map[string]api.Worker{}, backAt: map[int]runTime{}, released: map[int]runTime{}, offered: map[int]runTime{}}
+func newPlatform(day *Day, rec *Record, workers *workerFleet, now func() runTime) *platform {
+	p := &platform{day: day, rec: rec, workers: workers, now: now, rng: rand.New(rand.NewSource(day.Seed + 17)), quit: make(chan struct{}),
+		build: 1, previousBuild: 1, builds: map[int]fleet.Build{1: {Number: 1, Flaw: fleet.NoFlaw, Speed: 1}}, phase: api.Released,
+		stage: len(day.StageShares) - 1, latestVotes: map[int]VoteRecord{}, voteTokens: 2 * day.VotesPerSecond, reports: map[string][]api.Report{},
+		latestEntries: map[string]api.Worker{}, wentBackAt: map[int]runTime{}, releasedAt: map[int]runTime{}, offeredAt: map[int]runTime{}}
 	return p
 }
 
-// start brings up the first machines and the API at an address.
+// start starts the first workers, and the API on a free port of host.
 func (p *platform) start(host string) error {
 	for i := 0; i < p.day.Machines; i++ {
-		s := &replicaState{n: i, speed: p.day.MinSpeed + (p.day.MaxSpeed-p.day.MinSpeed)*p.rng.Float64()}
-		s.oldWorker = p.park.newWorker(i, p.builds[1], s.speed, fleet.MachineFault{})
-		if err := s.oldWorker.start(false); err != nil {
+		replica := &replicaState{index: i, speed: p.day.MinSpeed + (p.day.MaxSpeed-p.day.MinSpeed)*p.rng.Float64()}
+		replica.oldWorker = p.workers.newWorker(i, p.builds[1], replica.speed, fleet.MachineFault{})
+		if err := replica.oldWorker.start(false); err != nil {
 			return err
 		}
-		p.replicas = append(p.replicas, s)
-		p.addWorkerChange(0, s.oldWorker, api.Up)
+		p.replicas = append(p.replicas, replica)
+		p.addWorkerChange(0, replica.oldWorker, api.Up)
 	}
-	p.tell(0)
+	p.addReleaseUpdate(0)
 	ln, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return fmt.Errorf("platform: %w", err)
@@ -119,45 +134,46 @@
 	mux.HandleFunc("GET /v1/releases", p.watchReleases)
 	mux.HandleFunc("GET /v1/reports", p.watchReports)
 	mux.HandleFunc("GET /v1/tallies", p.watchTallies)
-	mux.HandleFunc("POST /v1/releases/{name}/votes", p.takeVote)
+	mux.HandleFunc("POST /v1/releases/{name}/votes", p.handleVote)
 	p.http = &http.Server{Handler: mux}
-	p.group.Go(func() { p.http.Serve(ln) })
-	p.group.Go(p.run)
+	p.goroutines.Go(func() { p.http.Serve(ln) })
+	p.goroutines.Go(p.run)
 	return nil
 }
 
 func (p *platform) close() {
 	close(p.quit)
-	ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
+	ctx, stop := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer stop()
 	p.http.Shutdown(ctx)
 	p.http.Close()
-	p.group.Wait()
+	p.goroutines.Wait()
 }
 
-// awaitStateHooks waits for what is played in the last state: edges may be stopped by it. No other begins after.
+// awaitStateHooks waits for the running state hooks, which may still be stopping edges, and lets no other start.
 func (p *platform) awaitStateHooks() {
 	p.mu.Lock()
 	p.stateHook = nil
 	p.mu.Unlock()
-	p.plays.Wait()
+	p.stateHooks.Wait()
 }
 
-// addWorkerChange notes a change of the addWorkerChange, seen after the addWorkerChange's delay. The lock is held, or nobody else is there yet.
+// addWorkerChange adds a change to the worker list, which edges see after delay. The caller holds the lock, unless the API
+// is not served yet.
 func (p *platform) addWorkerChange(delay time.Duration, w *worker, state string) {
-	x := api.Worker{ID: w.id, Address: w.address, Zone: "lab", Kind: "std", State: state, Weight: 1, Build: w.build.Number,
+	entry := api.Worker{ID: w.id, Address: w.address, Zone: "lab", Kind: "std", State: state, Weight: 1, Build: w.build.Number,
 		StartedAt: int64(w.startedAt)}
-	when := p.now() + delay
+	visibleAt := p.now() + delay
 	if n := len(p.workerChanges); n > 0 {
-		when = max(when, p.workerChanges[n-1].at) // changes keep their order
+		visibleAt = max(visibleAt, p.workerChanges[n-1].at) // changes stay in order
 	}
-	p.workerChanges = append(p.workerChanges, change{when, x})
+	p.workerChanges = append(p.workerChanges, workerChange{visibleAt, entry})
 }
 
-// state names where the platform stands, as reviews and tests do.
+// state returns the name that tests use for the state of the release.
 func (p *platform) state() string {
 	switch {
-	case p.phase == api.OnTrial && p.stage == 0 && p.build > p.before+1:
+	case p.phase == api.OnTrial && p.stage == 0 && p.build > p.previousBuild+1:
 		return "next build after one withdrawn"
 	case p.phase == api.OnTrial && p.stage == 0:
 		return "first stage"
@@ -175,39 +191,42 @@
 	return "after release"
 }
 
-// runStateHook has what is to be played in a state played beside the platform, which holds the state till then. The lock is held.
+// runStateHook calls the state hook in a goroutine. The platform stays in the state until the hook returns. The caller holds
+// the lock.
 func (p *platform) runStateHook() {
 	if p.stateHook == nil {
 		return
 	}
-	state, entered := p.state(), p.stateHook
-	p.holds++
-	p.plays.Go(func() {
-		entered(state)
+	state, hook := p.state(), p.stateHook
+	p.runningHooks++
+	p.stateHooks.Go(func() {
+		hook(state)
 		p.mu.Lock()
-		p.holds--
+		p.runningHooks--
 		p.mu.Unlock()
 	})
 }
 
-// tell notes news of the release, told after the news' delay.
-func (p *platform) tell(delay time.Duration) {
+// addReleaseUpdate adds an update with the current state of the release, which edges see after delay. The caller holds the
+// lock, unless the API is not served yet.
+func (p *platform) addReleaseUpdate(delay time.Duration) {
 	p.runStateHook()
-	cap := 0.0
+	exposureCap := 0.0
 	switch p.phase {
 	case api.OnTrial:
-		cap = p.day.stageCaps()[p.stage]
+		exposureCap = p.day.stageCaps()[p.stage]
 	case api.Released:
-		cap = 1
+		exposureCap = 1
 	}
-	when := p.now() + delay
+	visibleAt := p.now() + delay
 	if n := len(p.releaseUpdates); n > 0 {
-		when = max(when, p.releaseUpdates[n-1].at)
+		visibleAt = max(visibleAt, p.releaseUpdates[n-1].at)
 	}
-	p.releaseUpdates = append(p.releaseUpdates, newsItem{when, api.Release{Name: strconv.Itoa(p.build), Build: p.build, Stage: p.stage, Phase: p.phase,
-		Cap: cap, Since: int64(p.since)}})
+	p.releaseUpdates = append(p.releaseUpdates, releaseUpdate{visibleAt, api.Release{Name: strconv.Itoa(p.build), Build: p.build, Stage: p.stage,
+		Phase: p.phase, Cap: exposureCap, Since: int64(p.phaseSince)}})
 }
 
+// logEvent adds a line to the run's log.
 func (p *platform) logEvent(format string, args ...any) {
 	text := fmt.Sprintf("%6.2fs  ", p.now().Seconds()) + fmt.Sprintf(format, args...)
 	p.rec.mu.Lock()
@@ -215,9 +234,9 @@
 	p.rec.mu.Unlock()
 }
 
-// run moves machines and releases on, fifty times a second.
+// run updates machines and releases every stepInterval.
 func (p *platform) run() {
-	t := time.NewTicker(20 * time.Millisecond)
+	t := time.NewTicker(stepInterval)
 	defer t.Stop()
 	for n := 0; ; n++ {
 		select {
@@ -225,257 +244,262 @@
 			return
 		case <-t.C:
 		}
-		if n%5 == 0 {
-			p.park.updateSlowdown()
+		if n%stepsPerSlowdown == 0 {
+			p.workers.updateSlowdown()
 		}
 		p.mu.Lock()
 		if !p.stalled {
 			p.step()
 		} else {
-			p.stepped = p.now() // a stage's clock stands still
+			p.steppedAt = p.now() // the stage's clock does not advance
 		}
 		p.mu.Unlock()
 	}
 }
 
-// step is one look at everything. The lock is held.
+// step updates machines and releases. The caller holds the lock.
 func (p *platform) step() {
 	now := p.now()
-	if p.next < len(p.day.Offers) && now >= p.day.Offers[p.next].At && p.phase != api.GoingBack && p.holds == 0 {
-		if p.phase == api.OnTrial { // one on trial when the next is due is taken off
-			p.back("the next build is due")
+	if p.nextOffer < len(p.day.Offers) && now >= p.day.Offers[p.nextOffer].At && p.phase != api.GoingBack && p.runningHooks == 0 {
+		if p.phase == api.OnTrial { // the next build replaces one on trial, which goes back first
+			p.sendBack("the next build is due")
 			return
 		}
-		p.offer(p.day.Offers[p.next])
-		p.next++
+		p.offerBuild(p.day.Offers[p.nextOffer])
+		p.nextOffer++
 	}
-	p.count(now)
-	passed := now - p.stepped
-	p.stepped = now
-	for _, s := range p.replicas {
-		p.stepPlace(now, s)
+	p.emitTallies(now)
+	elapsed := now - p.steppedAt
+	p.steppedAt = now
+	for _, replica := range p.replicas {
+		p.stepReplica(now, replica)
 	}
 	switch p.phase {
 	case api.OnTrial:
-		p.stepTrial(now, passed)
+		p.stepTrial(now, elapsed)
 	case api.GoingBack:
-		for _, s := range p.replicas {
-			if s.newWorker != nil || s.oldWorker == nil || s.boot != nil || p.holds > 0 {
+		for _, replica := range p.replicas {
+			if replica.newWorker != nil || replica.oldWorker == nil || replica.bootingWorker != nil || p.runningHooks > 0 {
 				return
 			}
 		}
-		p.phase, p.since = api.Withdrawn, now
+		p.phase, p.phaseSince = api.Withdrawn, now
 		p.logEvent("build %d withdrawn", p.build)
-		p.tell(p.day.ReleaseUpdateDelay)
+		p.addReleaseUpdate(p.day.ReleaseUpdateDelay)
 	}
 }
 
-func (p *platform) offer(o Offer) {
-	// What was released is what the next follows; what was withdrawn left the one before in its place.
+// offerBuild puts the next build on trial. The caller holds the lock.
+func (p *platform) offerBuild(offer Offer) {
+	// The new build replaces the released one. After a withdrawal, that is still the build before.
 	if p.phase == api.Released {
-		p.before = p.build
+		p.previousBuild = p.build
 	}
 	p.build++
-	p.offered[p.build] = p.now()
-	p.builds[p.build] = fleet.Build{Number: p.build, Flaw: o.Flaw, Strength: o.Strength, Product: max(0, p.day.productIndex(o.Product)),
-		Speed: o.Speed}
-	p.stage, p.phase, p.since, p.ready = 0, api.OnTrial, p.now(), 0
-	clear(p.standing)
-	p.logEvent("build %d offered (%s %g)", p.build, o.Flaw, o.Strength)
-	for _, s := range p.replicas {
-		if s.newWorker != nil { // all run one build now
-			s.oldWorker, s.newWorker = s.newWorker, nil
+	p.offeredAt[p.build] = p.now()
+	p.builds[p.build] = fleet.Build{Number: p.build, Flaw: offer.Flaw, Strength: offer.Strength, Product: max(0, p.day.productIndex(offer.Product)),
+		Speed: offer.Speed}
+	p.stage, p.phase, p.phaseSince, p.stageReadyAt = 0, api.OnTrial, p.now(), 0
+	clear(p.latestVotes)
+	p.logEvent("build %d offered (%s %g)", p.build, offer.Flaw, offer.Strength)
+	for _, replica := range p.replicas {
+		if replica.newWorker != nil { // all machines run one build now
+			replica.oldWorker, replica.newWorker = replica.newWorker, nil
 		}
 	}
-	p.tell(p.day.ReleaseUpdateDelay)
+	p.addReleaseUpdate(p.day.ReleaseUpdateDelay)
 }
 
-// starting has a machine start at a place.
-func (p *platform) starting(s *replicaState, b fleet.Build) {
-	s.boot = p.park.newWorker(s.n, b, s.speed, fleet.MachineFault{})
-	s.boots = p.now() + p.day.BootTime
+// bootWorker starts to boot a worker for a replica.
+func (p *platform) bootWorker(replica *replicaState, build fleet.Build) {
+	replica.bootingWorker = p.workers.newWorker(replica.index, build, replica.speed, fleet.MachineFault{})
+	replica.bootDoneAt = p.now() + p.day.BootTime
 }
 
-func (p *platform) draining(s *replicaState, w *worker) {
-	s.drain, s.gone = w, p.now()+p.day.WorkerListDelay+p.day.DrainTime
+// drainWorker starts to drain a worker of a replica.
+func (p *platform) drainWorker(replica *replicaState, w *worker) {
+	replica.drainingWorker, replica.stopAt = w, p.now()+p.day.WorkerListDelay+p.day.DrainTime
 	p.addWorkerChange(p.day.WorkerListDelay, w, api.Draining)
 }
 
-// stepPlace lets what starts run and what has drained go.
-func (p *platform) stepPlace(now runTime, s *replicaState) {
-	if s.drain != nil && now >= s.gone {
-		s.drain.stop()
-		p.addWorkerChange(p.day.WorkerListDelay, s.drain, api.Gone)
-		s.drain = nil
+// stepReplica starts workers that have booted, stops drained ones, and replaces workers as the phase requires.
+func (p *platform) stepReplica(now runTime, replica *replicaState) {
+	if replica.drainingWorker != nil && now >= replica.stopAt {
+		replica.drainingWorker.stop()
+		p.addWorkerChange(p.day.WorkerListDelay, replica.drainingWorker, api.Gone)
+		replica.drainingWorker = nil
 	}
-	if s.boot != nil && now >= s.boots {
-		w := s.boot
-		s.boot = nil
+	if replica.bootingWorker != nil && now >= replica.bootDoneAt {
+		w := replica.bootingWorker
+		replica.bootingWorker = nil
 		if err := w.start(true); err != nil {
 			p.logEvent("%v", err)
 			return
 		}
 		p.addWorkerChange(p.day.WorkerListDelay, w, api.Up)
 		if w.build.Number == p.build && (p.phase == api.OnTrial || p.phase == api.Released) {
-			s.newWorker = w
-			if p.day.RolloutStyle == "in-place" && s.oldWorker != nil {
-				p.draining(s, s.oldWorker)
-				s.oldWorker = nil
+			replica.newWorker = w
+			if p.day.RolloutStyle == "in-place" && replica.oldWorker != nil {
+				p.drainWorker(replica, replica.oldWorker)
+				replica.oldWorker = nil
 			}
 		} else {
-			s.oldWorker = w
+			replica.oldWorker = w
 		}
 	}
-	if p.phase == api.GoingBack && s.drain == nil {
-		if s.newWorker != nil && (s.oldWorker != nil || s.boot != nil || p.day.RolloutStyle == "in-place") {
-			p.draining(s, s.newWorker)
-			s.newWorker = nil
+	if p.phase == api.GoingBack && replica.drainingWorker == nil {
+		if replica.newWorker != nil &&
+			(replica.oldWorker != nil || replica.bootingWorker != nil || p.day.RolloutStyle == "in-place") {
+			p.drainWorker(replica, replica.newWorker)
+			replica.newWorker = nil
 		}
 	}
-	if p.phase == api.GoingBack && s.oldWorker == nil && s.boot == nil {
-		p.starting(s, p.builds[p.before])
+	if p.phase == api.GoingBack && replica.oldWorker == nil && replica.bootingWorker == nil {
+		p.bootWorker(replica, p.builds[p.previousBuild])
 	}
-	if p.phase == api.Released && p.day.RolloutStyle == "beside" && s.newWorker != nil && s.oldWorker != nil && s.drain == nil {
-		p.draining(s, s.oldWorker)
-		s.oldWorker = nil
+	if p.phase == api.Released && p.day.RolloutStyle == "beside" &&
+		replica.newWorker != nil && replica.oldWorker != nil && replica.drainingWorker == nil {
+		p.drainWorker(replica, replica.oldWorker)
+		replica.oldWorker = nil
 	}
 }
 
-// stepTrial brings in the stage's machines and counts the votes.
-func (p *platform) stepTrial(now runTime, passed time.Duration) {
-	want := min(len(p.replicas), int(math.Ceil(p.day.StageShares[p.stage]*float64(len(p.replicas))-1e-9)))
-	have, run := 0, 0
-	for _, s := range p.replicas {
-		if s.newWorker != nil || s.boot != nil && s.boot.build.Number == p.build {
-			have++
-			if s.newWorker != nil {
-				run++
+// stepTrial boots the workers of the stage, counts the votes, and advances the release or sends it back. elapsed is the time
+// since the last step.
+func (p *platform) stepTrial(now runTime, elapsed time.Duration) {
+	wanted := min(len(p.replicas), int(math.Ceil(p.day.StageShares[p.stage]*float64(len(p.replicas))-stageShareTolerance)))
+	assigned, running := 0, 0
+	for _, replica := range p.replicas {
+		if replica.newWorker != nil || replica.bootingWorker != nil && replica.bootingWorker.build.Number == p.build {
+			assigned++
+			if replica.newWorker != nil {
+				running++
 			}
 		}
 	}
-	for _, s := range p.replicas {
-		if have < want && s.newWorker == nil && s.boot == nil && s.drain == nil {
-			p.starting(s, p.builds[p.build])
-			have++
+	for _, replica := range p.replicas {
+		if assigned < wanted && replica.newWorker == nil && replica.bootingWorker == nil && replica.drainingWorker == nil {
+			p.bootWorker(replica, p.builds[p.build])
+			assigned++
 		}
 	}
-	if run < want {
+	if running < wanted {
 		return
 	}
-	if p.ready == 0 {
-		p.ready, p.clock = now, 0
+	if p.stageReadyAt == 0 {
+		p.stageReadyAt, p.stageElapsed = now, 0
 	}
-	on, back, hold := 0, 0, 0
-	for _, v := range p.standing {
-		if now-v.At > 4*time.Second || v.Build != p.build {
+	onVotes, backVotes, holdVotes := 0, 0, 0
+	for _, vote := range p.latestVotes {
+		if now-vote.At > voteLifetime || vote.Build != p.build {
 			continue
 		}
 		switch {
-		case v.Verdict == api.VoteBack:
-			back++
-		case v.Verdict == api.VoteOn && v.Stage == p.stage:
-			on++
-		case v.Verdict == api.VoteHold:
-			hold++
+		case vote.Verdict == api.VoteBack:
+			backVotes++
+		case vote.Verdict == api.VoteOn && vote.Stage == p.stage:
+			onVotes++
+		case vote.Verdict == api.VoteHold:
+			holdVotes++
 		}
 	}
-	moves := on >= p.day.OnVotesNeeded && now-p.ready >= p.day.BakeTime
+	advances := onVotes >= p.day.OnVotesNeeded && now-p.stageReadyAt >= p.day.BakeTime
 	if p.day.VoteRule == "single" {
-		moves = on >= 1 && now-p.ready >= p.day.BakeTime
+		advances = onVotes >= 1 && now-p.stageReadyAt >= p.day.BakeTime
 	}
 	if p.day.VoteRule == "clocked" {
-		if hold < p.day.HoldVotesNeeded {
-			p.clock += passed
+		if holdVotes < p.day.HoldVotesNeeded {
+			p.stageElapsed += elapsed
 		}
-		moves = p.clock >= p.day.StageTime
+		advances = p.stageElapsed >= p.day.StageTime
 	}
-	needBack := p.day.BackVotesNeeded
+	backVotesNeeded := p.day.BackVotesNeeded
 	if p.day.VoteRule == "single" {
-		needBack = 1
+		backVotesNeeded = 1
 	}
 	switch {
-	case p.holds > 0:
-	case back >= needBack:
-		p.back("voted back")
-	case moves:
+	case p.runningHooks > 0: // the state lasts until the hook returns
+	case backVotes >= backVotesNeeded:
+		p.sendBack("voted back")
+	case advances:
 		if p.stage++; p.stage == len(p.day.StageShares) {
 			p.stage--
 			p.phase = api.Released
-			p.released[p.build] = now
+			p.releasedAt[p.build] = now
 			p.logEvent("build %d released", p.build)
 		} else {
 			p.logEvent("build %d voted on to stage %d", p.build, p.stage)
 		}
-		p.since, p.ready = now, 0
-		p.tell(p.day.ReleaseUpdateDelay)
+		p.phaseSince, p.stageReadyAt = now, 0
+		p.addReleaseUpdate(p.day.ReleaseUpdateDelay)
 	}
 }
 
-// back sends the newest build back. The lock is held.
-func (p *platform) back(why string) {
+// sendBack makes the newest build go back. The caller holds the lock.
+func (p *platform) sendBack(reason string) {
 	if p.phase == api.GoingBack || p.phase == api.Withdrawn {
 		return
 	}
-	p.phase, p.since = api.GoingBack, p.now()
-	if _, known := p.backAt[p.build]; !known {
-		p.backAt[p.build] = p.now()
+	p.phase, p.phaseSince = api.GoingBack, p.now()
+	if _, known := p.wentBackAt[p.build]; !known {
+		p.wentBackAt[p.build] = p.now()
 	}
-	for _, s := range p.replicas {
-		if s.boot != nil && s.boot.build.Number == p.build {
-			s.boot = nil
+	for _, replica := range p.replicas {
+		if replica.bootingWorker != nil && replica.bootingWorker.build.Number == p.build {
+			replica.bootingWorker = nil
 		}
-		// Machines of the build that went before count as what is there.
-		if s.newWorker != nil && s.newWorker.build.Number != p.build {
-			s.oldWorker, s.newWorker = s.newWorker, nil
+		// A worker that still runs the previous build stays.
+		if replica.newWorker != nil && replica.newWorker.build.Number != p.build {
+			replica.oldWorker, replica.newWorker = replica.newWorker, nil
 		}
 	}
-	p.logEvent("build %d goes back: %s", p.build, why)
-	p.tell(p.day.ReleaseUpdateDelay)
+	p.logEvent("build %d goes back: %s", p.build, reason)
+	p.addReleaseUpdate(p.day.ReleaseUpdateDelay)
 }
 
-// takeVote is POST /v1/releases/{name}/votes.
-func (p *platform) takeVote(w http.ResponseWriter, r *http.Request) {
-	var v api.Vote
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&v); err != nil {
+// handleVote serves POST /v1/releases/{name}/votes.
+func (p *platform) handleVote(w http.ResponseWriter, r *http.Request) {
+	var vote api.Vote
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxVoteBytes)).Decode(&vote); err != nil {
 		http.Error(w, "malformed vote: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	p.mu.Lock()
 	now := p.now()
-	rec := VoteRecord{Edge: edgeNumber(v.Edge), At: now, Verdict: v.Verdict, Build: v.Build, Stage: v.Stage}
+	record := VoteRecord{Edge: parseEdgeIndex(vote.Edge), At: now, Verdict: vote.Verdict, Build: vote.Build, Stage: vote.Stage}
 	status := http.StatusOK
-	p.tokens = min(2*p.day.VotesPerSecond, p.tokens+p.day.VotesPerSecond*(now-p.refilled).Seconds())
-	p.refilled = now
+	p.voteTokens = min(2*p.day.VotesPerSecond, p.voteTokens+p.day.VotesPerSecond*(now-p.tokensRefilledAt).Seconds())
+	p.tokensRefilledAt = now
 	stalled := p.stalled
 	switch {
 	case stalled:
-		rec.Counted = p.rng.Intn(2) == 0 // no answer; half of them count
-	case p.tokens < 1:
+		record.Counted = p.rng.Intn(2) == 0 // the vote is not answered, but may count nevertheless
+	case p.voteTokens < 1:
 		status = http.StatusTooManyRequests
-	case v.Build != p.build || p.build == p.before || p.phase == api.GoingBack || p.phase == api.Withdrawn ||
-		v.Verdict == api.VoteOn && (v.Stage != p.stage || p.phase != api.OnTrial || p.day.VoteRule == "clocked"),
-		v.Verdict == api.VoteHold && p.day.VoteRule != "clocked":
+	case vote.Build != p.build || p.build == p.previousBuild || p.phase == api.GoingBack || p.phase == api.Withdrawn ||
+		vote.Verdict == api.VoteOn && (vote.Stage != p.stage || p.phase != api.OnTrial || p.day.VoteRule == "clocked"),
+		vote.Verdict == api.VoteHold && p.day.VoteRule != "clocked":
 		status = http.StatusConflict
 	default:
-		p.tokens--
-		rec.Counted = true
+		p.voteTokens--
+		record.Counted = true
 	}
-	if rec.Counted {
-		p.standing[v.Sentry] = rec
-		if v.Verdict == api.VoteBack && p.phase == api.Released && !stalled && p.holds == 0 {
-			p.back("voted back after its release")
+	if record.Counted {
+		p.latestVotes[vote.Sentry] = record
+		if vote.Verdict == api.VoteBack && p.phase == api.Released && !stalled && p.runningHooks == 0 {
+			p.sendBack("voted back after its release")
 		}
 	}
-	e := p.currentRelease()
+	event := p.currentRelease()
 	p.mu.Unlock()
 	p.rec.mu.Lock()
-	p.rec.Votes = append(p.rec.Votes, rec)
+	p.rec.Votes = append(p.rec.Votes, record)
 	p.rec.mu.Unlock()
 	if stalled {
 		select {
 		case <-r.Context().Done():
 		case <-p.quit:
-		case <-time.After(5 * time.Second):
+		case <-time.After(stalledVoteTimeout):
 		}
 		status = http.StatusInternalServerError
 	}
@@ -483,23 +507,24 @@
 		w.WriteHeader(status)
 		return
 	}
-	p.recordReleaseUpdate(rec.Edge, e)
-	json.NewEncoder(w).Encode(e)
+	p.recordReleaseUpdate(record.Edge, event)
+	json.NewEncoder(w).Encode(event)
 }
 
-// currentRelease is the newest news that may be told by now. The lock is held.
+// currentRelease returns the newest release update that edges can see by now. The caller holds the lock.
 func (p *platform) currentRelease() api.ReleaseEvent {
 	now := p.now()
-	e := api.ReleaseEvent{Type: api.Whole, Now: int64(now)}
-	for i, n := range p.releaseUpdates {
-		if n.at+p.extraUpdateDelay <= now || i == 0 {
-			e.Release, e.Revision = n.release, uint64(i+1)
+	event := api.ReleaseEvent{Type: api.Whole, Now: int64(now)}
+	for i, update := range p.releaseUpdates {
+		if update.at+p.extraUpdateDelay <= now || i == 0 {
+			event.Release, event.Revision = update.release, uint64(i+1)
 		}
 	}
-	return e
+	return event
 }
 
-func edgeNumber(name string) int {
+// parseEdgeIndex returns the index in an edge's name, or -1 if it has none.
+func parseEdgeIndex(name string) int {
 	n, err := strconv.Atoi(strings.TrimPrefix(name, "edge-"))
 	if err != nil {
 		return -1
@@ -507,47 +532,50 @@
 	return n
 }
 
-func (p *platform) recordReleaseUpdate(edge int, e api.ReleaseEvent) {
-	p.rec.addUpdate(EdgeUpdate{Edge: edge, At: p.now(), Release: &ReleaseState{e.Release.Build, e.Release.Stage, e.Release.Phase, e.Release.Cap}})
+// recordReleaseUpdate records that a release update was sent to an edge.
+func (p *platform) recordReleaseUpdate(edge int, event api.ReleaseEvent) {
+	p.rec.addUpdate(EdgeUpdate{Edge: edge, At: p.now(), Release: &ReleaseState{event.Release.Build, event.Release.Stage,
+		event.Release.Phase, event.Release.Cap}})
 }
 
-// stream writes lines of a watch until the client leaves: each round asks for the lines that are due.
-func (p *platform) stream(w http.ResponseWriter, r *http.Request, due func() []any, told func(line any)) {
-	flush, ok := w.(http.Flusher)
-	if !ok || r.URL.Query().Get("watch") == "" {
+// stream writes the lines of a watch until the client closes it. It polls nextLines, with the lock held, for the lines to
+// write, and calls onSent for each line that was written.
+func (p *platform) stream(w http.ResponseWriter, r *http.Request, nextLines func() []any, onSent func(line any)) {
+	flusher, canFlush := w.(http.Flusher)
+	if !canFlush || r.URL.Query().Get("watch") == "" {
 		http.Error(w, "only watches are served here", http.StatusNotImplemented)
 		return
 	}
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	flush.Flush()
-	enc := json.NewEncoder(w)
-	t := time.NewTicker(10 * time.Millisecond)
-	defer t.Stop()
-	last := p.now()
+	flusher.Flush()
+	encoder := json.NewEncoder(w)
+	ticker := time.NewTicker(streamPollInterval)
+	defer ticker.Stop()
+	lastSentAt := p.now()
 	for {
 		p.mu.Lock()
 		var lines []any
 		if !p.stalled {
-			lines = due()
+			lines = nextLines()
 		}
-		quiet, spoil := p.stalled, p.corruptLine
+		stalled, corruptLine := p.stalled, p.corruptLine
 		p.mu.Unlock()
-		if len(lines) == 0 && !quiet && p.now()-last > 500*time.Millisecond {
+		if len(lines) == 0 && !stalled && p.now()-lastSentAt > bookmarkInterval {
 			lines = append(lines, map[string]string{"type": api.Bookmark})
 		}
-		for _, l := range lines {
-			if spoil != nil {
-				spoil(w, l)
+		for _, line := range lines {
+			if corruptLine != nil {
+				corruptLine(w, line)
 			}
-			if enc.Encode(l) != nil {
+			if encoder.Encode(line) != nil {
 				return
 			}
 		}
 		if len(lines) > 0 {
-			last = p.now()
-			flush.Flush()
-			for _, l := range lines {
-				told(l)
+			lastSentAt = p.now()
+			flusher.Flush()
+			for _, line := range lines {
+				onSent(line)
 			}
 		}
 		select {
@@ -555,40 +583,40 @@
 			return
 		case <-p.quit:
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 	}
 }
 
 func (p *platform) watchWorkers(w http.ResponseWriter, r *http.Request) {
-	edge := edgeNumber(r.URL.Query().Get("edge"))
+	edge := parseEdgeIndex(r.URL.Query().Get("edge"))
 	revision, _ := strconv.ParseUint(r.URL.Query().Get("revision"), 10, 64)
 	p.stream(w, r, func() (lines []any) {
 		now := p.now()
 		if revision == 0 || revision > uint64(len(p.workerChanges)) {
-			e := api.WorkersEvent{Type: api.Whole, Now: int64(now)}
-			seen := map[string]int{}
-			for i, c := range p.workerChanges {
-				if c.at > now {
+			event := api.WorkersEvent{Type: api.Whole, Now: int64(now)}
+			indexByID := map[string]int{}
+			for i, change := range p.workerChanges {
+				if change.at > now {
 					break
 				}
-				e.Revision = uint64(i + 1)
-				if at, known := seen[c.worker.ID]; known {
-					e.Workers[at] = c.worker
+				event.Revision = uint64(i + 1)
+				if index, known := indexByID[change.worker.ID]; known {
+					event.Workers[index] = change.worker
 				} else {
-					seen[c.worker.ID] = len(e.Workers)
-					e.Workers = append(e.Workers, c.worker)
+					indexByID[change.worker.ID] = len(event.Workers)
+					event.Workers = append(event.Workers, change.worker)
 				}
 			}
-			kept := e.Workers[:0]
-			for _, x := range e.Workers {
-				if x.State != api.Gone {
-					kept = append(kept, x)
+			remaining := event.Workers[:0]
+			for _, entry := range event.Workers {
+				if entry.State != api.Gone {
+					remaining = append(remaining, entry)
 				}
 			}
-			e.Workers = kept
-			revision = e.Revision
-			return []any{e}
+			event.Workers = remaining
+			revision = event.Revision
+			return []any{event}
 		}
 		for revision < uint64(len(p.workerChanges)) && p.workerChanges[revision].at <= now {
 			lines = append(lines, api.WorkersEvent{Type: api.Change, Revision: revision + 1, Now: int64(now),
@@ -597,34 +625,35 @@
 		}
 		return lines
 	}, func(line any) {
-		e, ok := line.(api.WorkersEvent)
+		event, ok := line.(api.WorkersEvent)
 		if !ok {
 			return
 		}
 		now := p.now()
-		if e.Type == api.Whole {
+		if event.Type == api.Whole {
 			p.rec.addUpdate(EdgeUpdate{Edge: edge, At: now, FullList: true})
 		}
-		for _, x := range e.Workers {
-			p.rec.addUpdate(EdgeUpdate{Edge: edge, At: now, Worker: x.ID, State: x.State, Started: runTime(x.StartedAt), Build: x.Build})
+		for _, entry := range event.Workers {
+			p.rec.addUpdate(EdgeUpdate{Edge: edge, At: now, Worker: entry.ID, State: entry.State, Started: runTime(entry.StartedAt),
+				Build: entry.Build})
 		}
 	})
 }
 
 func (p *platform) watchReleases(w http.ResponseWriter, r *http.Request) {
-	edge := edgeNumber(r.URL.Query().Get("edge"))
+	edge := parseEdgeIndex(r.URL.Query().Get("edge"))
 	var revision uint64
-	var pushed runTime
+	var sentAt runTime
 	p.stream(w, r, func() []any {
-		e := p.currentRelease()
-		if e.Revision == revision && p.now()-pushed < p.day.PushInterval {
+		event := p.currentRelease()
+		if event.Revision == revision && p.now()-sentAt < p.day.PushInterval {
 			return nil
 		}
-		revision, pushed = e.Revision, p.now()
-		return []any{e}
+		revision, sentAt = event.Revision, p.now()
+		return []any{event}
 	}, func(line any) {
-		if e, ok := line.(api.ReleaseEvent); ok {
-			p.recordReleaseUpdate(edge, e)
+		if event, ok := line.(api.ReleaseEvent); ok {
+			p.recordReleaseUpdate(edge, event)
 		}
 	})
 }
@@ -632,15 +661,15 @@
 func (p *platform) watchReports(w http.ResponseWriter, r *http.Request) {
 	edge := r.URL.Query().Get("edge")
 	p.stream(w, r, func() (lines []any) {
-		for _, x := range p.reports[edge] {
-			lines = append(lines, x)
+		for _, report := range p.reports[edge] {
+			lines = append(lines, report)
 		}
 		p.reports[edge] = nil
 		return lines
 	}, func(any) {})
 }
 
-// reportWrongAnswer reports an answer that a client found wrong, to the edge that passed it on.
+// reportWrongAnswer reports an answer that a client found wrong to the edge that forwarded it.
 func (p *platform) reportWrongAnswer(edge int, product, worker string, age time.Duration) {
 	p.mu.Lock()
 	name := fmt.Sprintf("edge-%d", edge)
@@ -649,45 +678,45 @@
 	p.mu.Unlock()
 }
 
-// summary gives the builds offered, with when they went where.
+// summary returns the builds offered, with the times at which they were released or went back.
 func (p *platform) summary() []BuildFigures {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var out []BuildFigures
+	var figures []BuildFigures
 	for n := 2; n <= p.build; n++ {
-		b := p.builds[n]
-		f := BuildFigures{Number: n, Flaw: string(b.Flaw), Strength: b.Strength, Offered: p.offered[n].Seconds()}
-		if back, known := p.backAt[n]; known {
-			f.Back = (back - p.offered[n]).Seconds()
+		build := p.builds[n]
+		figure := BuildFigures{Number: n, Flaw: string(build.Flaw), Strength: build.Strength, Offered: p.offeredAt[n].Seconds()}
+		if wentBackAt, known := p.wentBackAt[n]; known {
+			figure.Back = (wentBackAt - p.offeredAt[n]).Seconds()
 		}
-		if rel, known := p.released[n]; known {
-			f.Released = (rel - p.offered[n]).Seconds()
+		if releasedAt, known := p.releasedAt[n]; known {
+			figure.Released = (releasedAt - p.offeredAt[n]).Seconds()
 		}
-		out = append(out, f)
+		figures = append(figures, figure)
 	}
-	return out
+	return figures
 }
 
-// count tells what was counted since the last time, by build and product. The lock is held.
-func (p *platform) count(now runTime) {
-	if p.day.TallyInterval == 0 || now-p.tallied < p.day.TallyInterval {
+// emitTallies schedules the tallies since the last call, by build and product. The caller holds the lock.
+func (p *platform) emitTallies(now runTime) {
+	if p.day.TallyInterval == 0 || now-p.talliedAt < p.day.TallyInterval {
 		return
 	}
-	p.tallied = now
-	p.park.mu.Lock()
-	defer p.park.mu.Unlock()
+	p.talliedAt = now
+	p.workers.mu.Lock()
+	defer p.workers.mu.Unlock()
 	for build := 1; build <= p.build; build++ {
 		for i := range p.day.Products {
-			c := p.park.tallies[tallyKey{build, i}]
-			if c == nil || c.answers == 0 {
+			counts := p.workers.tallies[tallyKey{build, i}]
+			if counts == nil || counts.answers == 0 {
 				continue
 			}
-			t := api.Tally{Type: api.Change, Build: build, Product: p.day.Products[i].Name, Many: c.answers, Bad: c.failures}
-			if c.answers > c.failures {
-				t.Mean = int64(c.totalTime) / int64(c.answers-c.failures)
+			event := api.Tally{Type: api.Change, Build: build, Product: p.day.Products[i].Name, Many: counts.answers, Bad: counts.failures}
+			if counts.answers > counts.failures {
+				event.Mean = int64(counts.totalTime) / int64(counts.answers-counts.failures)
 			}
-			*c = tally{}
-			p.tallies = append(p.tallies, tallyItem{now + p.day.ReleaseUpdateDelay, t})
+			*counts = tally{}
+			p.tallies = append(p.tallies, scheduledTally{now + p.day.ReleaseUpdateDelay, event})
 		}
 	}
 }
