--- a/lab/checker.go
+++ b/lab/checker.go
@@ -9,423 +9,438 @@
 	"dunegrade/api"
 )
 
-// Slacks of the checker, for the way between sockets and records, and for what a busy machine adds. They widen what
-// is allowed, never what counts.
+// Tolerances of the checker for the delay between a socket and the record, which is longer on a busy machine. They only
+// widen what is allowed, and never what counts towards a limit.
 const (
-	checkSlack    = 150 * time.Millisecond // a final answer after the client's patience
-	afterSlack    = 150 * time.Millisecond // a submission that was on its way when the txn ended
-	drainSlack    = 100 * time.Millisecond // on top of the grace of drains
-	exposureSlack = 200 * time.Millisecond // between what an edge was told and what it did
+	answerTolerance         = 150 * time.Millisecond // a final answer after the client's deadline
+	lateSubmissionTolerance = 150 * time.Millisecond // a submission that was in flight when the txn ended
+	drainTolerance          = 100 * time.Millisecond // in addition to the drain grace
+	exposureTolerance       = 200 * time.Millisecond // between an update sent to an edge and the edge's acting on it
 )
 
-// slacks are what a checker allows for. A day under a clock that is handed in needs none but the way of a message.
-type slacks struct{ answer, after, drain, exposure time.Duration }
+// tolerances holds the tolerances of a checker. A day on a virtual clock needs only the delay of a message.
+type tolerances struct{ answer, lateSubmission, drain, exposure time.Duration }
 
-var onSockets = slacks{checkSlack, afterSlack, drainSlack, exposureSlack}
+var socketTolerances = tolerances{answerTolerance, lateSubmissionTolerance, drainTolerance, exposureTolerance}
 
-// Violation is a broken rule, with the story of a txn that shows it.
+// Violation is a violation of a rule, with the history of a txn that shows it.
 type Violation struct {
 	Rule  int
 	At    time.Duration
 	Text  string
-	Story []string
+	Story []string // the txn's events in order
 }
 
 func (v Violation) String() string {
 	return fmt.Sprintf("rule %d at %.3fs: %s\n    %s", v.Rule, v.At.Seconds(), v.Text, strings.Join(v.Story, "\n    "))
 }
 
-// checker holds the rules against a record. It reads nothing that an edge says of itself but its answers.
+// checker checks the rules against a record. Of what an edge says about itself it only uses the answers to clients.
 type checker struct {
-	day      *Day
-	rec      *Record
-	byTxn    map[uint64][]*SubmissionRecord
-	txns     map[uint64]*TxnRecord
-	lives    map[[2]int]Incarnation
-	releases map[int][]EdgeUpdate // by edge
-	lists    map[int][]EdgeUpdate
-	slacks
-	out []Violation
+	day              *Day
+	rec              *Record
+	submissionsByTxn map[uint64][]*SubmissionRecord
+	txnsByID         map[uint64]*TxnRecord
+	incarnations     map[[2]int]Incarnation // by edge and number
+	releaseUpdates   map[int][]EdgeUpdate   // by edge
+	workerUpdates    map[int][]EdgeUpdate   // by edge
+	tolerances
+	violations []Violation
 }
 
-// Check holds the five rules against what went over the sockets, and gives every break found, by rule and time.
-func Check(day *Day, rec *Record) []Violation { return check(day, rec, onSockets) }
+// Check checks the five rules against what went over the sockets, and returns all violations by rule and time.
+func Check(day *Day, rec *Record) []Violation { return check(day, rec, socketTolerances) }
 
-func check(day *Day, rec *Record, allow slacks) []Violation {
+func check(day *Day, rec *Record, allowed tolerances) []Violation {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
-	c := &checker{day: day, rec: rec, byTxn: map[uint64][]*SubmissionRecord{}, txns: map[uint64]*TxnRecord{}, lives: map[[2]int]Incarnation{},
-		releases: map[int][]EdgeUpdate{}, lists: map[int][]EdgeUpdate{}, slacks: allow}
-	for _, t := range rec.Txns {
-		c.txns[t.ID] = t
+	c := &checker{day: day, rec: rec, submissionsByTxn: map[uint64][]*SubmissionRecord{}, txnsByID: map[uint64]*TxnRecord{},
+		incarnations: map[[2]int]Incarnation{}, releaseUpdates: map[int][]EdgeUpdate{}, workerUpdates: map[int][]EdgeUpdate{},
+		tolerances: allowed}
+	for _, txn := range rec.Txns {
+		c.txnsByID[txn.ID] = txn
 	}
-	for _, a := range rec.Submissions {
-		c.byTxn[a.Txn] = append(c.byTxn[a.Txn], a)
+	for _, submission := range rec.Submissions {
+		c.submissionsByTxn[submission.Txn] = append(c.submissionsByTxn[submission.Txn], submission)
 	}
-	for _, list := range c.byTxn {
+	for _, list := range c.submissionsByTxn {
 		sort.SliceStable(list, func(i, j int) bool { return list[i].ReceivedAt < list[j].ReceivedAt })
 	}
-	for _, l := range rec.Incarnations {
-		c.lives[[2]int{l.Edge, l.Number}] = l
+	for _, incarnation := range rec.Incarnations {
+		c.incarnations[[2]int{incarnation.Edge, incarnation.Number}] = incarnation
 	}
-	for _, t := range rec.Updates {
-		if t.Release != nil {
-			c.releases[t.Edge] = append(c.releases[t.Edge], t)
+	for _, update := range rec.Updates {
+		if update.Release != nil {
+			c.releaseUpdates[update.Edge] = append(c.releaseUpdates[update.Edge], update)
 		} else {
-			c.lists[t.Edge] = append(c.lists[t.Edge], t)
+			c.workerUpdates[update.Edge] = append(c.workerUpdates[update.Edge], update)
 		}
 	}
-	for _, m := range []map[int][]EdgeUpdate{c.releases, c.lists} {
-		for _, list := range m {
+	for _, byEdge := range []map[int][]EdgeUpdate{c.releaseUpdates, c.workerUpdates} {
+		for _, list := range byEdge {
 			sort.SliceStable(list, func(i, j int) bool { return list[i].At < list[j].At })
 		}
 	}
-	c.answers()
-	c.effects()
-	c.drains()
-	c.falls()
-	c.exposure()
-	c.oneWay()
-	sort.SliceStable(c.out, func(i, j int) bool {
-		return c.out[i].Rule < c.out[j].Rule || c.out[i].Rule == c.out[j].Rule && c.out[i].At < c.out[j].At
+	c.checkAnswers()
+	c.checkEffects()
+	c.checkDrains()
+	c.checkOverloads()
+	c.checkExposure()
+	c.checkOneWayKeys()
+	sort.SliceStable(c.violations, func(i, j int) bool {
+		return c.violations[i].Rule < c.violations[j].Rule ||
+			c.violations[i].Rule == c.violations[j].Rule && c.violations[i].At < c.violations[j].At
 	})
-	return c.out
+	return c.violations
 }
 
-func (c *checker) break_(rule int, when time.Duration, t *TxnRecord, format string, args ...any) {
-	v := Violation{Rule: rule, At: when, Text: fmt.Sprintf(format, args...)}
-	if t != nil {
-		v.Story = c.story(t)
+func (c *checker) addViolation(rule int, at time.Duration, txn *TxnRecord, format string, args ...any) {
+	v := Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...)}
+	if txn != nil {
+		v.Story = c.describeTxn(txn)
 	}
-	c.out = append(c.out, v)
+	c.violations = append(c.violations, v)
 }
 
-// story tells all that is known of a txn.
-func (c *checker) story(t *TxnRecord) []string {
-	s := []string{fmt.Sprintf("txn %d (%s, key %d) sent to edge %d at %.3fs, patience until %.3fs", t.ID, c.day.Products[t.Product].Name,
-		t.Key, t.Edge, t.SentAt.Seconds(), t.Deadline.Seconds())}
-	for _, a := range c.byTxn[t.ID] {
-		s = append(s, fmt.Sprintf("%.3fs at worker %s of build %d: %s (began %t, ended %.3fs)", a.ReceivedAt.Seconds(), a.Worker, a.Build, a.Result,
-			a.TookEffect, a.FinishedAt.Seconds()))
+// describeTxn returns the recorded events of a txn in order.
+func (c *checker) describeTxn(txn *TxnRecord) []string {
+	lines := []string{fmt.Sprintf("txn %d (%s, key %d) sent to edge %d at %.3fs, patience until %.3fs", txn.ID,
+		c.day.Products[txn.Product].Name, txn.Key, txn.Edge, txn.SentAt.Seconds(), txn.Deadline.Seconds())}
+	for _, submission := range c.submissionsByTxn[txn.ID] {
+		lines = append(lines, fmt.Sprintf("%.3fs at worker %s of build %d: %s (began %t, ended %.3fs)", submission.ReceivedAt.Seconds(),
+			submission.Worker, submission.Build, submission.Result, submission.TookEffect, submission.FinishedAt.Seconds()))
 	}
 	switch {
-	case t.AnsweredAt > 0:
-		s = append(s, fmt.Sprintf("answered at %.3fs: %d %s", t.AnsweredAt.Seconds(), t.Status, t.Outcome))
-	case t.LeftAt > 0:
-		s = append(s, fmt.Sprintf("client left at %.3fs", t.LeftAt.Seconds()))
+	case txn.AnsweredAt > 0:
+		lines = append(lines, fmt.Sprintf("answered at %.3fs: %d %s", txn.AnsweredAt.Seconds(), txn.Status, txn.Outcome))
+	case txn.LeftAt > 0:
+		lines = append(lines, fmt.Sprintf("client left at %.3fs", txn.LeftAt.Seconds()))
 	default:
-		s = append(s, "no answer: "+t.Failure)
+		lines = append(lines, "no answer: "+txn.Failure)
 	}
-	return s
+	return lines
 }
 
-// cut tells whether the process that had the txn ended with it: what a killed edge held is not its duty. One that
-// was asked to stop is excused only for what no worker ever saw and the client sent as it closed.
-func (c *checker) cut(t *TxnRecord) bool {
-	l, known := c.lives[[2]int{t.Edge, t.Incarnation}]
-	if !known || l.EndedAt == 0 {
+// isExcused reports whether the edge need not answer the txn because its process ended. A killed process is excused for
+// every txn that it held. One that was asked to stop is excused only for a txn that the client sent while the process
+// closed the connection, and that reached no worker.
+func (c *checker) isExcused(txn *TxnRecord) bool {
+	incarnation, known := c.incarnations[[2]int{txn.Edge, txn.Incarnation}]
+	if !known || incarnation.EndedAt == 0 {
 		return false
 	}
-	if l.Killed {
-		return t.SentAt <= l.EndedAt+c.after && t.Deadline+c.slacks.answer >= l.EndedAt
+	if incarnation.Killed {
+		return txn.SentAt <= incarnation.EndedAt+c.lateSubmission && txn.Deadline+c.tolerances.answer >= incarnation.EndedAt
 	}
-	return l.StopRequestedAt > 0 && t.SentAt >= l.StopRequestedAt-c.after && len(c.byTxn[t.ID]) == 0
+	return incarnation.StopRequestedAt > 0 && txn.SentAt >= incarnation.StopRequestedAt-c.lateSubmission &&
+		len(c.submissionsByTxn[txn.ID]) == 0
 }
 
-// answers is rule 1: exactly one final answer in time, and nothing sent after.
-func (c *checker) answers() {
-	for _, t := range c.rec.Txns {
-		if t.ExtraBytes || t.ForeignAnswer {
-			c.break_(1, t.AnsweredAt, t, "more than one answer, or another txn's")
+// checkAnswers checks rule 1: each txn gets exactly one final answer in time, and no submissions after it.
+func (c *checker) checkAnswers() {
+	for _, txn := range c.rec.Txns {
+		if txn.ExtraBytes || txn.ForeignAnswer {
+			c.addViolation(1, txn.AnsweredAt, txn, "more than one answer, or another txn's")
 		}
 		switch {
-		case t.Failure == "broken" && !c.cut(t):
-			c.break_(1, t.SentAt, t, "the connection ended without an answer")
-		case t.LeftAt >= t.Deadline && t.LeftAt > 0 && !c.cut(t):
-			c.break_(1, t.Deadline, t, "no answer within the client's patience")
-		case t.AnsweredAt > t.Deadline+c.slacks.answer:
-			c.break_(1, t.AnsweredAt, t, "answered %v after the client's patience", t.AnsweredAt-t.Deadline)
+		case txn.Failure == "broken" && !c.isExcused(txn):
+			c.addViolation(1, txn.SentAt, txn, "the connection ended without an answer")
+		case txn.LeftAt >= txn.Deadline && txn.LeftAt > 0 && !c.isExcused(txn):
+			c.addViolation(1, txn.Deadline, txn, "no answer within the client's patience")
+		case txn.AnsweredAt > txn.Deadline+c.tolerances.answer:
+			c.addViolation(1, txn.AnsweredAt, txn, "answered %v after the client's patience", txn.AnsweredAt-txn.Deadline)
 		}
-		over := t.Deadline
-		if t.AnsweredAt > 0 {
-			over = min(over, t.AnsweredAt)
+		endedAt := txn.Deadline
+		if txn.AnsweredAt > 0 {
+			endedAt = min(endedAt, txn.AnsweredAt)
 		}
-		if t.LeftAt > 0 {
-			over = min(over, t.LeftAt)
+		if txn.LeftAt > 0 {
+			endedAt = min(endedAt, txn.LeftAt)
 		}
-		if t.Failure != "" {
-			continue // when it ended is not known
+		if txn.Failure != "" {
+			continue // the time of its end is not known
 		}
-		for _, a := range c.byTxn[t.ID] {
-			if a.ReceivedAt > over+c.after {
-				c.break_(1, a.ReceivedAt, t, "sent to a worker %v after its end", a.ReceivedAt-over)
+		for _, submission := range c.submissionsByTxn[txn.ID] {
+			if submission.ReceivedAt > endedAt+c.lateSubmission {
+				c.addViolation(1, submission.ReceivedAt, txn, "sent to a worker %v after its end", submission.ReceivedAt-endedAt)
 			}
 		}
 	}
 }
 
-// effects is rule 2: no effect twice.
-func (c *checker) effects() {
-	ran := map[uint64]int{}
-	for _, t := range c.rec.Txns {
-		p := &c.day.Products[t.Product]
-		if p.Effect == "inquiry-like" {
+// checkEffects checks rule 2: no effect takes place twice.
+func (c *checker) checkEffects() {
+	executions := map[uint64]int{}
+	for _, txn := range c.rec.Txns {
+		product := &c.day.Products[txn.Product]
+		if product.Effect == "inquiry-like" {
 			continue
 		}
-		var first *SubmissionRecord // that may have run, as far as the edge can know
-		for _, a := range c.byTxn[t.ID] {
-			if first != nil && p.Effect == "once-only" {
-				c.break_(2, a.ReceivedAt, t, "once-only, sent again though it may have run")
+		var firstExecution *SubmissionRecord // first submission that may have run, as far as the edge can know
+		for _, submission := range c.submissionsByTxn[txn.ID] {
+			if firstExecution != nil && product.Effect == "once-only" {
+				c.addViolation(2, submission.ReceivedAt, txn, "once-only, sent again though it may have run")
 			}
-			if first != nil && p.Effect == "referenced" && a.ReceivedAt-first.ReceivedAt > p.DedupMemory+c.drain {
-				c.break_(2, a.ReceivedAt, t, "referenced, sent again %v after its first submission; workers remember %v", a.ReceivedAt-first.ReceivedAt, p.DedupMemory)
+			if firstExecution != nil && product.Effect == "referenced" &&
+				submission.ReceivedAt-firstExecution.ReceivedAt > product.DedupMemory+c.drain {
+				c.addViolation(2, submission.ReceivedAt, txn, "referenced, sent again %v after its first submission; workers remember %v",
+					submission.ReceivedAt-firstExecution.ReceivedAt, product.DedupMemory)
 			}
-			if !a.Rejected && first == nil {
-				first = a
+			if !submission.Rejected && firstExecution == nil {
+				firstExecution = submission
 			}
-			if a.TookEffect {
-				ran[t.FirstTryID]++
+			if submission.TookEffect {
+				executions[txn.FirstTryID]++
 			}
 		}
-		if t.Outcome == "declined" && p.Effect == "once-only" && first != nil && first.ReceivedAt < t.AnsweredAt {
-			c.break_(2, t.AnsweredAt, t, "once-only, declined though it may have run")
+		if txn.Outcome == "declined" && product.Effect == "once-only" &&
+			firstExecution != nil && firstExecution.ReceivedAt < txn.AnsweredAt {
+			c.addViolation(2, txn.AnsweredAt, txn, "once-only, declined though it may have run")
 		}
-		if p.Effect == "once-only" && ran[t.FirstTryID] > 1 {
-			c.break_(2, t.SentAt, t, "a once-only effect took place %d times", ran[t.FirstTryID])
-			ran[t.FirstTryID] = -1000
+		if product.Effect == "once-only" && executions[txn.FirstTryID] > 1 {
+			c.addViolation(2, txn.SentAt, txn, "a once-only effect took place %d times", executions[txn.FirstTryID])
+			executions[txn.FirstTryID] = -1000 // reports the violation once
 		}
 	}
 }
 
-// drains is rule 3: nothing new to a worker after the grace from when this edge was told.
-func (c *checker) drains() {
-	type state struct {
+// checkDrains checks rule 3: an edge submits nothing to a worker once the drain grace has passed since the edge was informed
+// that the worker drains or is gone.
+func (c *checker) checkDrains() {
+	type workerState struct {
 		at      time.Duration
-		gone    bool
+		gone    bool // or draining
 		started time.Duration
 	}
-	for edge, list := range c.lists {
-		// Per life of the edge, what it was told of each worker in order.
-		for key, life := range c.lives {
+	for edge, updates := range c.workerUpdates {
+		// For each incarnation of the edge, collect the states of each worker that it was sent, in order.
+		for key, incarnation := range c.incarnations {
 			if key[0] != edge {
 				continue
 			}
-			till := life.EndedAt
-			if till == 0 {
-				till = 1 << 62
+			endedAt := incarnation.EndedAt
+			if endedAt == 0 {
+				endedAt = 1 << 62 // the process still runs
 			}
-			told := map[string][]state{}
-			for i := 0; i < len(list); i++ {
-				t := list[i]
-				if t.At < life.StartedAt || t.At > till {
+			statesByWorker := map[string][]workerState{}
+			for i := 0; i < len(updates); i++ {
+				update := updates[i]
+				if update.At < incarnation.StartedAt || update.At > endedAt {
 					continue
 				}
-				if t.FullList {
-					has := map[string]bool{}
-					for k := i + 1; k < len(list) && list[k].At == t.At && !list[k].FullList; k++ {
-						has[list[k].Worker] = true
+				if update.FullList {
+					listed := map[string]bool{}
+					for k := i + 1; k < len(updates) && updates[k].At == update.At && !updates[k].FullList; k++ {
+						listed[updates[k].Worker] = true
 					}
-					for w, s := range told {
-						if !has[w] && !s[len(s)-1].gone {
-							told[w] = append(s, state{t.At, true, 0})
+					for worker, states := range statesByWorker {
+						if !listed[worker] && !states[len(states)-1].gone {
+							statesByWorker[worker] = append(states, workerState{update.At, true, 0})
 						}
 					}
 					continue
 				}
-				told[t.Worker] = append(told[t.Worker], state{t.At, t.State != api.Up, t.Started})
+				statesByWorker[update.Worker] = append(statesByWorker[update.Worker],
+					workerState{update.At, update.State != api.Up, update.Started})
 			}
-			for _, a := range c.rec.Submissions {
-				t := c.txns[a.Txn]
-				if t == nil || t.Edge != edge || t.Incarnation != key[1] {
+			for _, submission := range c.rec.Submissions {
+				txn := c.txnsByID[submission.Txn]
+				if txn == nil || txn.Edge != edge || txn.Incarnation != key[1] {
 					continue
 				}
-				var last *state
-				back := false
-				for i := range told[a.Worker] {
-					s := &told[a.Worker][i]
-					if s.at <= a.ReceivedAt-c.day.DrainGrace-c.drain {
-						last, back = s, false
-					} else if s.at <= a.ReceivedAt+c.drain && !s.gone {
-						back = true
+				var latest *workerState
+				backUp := false
+				for i := range statesByWorker[submission.Worker] {
+					state := &statesByWorker[submission.Worker][i]
+					if state.at <= submission.ReceivedAt-c.day.DrainGrace-c.drain {
+						latest, backUp = state, false
+					} else if state.at <= submission.ReceivedAt+c.drain && !state.gone {
+						backUp = true
 					}
 				}
-				if last != nil && last.gone && !back {
-					c.break_(3, a.ReceivedAt, t, "sent to worker %s %v after the edge was told that it goes", a.Worker, a.ReceivedAt-last.at)
+				if latest != nil && latest.gone && !backUp {
+					c.addViolation(3, submission.ReceivedAt, txn, "sent to worker %s %v after the edge was told that it goes", submission.Worker,
+						submission.ReceivedAt-latest.at)
 				}
 			}
 		}
 	}
 }
 
-// falls is rule 4: no cold worker pushed over. Two thirds of the work must have come from edges told of its start.
-func (c *checker) falls() {
-	for _, f := range c.rec.OverloadFailures {
-		all, told := time.Duration(0), time.Duration(0)
-		for edge, sum := range f.WorkByEdge {
-			all += sum
-			for _, t := range c.lists[edge] {
-				if t.Worker == f.Worker && t.Started == f.WorkerStartedAt && t.At <= f.At {
-					told += sum
+// checkOverloads checks rule 4: no cold worker fails from overload. A failure counts if edges that had been informed of the
+// worker's start sent at least two thirds of the work.
+func (c *checker) checkOverloads() {
+	for _, failure := range c.rec.OverloadFailures {
+		totalWork, informedWork := time.Duration(0), time.Duration(0)
+		for edge, work := range failure.WorkByEdge {
+			totalWork += work
+			for _, update := range c.workerUpdates[edge] {
+				if update.Worker == failure.Worker && update.Started == failure.WorkerStartedAt && update.At <= failure.At {
+					informedWork += work
 					break
 				}
 			}
 		}
-		if all > 0 && 3*told >= 2*all {
-			c.break_(4, f.At, nil, "worker %s, started at %.3fs, was pushed over by %v of work from edges %v", f.Worker, f.WorkerStartedAt.Seconds(),
-				all, f.WorkByEdge)
+		if totalWork > 0 && 3*informedWork >= 2*totalWork {
+			c.addViolation(4, failure.At, nil, "worker %s, started at %.3fs, was pushed over by %v of work from edges %v", failure.Worker,
+				failure.WorkerStartedAt.Seconds(), totalWork, failure.WorkByEdge)
 		}
 	}
 }
 
-// possible gives what an edge may have held for the newest news at a moment, widened by the slack and, backwards, by
-// the grace as well: a lower cap binds after it.
-func (c *checker) possible(edge int, life Incarnation, when time.Duration) []EdgeUpdate {
-	var out []EdgeUpdate
-	list := c.releases[edge]
-	early, late := when-c.day.DrainGrace-c.slacks.exposure, when+c.slacks.exposure
-	for i, t := range list {
-		if t.At > late || t.At < life.StartedAt {
+// possibleReleases returns the release updates that may have been the edge's newest at a time. The tolerance widens the
+// time both ways, and the drain grace widens it backwards, since a lower cap binds only after the grace.
+func (c *checker) possibleReleases(edge int, incarnation Incarnation, at time.Duration) []EdgeUpdate {
+	var possible []EdgeUpdate
+	updates := c.releaseUpdates[edge]
+	earliest, latest := at-c.day.DrainGrace-c.tolerances.exposure, at+c.tolerances.exposure
+	for i, update := range updates {
+		if update.At > latest || update.At < incarnation.StartedAt {
 			continue
 		}
-		if i+1 < len(list) && list[i+1].At < early && list[i+1].At >= life.StartedAt {
-			continue // replaced long before
+		if i+1 < len(updates) && updates[i+1].At < earliest && updates[i+1].At >= incarnation.StartedAt {
+			continue // replaced before that time
 		}
-		out = append(out, t)
+		possible = append(possible, update)
 	}
-	return out
+	return possible
 }
 
-// exposure is rule 5: submissions at a build on trial within the cap, in every window.
-func (c *checker) exposure() {
-	type lane struct{ edge, life, product int }
-	type shown struct {
+// checkExposure checks rule 5: in every window, the submissions to a build on trial stay within the cap.
+func (c *checker) checkExposure() {
+	type exposureGroup struct{ edge, incarnation, product int }
+	type trialSubmission struct {
 		*SubmissionRecord
 		build int
 	}
-	subs, took := map[lane][]*SubmissionRecord{}, map[lane][]time.Duration{}
-	laneOf := func(t *TxnRecord) lane {
-		l := lane{t.Edge, t.Incarnation, -1}
+	submissions, takenAt := map[exposureGroup][]*SubmissionRecord{}, map[exposureGroup][]time.Duration{}
+	groupOf := func(txn *TxnRecord) exposureGroup {
+		group := exposureGroup{txn.Edge, txn.Incarnation, -1}
 		if c.day.ExposureScope == "product" {
-			l.product = t.Product
+			group.product = txn.Product
 		}
-		return l
+		return group
 	}
-	for _, t := range c.rec.Txns {
-		if t.Failure != "refused" {
-			l := laneOf(t)
-			took[l] = append(took[l], t.SentAt)
+	for _, txn := range c.rec.Txns {
+		if txn.Failure != "refused" {
+			group := groupOf(txn)
+			takenAt[group] = append(takenAt[group], txn.SentAt)
 		}
-		for _, a := range c.byTxn[t.ID] {
-			l := laneOf(t)
-			subs[l] = append(subs[l], a)
+		for _, submission := range c.submissionsByTxn[txn.ID] {
+			group := groupOf(txn)
+			submissions[group] = append(submissions[group], submission)
 		}
 	}
-	for l, list := range subs {
-		life := c.lives[[2]int{l.edge, l.life}]
-		sort.Slice(list, func(i, j int) bool { return list[i].ReceivedAt < list[j].ReceivedAt })
-		sort.Slice(took[l], func(i, j int) bool { return took[l][i] < took[l][j] })
-		var trial []shown
-		for _, a := range list {
-			build := c.buildOf(l.edge, life, a)
-			onTrial, cap, from := true, 0.0, a.ReceivedAt-c.day.ExposureWindow
-			known := c.possible(l.edge, life, a.ReceivedAt)
-			guarded := len(known) > 0
-			for _, t := range known {
-				r := t.Release
-				if build < r.Build || build == r.Build && r.Phase == api.Released {
+	for group, ordered := range submissions {
+		incarnation := c.incarnations[[2]int{group.edge, group.incarnation}]
+		sort.Slice(ordered, func(i, j int) bool { return ordered[i].ReceivedAt < ordered[j].ReceivedAt })
+		sort.Slice(takenAt[group], func(i, j int) bool { return takenAt[group][i] < takenAt[group][j] })
+		var trialSubmissions []trialSubmission
+		for _, submission := range ordered {
+			build := c.effectiveBuild(group.edge, incarnation, submission)
+			onTrial, maxCap, windowStart := true, 0.0, submission.ReceivedAt-c.day.ExposureWindow
+			updates := c.possibleReleases(group.edge, incarnation, submission.ReceivedAt)
+			guarded := len(updates) > 0
+			for _, update := range updates {
+				release := update.Release
+				if build < release.Build || build == release.Build && release.Phase == api.Released {
 					onTrial = false
 				}
-				x, stage := r.Cap, r.Stage
-				if build > r.Build { // not announced: as in the first stage
-					x, stage = c.day.stageCaps()[0], 0
+				updateCap, stage := release.Cap, release.Stage
+				if build > release.Build { // not announced yet: the first stage applies
+					updateCap, stage = c.day.stageCaps()[0], 0
 				}
-				cap = max(cap, x)
+				maxCap = max(maxCap, updateCap)
 				guarded = guarded && stage < c.day.GuardedStages
 			}
-			if !onTrial || len(known) == 0 {
+			if !onTrial || len(updates) == 0 {
 				continue
 			}
-			trial = append(trial, shown{a, build})
-			t := c.txns[a.Txn]
-			if cap == 0 {
-				c.break_(5, a.ReceivedAt, t, "sent to build %d on trial at a cap of 0", build)
+			trialSubmissions = append(trialSubmissions, trialSubmission{submission, build})
+			txn := c.txnsByID[submission.Txn]
+			if maxCap == 0 {
+				c.addViolation(5, submission.ReceivedAt, txn, "sent to build %d on trial at a cap of 0", build)
 				continue
 			}
-			if guarded && c.day.Products[t.Product].Effect != "inquiry-like" {
-				c.break_(5, a.ReceivedAt, t, "a txn with an effect sent to build %d in a guarded stage", build)
+			if guarded && c.day.Products[txn.Product].Effect != "inquiry-like" {
+				c.addViolation(5, submission.ReceivedAt, txn, "a txn with an effect sent to build %d in a guarded stage", build)
 			}
-			n := 0
-			for k := len(trial) - 1; k >= 0 && trial[k].ReceivedAt > from; k-- {
-				if trial[k].build == build {
-					n++
+			count := 0
+			for k := len(trialSubmissions) - 1; k >= 0 && trialSubmissions[k].ReceivedAt > windowStart; k-- {
+				if trialSubmissions[k].build == build {
+					count++
 				}
 			}
-			all := 0
-			for k := sort.Search(len(took[l]), func(k int) bool { return took[l][k] > a.ReceivedAt }) - 1; k >= 0 &&
-				took[l][k] > from-c.slacks.exposure; k-- {
-				all++
+			txns := 0
+			for k := sort.Search(len(takenAt[group]), func(k int) bool { return takenAt[group][k] > submission.ReceivedAt }) - 1; k >= 0 &&
+				takenAt[group][k] > windowStart-c.tolerances.exposure; k-- {
+				txns++
 			}
-			wide := 1 + 2*c.slacks.exposure.Seconds()/c.day.ExposureWindow.Seconds()
-			allowed := c.day.FreeSubmissions*float64(c.day.Loops)*wide + cap*float64(all)
-			if float64(n) > allowed+1e-9 {
-				c.break_(5, a.ReceivedAt, t, "%d submissions to build %d in %v; allowed %.1f = %g free + %g of %d txns", n, build, c.day.ExposureWindow, allowed,
-					c.day.FreeSubmissions, cap, all)
+			widening := 1 + 2*c.tolerances.exposure.Seconds()/c.day.ExposureWindow.Seconds()
+			allowed := c.day.FreeSubmissions*float64(c.day.Loops)*widening + maxCap*float64(txns)
+			if float64(count) > allowed+1e-9 {
+				c.addViolation(5, submission.ReceivedAt, txn, "%d submissions to build %d in %v; allowed %.1f = %g free + %g of %d txns", count, build,
+					c.day.ExposureWindow, allowed, c.day.FreeSubmissions, maxCap, txns)
 			}
 		}
 	}
 }
 
-// buildOf is the build that counts for a submission: the one that ran, unless the edge's list had not shown it yet.
-func (c *checker) buildOf(edge int, life Incarnation, a *SubmissionRecord) int {
-	last := a.Build
-	for _, t := range c.lists[edge] {
-		if t.Worker != a.Worker || t.At < life.StartedAt || t.At > a.ReceivedAt+c.slacks.exposure {
+// effectiveBuild returns the build that counts for a submission: the one that ran it, or the last one on the edge's worker
+// list if the list did not show the new one yet.
+func (c *checker) effectiveBuild(edge int, incarnation Incarnation, submission *SubmissionRecord) int {
+	build := submission.Build
+	for _, update := range c.workerUpdates[edge] {
+		if update.Worker != submission.Worker || update.At < incarnation.StartedAt ||
+			update.At > submission.ReceivedAt+c.tolerances.exposure {
 			continue
 		}
-		if t.Build == a.Build && t.At >= a.ReceivedAt-c.slacks.exposure {
-			return a.Build
+		if update.Build == submission.Build && update.At >= submission.ReceivedAt-c.tolerances.exposure {
+			return submission.Build
 		}
-		if t.At <= a.ReceivedAt && t.Build > 0 {
-			last = t.Build
+		if update.At <= submission.ReceivedAt && update.Build > 0 {
+			build = update.Build
 		}
 	}
-	return last
+	return build
 }
 
-// oneWay is the rest of rule 5: a key that the new build has answered goes to no earlier one until it goes back.
-func (c *checker) oneWay() {
+// checkOneWayKeys checks the rest of rule 5: a key that the new build has answered is not sent to an earlier build unless the
+// new one goes back.
+func (c *checker) checkOneWayKeys() {
 	if !c.day.OneWayKeys {
 		return
 	}
-	type at struct {
-		edge, life int
-		key        uint64
+	type keyOnEdge struct {
+		edge, incarnation int
+		key               uint64
 	}
-	met := map[at][]*TxnRecord{}
-	for _, t := range c.rec.Txns {
-		if t.AnsweredAt > 0 && t.Status == 200 && t.Build > 0 {
-			k := at{t.Edge, t.Incarnation, t.Key}
-			met[k] = append(met[k], t)
+	answersByKey := map[keyOnEdge][]*TxnRecord{}
+	for _, txn := range c.rec.Txns {
+		if txn.AnsweredAt > 0 && txn.Status == 200 && txn.Build > 0 {
+			key := keyOnEdge{txn.Edge, txn.Incarnation, txn.Key}
+			answersByKey[key] = append(answersByKey[key], txn)
 		}
 	}
-	for _, t := range c.rec.Txns {
-		for _, a := range c.byTxn[t.ID] {
-			for _, m := range met[at{t.Edge, t.Incarnation, t.Key}] {
-				if m.Build <= a.Build || m.AnsweredAt+c.slacks.exposure >= a.ReceivedAt {
+	for _, txn := range c.rec.Txns {
+		for _, submission := range c.submissionsByTxn[txn.ID] {
+			for _, answer := range answersByKey[keyOnEdge{txn.Edge, txn.Incarnation, txn.Key}] {
+				if answer.Build <= submission.Build || answer.AnsweredAt+c.tolerances.exposure >= submission.ReceivedAt {
 					continue
 				}
-				life := c.lives[[2]int{t.Edge, t.Incarnation}]
+				incarnation := c.incarnations[[2]int{txn.Edge, txn.Incarnation}]
 				binds := true
-				// Every state that the edge may have held from the answer on must bind the key.
-				for _, k := range c.between(t.Edge, life, m.AnsweredAt-c.slacks.exposure, a.ReceivedAt+c.slacks.exposure) {
-					r := k.Release
-					if r.Build != m.Build || r.Phase != api.OnTrial && r.Phase != api.Released {
+				// The key is bound only if every release state that the edge may have held since the answer binds it.
+				for _, update := range c.releasesBetween(txn.Edge, incarnation, answer.AnsweredAt-c.tolerances.exposure,
+					submission.ReceivedAt+c.tolerances.exposure) {
+					release := update.Release
+					if release.Build != answer.Build || release.Phase != api.OnTrial && release.Phase != api.Released {
 						binds = false
 					}
 				}
 				if binds {
-					c.break_(5, a.ReceivedAt, t, "key %d, answered by build %d through this edge at %.3fs, sent to build %d", t.Key, m.Build,
-						m.AnsweredAt.Seconds(), a.Build)
+					c.addViolation(5, submission.ReceivedAt, txn, "key %d, answered by build %d through this edge at %.3fs, sent to build %d", txn.Key,
+						answer.Build, answer.AnsweredAt.Seconds(), submission.Build)
 					break
 				}
 			}
@@ -433,18 +448,18 @@
 	}
 }
 
-// between gives all news that an edge may have held within a span.
-func (c *checker) between(edge int, life Incarnation, from, till time.Duration) []EdgeUpdate {
-	var out []EdgeUpdate
-	list := c.releases[edge]
-	for i, t := range list {
-		if t.At < life.StartedAt || t.At > till {
+// releasesBetween returns the release updates that may have been the edge's newest at some time from from to to.
+func (c *checker) releasesBetween(edge int, incarnation Incarnation, from, to time.Duration) []EdgeUpdate {
+	var found []EdgeUpdate
+	updates := c.releaseUpdates[edge]
+	for i, update := range updates {
+		if update.At < incarnation.StartedAt || update.At > to {
 			continue
 		}
-		if i+1 < len(list) && list[i+1].At < from {
+		if i+1 < len(updates) && updates[i+1].At < from {
 			continue
 		}
-		out = append(out, t)
+		found = append(found, update)
 	}
-	return out
+	return found
 }
--- a/lab/checker_test.go
+++ b/lab/checker_test.go
@@ -71,7 +71,7 @@
 			r.Txns[4].AnsweredAt, r.Txns[4].Status, r.Txns[4].Failure = 0, 0, "broken"
 		}},
 		{"silence", 1, "no answer within", func(r *Record) {
-			r.Txns[4].AnsweredAt, r.Txns[4].Status, r.Txns[4].LeftAt = 0, 0, r.Txns[4].Deadline+checkSlack
+			r.Txns[4].AnsweredAt, r.Txns[4].Status, r.Txns[4].LeftAt = 0, 0, r.Txns[4].Deadline+answerTolerance
 		}},
 		{"late", 1, "after the client's patience", func(r *Record) { r.Txns[4].AnsweredAt = r.Txns[4].Deadline + 200*ms }},
 		{"two answers", 1, "more than one answer", func(r *Record) { r.Txns[4].ExtraBytes = true }},
--- a/lab/clients.go
+++ b/lab/clients.go
@@ -189,7 +189,7 @@
 	record.ReusedConn = conn.requests > 0
 	conn.requests++
 	// Waiting slightly past the deadline distinguishes an answer that is a little late from none.
-	wait := record.Deadline - c.now() + checkSlack
+	wait := record.Deadline - c.now() + answerTolerance
 	if plan.leaveAfter > 0 {
 		wait = plan.leaveAfter
 	}
--- a/lab/virtual_test.go
+++ b/lab/virtual_test.go
@@ -24,7 +24,7 @@
 	clockBase = 1000 * time.Second
 )
 
-var onVirtualTime = slacks{answer: 5 * ms, after: 5 * ms, drain: 5 * ms, exposure: 5 * ms}
+var onVirtualTime = tolerances{answer: 5 * ms, lateSubmission: 5 * ms, drain: 5 * ms, exposure: 5 * ms}
 
 type vevent struct {
 	at  runTime
