--- a/lab/figures.go
+++ b/lab/figures.go
@@ -12,7 +12,22 @@
 	"dunegrade/fleet"
 )
 
-// ProductFigures is how one product fared. Counts are of first tries; what repeats brought is theirs.
+const (
+	// maxLatencyMicros is the longest latency that histograms distinguish.
+	maxLatencyMicros = 120_000_000
+	// worstWindowSeconds is the length of the windows of which Figures.WorstFive shows the worst.
+	worstWindowSeconds = 5
+	// minWindowShare is the least revenue of a window, as a share of the mean, for it to count as the worst.
+	minWindowShare = 0.02
+	// maxReportedViolations limits the violations listed in a report.
+	maxReportedViolations = 50
+	// maxPrintedViolations limits the violations listed on the terminal.
+	maxPrintedViolations = 5
+	// maxSendDelaySeconds is the delay of clients above which a machine is too busy for the day.
+	maxSendDelaySeconds = 0.05
+)
+
+// ProductFigures holds the results of one product. A txn counts once, with the result of its last try.
 type ProductFigures struct {
 	Name      string
 	Asked     int
@@ -20,236 +35,240 @@
 	Late      int
 	Declined  int
 	Voided    int
-	Lost      int // neither answered nor declined nor voided: the edge was away, or the client left
+	Lost      int // not answered: the edge was down, or the client left
 	Wrong     int
-	P50       float64 // ms, of answers that settled
+	P50       float64 // latency of settled txns, ms
 	P99       float64
-	Revenue   float64 // earned over asked
+	Revenue   float64 // share of the revenue asked for that was earned
 	histogram *hdrhistogram.Histogram
 }
 
-// BuildFigures is how a build fared.
+// BuildFigures holds the results of a build.
 type BuildFigures struct {
 	Number      int
 	Flaw        string
 	Strength    float64
-	Offered     float64 // seconds
-	Back        float64 // seconds from the offer to the call back; 0: none
-	Released    float64
+	Offered     float64 // seconds since the start of the day
+	Back        float64 // seconds from the offer until the build went back; 0: it did not
+	Released    float64 // seconds from the offer until the release; 0: not released
 	Submissions int
-	Harm        float64 // share of all revenue in wrong answers and failed effects at it
+	Harm        float64 // share of all revenue that the build lost by failing txns with an effect
 }
 
-// Figures are what a run came to.
+// Figures holds the results of a run.
 type Figures struct {
 	Day        string
 	Seed       int64
 	Edge       string
 	Txns       int
 	Retries    int
-	Revenue    float64 // earned within the SLA time over asked, late answers at their share
-	WorstFive  float64 // the same over the worst 5 s
-	Harm       float64
-	Behind     float64 // seconds by which the latest arrival was sent late: the client's own trouble
-	Work       float64 // submissions for each txn
-	Falls      int
+	Revenue    float64 // share of the revenue asked for that was earned; late answers earn their product's share
+	WorstFive  float64 // the same within the worst 5 s
+	Harm       float64 // share of the revenue asked for in wrong answers and in effects that flawed builds failed
+	Behind     float64 // largest delay of a txn's sending past its scheduled time, in seconds; the clients' machine causes it
+	Work       float64 // submissions per txn
+	Falls      int     // failures of cold workers from overload
 	Products   []ProductFigures
 	Builds     []BuildFigures
 	Votes      map[string]int
 	Violations []string
-	Rules      [6]int // breaks by rule
+	Rules      [6]int // violations by rule, from 1 on
 	Series     []Second
 }
 
-// Second is one second of the day.
+// Second counts the txns sent within one second of the day by result, and the submissions to the newest build.
 type Second struct {
 	Asked, InTime, Late, Declined, Voided, Lost, Trial int
 }
 
-// Sum works out the figures of a record.
-func Sum(day *Day, rec *Record, edge string, broken []Violation) *Figures {
-	f := &Figures{Day: day.Name, Seed: day.Seed, Edge: edge, Votes: map[string]int{}, Falls: len(rec.OverloadFailures), Behind: rec.maxSendDelay.Seconds()}
-	f.Series = make([]Second, int(day.Length/time.Second)+1)
-	f.Products = make([]ProductFigures, len(day.Products))
-	for i, p := range day.Products {
-		f.Products[i] = ProductFigures{Name: p.Name, histogram: hdrhistogram.New(1, 120_000_000, 3)}
+// ComputeFigures computes the figures of a record. edge names the kind of edge that was run.
+func Sum(day *Day, rec *Record, edge string, violations []Violation) *Figures {
+	figures := &Figures{Day: day.Name, Seed: day.Seed, Edge: edge, Votes: map[string]int{}, Falls: len(rec.OverloadFailures),
+		Behind: rec.maxSendDelay.Seconds()}
+	figures.Series = make([]Second, int(day.Length/time.Second)+1)
+	figures.Products = make([]ProductFigures, len(day.Products))
+	for i, product := range day.Products {
+		figures.Products[i] = ProductFigures{Name: product.Name, histogram: hdrhistogram.New(1, maxLatencyMicros, 3)}
 	}
 	tries := map[uint64][]*TxnRecord{}
-	for _, t := range rec.Txns {
-		tries[t.FirstTryID] = append(tries[t.FirstTryID], t)
-		if t.IsRetry {
-			f.Retries++
+	for _, txn := range rec.Txns {
+		tries[txn.FirstTryID] = append(tries[txn.FirstTryID], txn)
+		if txn.IsRetry {
+			figures.Retries++
 		}
 	}
 	asked, earned, harm := make([]float64, len(day.Products)), make([]float64, len(day.Products)), 0.0
-	window := map[int][2]float64{}
-	lineages := make([]uint64, 0, len(tries))
+	windows := map[int][2]float64{}
+	firstIDs := make([]uint64, 0, len(tries))
 	for id := range tries {
-		lineages = append(lineages, id)
+		firstIDs = append(firstIDs, id)
 	}
-	sort.Slice(lineages, func(i, j int) bool { return lineages[i] < lineages[j] })
-	for _, id := range lineages {
-		list := tries[id]
-		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
-		first, last := list[0], list[len(list)-1]
+	sort.Slice(firstIDs, func(i, j int) bool { return firstIDs[i] < firstIDs[j] })
+	for _, id := range firstIDs {
+		ordered := tries[id]
+		sort.Slice(ordered, func(i, j int) bool { return ordered[i].ID < ordered[j].ID })
+		first, last := ordered[0], ordered[len(ordered)-1]
 		if first.Malformed {
 			continue
 		}
-		f.Txns++
-		p, spec := &f.Products[first.Product], &day.Products[first.Product]
-		p.Asked++
-		asked[first.Product] += spec.Revenue
-		second := &f.Series[min(len(f.Series)-1, max(0, int(first.SentAt/time.Second)))]
+		figures.Txns++
+		product, productSpec := &figures.Products[first.Product], &day.Products[first.Product]
+		product.Asked++
+		asked[first.Product] += productSpec.Revenue
+		second := &figures.Series[min(len(figures.Series)-1, max(0, int(first.SentAt/time.Second)))]
 		second.Asked++
-		got := 0.0
-		switch took := last.AnsweredAt - first.SentAt; {
+		revenue := 0.0
+		switch latency := last.AnsweredAt - first.SentAt; {
 		case last.Status == 200 && last.WrongAnswer:
-			p.Wrong++
-			harm += spec.Revenue
+			product.Wrong++
+			harm += productSpec.Revenue
 		case last.Status == 200:
-			p.histogram.RecordValue(min(int64(took/time.Microsecond), 120_000_000))
-			if took <= spec.SLA {
-				p.InTime++
+			product.histogram.RecordValue(min(int64(latency/time.Microsecond), maxLatencyMicros))
+			if latency <= productSpec.SLA {
+				product.InTime++
 				second.InTime++
-				got = spec.Revenue
+				revenue = productSpec.Revenue
 			} else {
-				p.Late++
+				product.Late++
 				second.Late++
-				got = spec.Revenue * spec.LateRevenueShare
+				revenue = productSpec.Revenue * productSpec.LateRevenueShare
 			}
 		case last.Outcome == "declined":
-			p.Declined++
+			product.Declined++
 			second.Declined++
 		case last.Outcome == "voided":
-			p.Voided++
+			product.Voided++
 			second.Voided++
 		default:
-			p.Lost++
+			product.Lost++
 			second.Lost++
 		}
-		earned[first.Product] += got
-		w := window[int(first.SentAt/(5*time.Second))]
-		window[int(first.SentAt/(5*time.Second))] = [2]float64{w[0] + got, w[1] + spec.Revenue}
-	}
-	allAsked, allEarned := 0.0, 0.0
-	for i := range f.Products {
-		p := &f.Products[i]
-		allAsked, allEarned = allAsked+asked[i], allEarned+earned[i]
+		earned[first.Product] += revenue
+		window := windows[int(first.SentAt/(worstWindowSeconds*time.Second))]
+		windows[int(first.SentAt/(worstWindowSeconds*time.Second))] = [2]float64{window[0] + revenue, window[1] + productSpec.Revenue}
+	}
+	totalAsked, totalEarned := 0.0, 0.0
+	for i := range figures.Products {
+		product := &figures.Products[i]
+		totalAsked, totalEarned = totalAsked+asked[i], totalEarned+earned[i]
 		if asked[i] > 0 {
-			p.Revenue = earned[i] / asked[i]
+			product.Revenue = earned[i] / asked[i]
 		}
-		p.P50, p.P99 = float64(p.histogram.ValueAtQuantile(50))/1000, float64(p.histogram.ValueAtQuantile(99))/1000
+		product.P50, product.P99 = float64(product.histogram.ValueAtQuantile(50))/1000, float64(product.histogram.ValueAtQuantile(99))/1000
 	}
-	f.Revenue, f.WorstFive = allEarned/max(allAsked, 1e-9), 1
-	for _, w := range window {
-		if w[1] > 0.02*allAsked*5/max(5, day.Length.Seconds()) {
-			f.WorstFive = min(f.WorstFive, w[0]/w[1])
+	figures.Revenue, figures.WorstFive = totalEarned/max(totalAsked, 1e-9), 1
+	for _, window := range windows {
+		if window[1] > minWindowShare*totalAsked*worstWindowSeconds/max(worstWindowSeconds, day.Length.Seconds()) {
+			figures.WorstFive = min(figures.WorstFive, window[0]/window[1])
 		}
 	}
-	f.builds(day, rec, allAsked, &harm)
-	f.Harm = harm / max(allAsked, 1e-9)
-	f.Work = float64(len(rec.Submissions)) / max(1, float64(len(rec.Txns)))
-	for _, v := range rec.Votes {
-		f.Votes[v.Verdict]++
+	figures.addBuilds(day, rec, totalAsked, &harm)
+	figures.Harm = harm / max(totalAsked, 1e-9)
+	figures.Work = float64(len(rec.Submissions)) / max(1, float64(len(rec.Txns)))
+	for _, vote := range rec.Votes {
+		figures.Votes[vote.Verdict]++
 	}
-	for _, v := range broken {
-		f.Rules[v.Rule]++
-		if len(f.Violations) < 50 {
-			f.Violations = append(f.Violations, v.String())
+	for _, violation := range violations {
+		figures.Rules[violation.Rule]++
+		if len(figures.Violations) < maxReportedViolations {
+			figures.Violations = append(figures.Violations, violation.String())
 		}
 	}
-	return f
+	return figures
 }
 
-func (f *Figures) builds(day *Day, rec *Record, asked float64, harm *float64) {
-	byID := map[uint64]*TxnRecord{}
-	for _, t := range rec.Txns {
-		byID[t.ID] = t
-	}
-	per := map[int]*BuildFigures{}
-	for _, b := range rec.builds {
-		b := b
-		per[b.Number] = &b
-	}
-	bad := map[int]bool{}
-	for n, b := range per {
-		bad[n] = b.Flaw != string(fleet.NoFlaw)
-	}
-	for _, a := range rec.Submissions {
-		t := byID[a.Txn]
-		if t == nil {
+// addBuilds adds the figures of each build, and to harm the revenue of the txns with an effect that flawed builds failed.
+func (f *Figures) addBuilds(day *Day, rec *Record, totalAsked float64, harm *float64) {
+	txnsByID := map[uint64]*TxnRecord{}
+	for _, txn := range rec.Txns {
+		txnsByID[txn.ID] = txn
+	}
+	byNumber := map[int]*BuildFigures{}
+	for _, build := range rec.builds {
+		build := build
+		byNumber[build.Number] = &build
+	}
+	flawed := map[int]bool{}
+	for number, build := range byNumber {
+		flawed[number] = build.Flaw != string(fleet.NoFlaw)
+	}
+	for _, submission := range rec.Submissions {
+		txn := txnsByID[submission.Txn]
+		if txn == nil {
 			continue
 		}
-		if b := per[a.Build]; b != nil {
-			b.Submissions++
+		if build := byNumber[submission.Build]; build != nil {
+			build.Submissions++
 		}
-		if n := int(a.ReceivedAt / time.Second); rec.newestAt(a.ReceivedAt) == a.Build && a.Build > 1 && n < len(f.Series) {
-			f.Series[n].Trial++
+		if second := int(submission.ReceivedAt / time.Second); rec.newestBuildAt(submission.ReceivedAt) == submission.Build &&
+			submission.Build > 1 && second < len(f.Series) {
+			f.Series[second].Trial++
 		}
-		if bad[a.Build] && a.Result == "failed" && day.Products[t.Product].Effect != "inquiry-like" {
-			*harm += day.Products[t.Product].Revenue
-			per[a.Build].Harm += day.Products[t.Product].Revenue / asked
+		if flawed[submission.Build] && submission.Result == "failed" && day.Products[txn.Product].Effect != "inquiry-like" {
+			*harm += day.Products[txn.Product].Revenue
+			byNumber[submission.Build].Harm += day.Products[txn.Product].Revenue / totalAsked
 		}
 	}
-	for _, b := range per {
-		f.Builds = append(f.Builds, *b)
+	for _, build := range byNumber {
+		f.Builds = append(f.Builds, *build)
 	}
 	sort.Slice(f.Builds, func(i, j int) bool { return f.Builds[i].Number < f.Builds[j].Number })
 }
 
-// newestAt is the newest build offered by a moment.
-func (r *Record) newestAt(when time.Duration) int {
-	n := 1
-	for _, b := range r.builds {
-		if b.Offered <= when.Seconds() {
-			n = max(n, b.Number)
+// newestBuildAt returns the number of the newest build that was offered by a time.
+func (r *Record) newestBuildAt(at time.Duration) int {
+	newest := 1
+	for _, build := range r.builds {
+		if build.Offered <= at.Seconds() {
+			newest = max(newest, build.Number)
 		}
 	}
-	return n
+	return newest
 }
 
-// Table prints the figures for a terminal.
+// WriteTable writes the figures as text for a terminal.
 func (f *Figures) Table(w io.Writer) {
-	fmt.Fprintf(w, "\n%s, seed %d, %s: %d txns, revenue in time %.3f, worst 5 s %.3f, harm %.4f, %.3f submissions a txn\n\n", f.Day, f.Seed, f.Edge,
-		f.Txns, f.Revenue, f.WorstFive, f.Harm, f.Work)
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "product\tasked\tin time\tlate\tdeclined\tvoided\tlost\twrong\tp50 ms\tp99 ms\trevenue\t")
-	for _, p := range f.Products {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.3f\t\n", p.Name, p.Asked, p.InTime, p.Late, p.Declined, p.Voided, p.Lost, p.Wrong,
-			p.P50, p.P99, p.Revenue)
-	}
-	t.Flush()
-	for _, b := range f.Builds {
-		fate := "neither back nor released"
+	fmt.Fprintf(w, "\n%s, seed %d, %s: %d txns, revenue in time %.3f, worst 5 s %.3f, harm %.4f, %.3f submissions a txn\n\n",
+		f.Day, f.Seed, f.Edge, f.Txns, f.Revenue, f.WorstFive, f.Harm, f.Work)
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "product\tasked\tin time\tlate\tdeclined\tvoided\tlost\twrong\tp50 ms\tp99 ms\trevenue\t")
+	for _, product := range f.Products {
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.3f\t\n", product.Name, product.Asked, product.InTime, product.Late,
+			product.Declined, product.Voided, product.Lost, product.Wrong, product.P50, product.P99, product.Revenue)
+	}
+	table.Flush()
+	for _, build := range f.Builds {
+		outcome := "neither back nor released"
 		switch {
-		case b.Released > 0 && b.Back > 0:
-			fate = fmt.Sprintf("released, and back %.1f s after its offer", b.Back)
-		case b.Back > 0:
-			fate = fmt.Sprintf("back %.1f s after its offer", b.Back)
-		case b.Released > 0:
-			fate = fmt.Sprintf("released %.1f s after its offer", b.Released)
+		case build.Released > 0 && build.Back > 0:
+			outcome = fmt.Sprintf("released, and back %.1f s after its offer", build.Back)
+		case build.Back > 0:
+			outcome = fmt.Sprintf("back %.1f s after its offer", build.Back)
+		case build.Released > 0:
+			outcome = fmt.Sprintf("released %.1f s after its offer", build.Released)
 		}
-		fmt.Fprintf(w, "build %d (%s %g): %s; %d submissions, harm %.4f\n", b.Number, b.Flaw, b.Strength, fate, b.Submissions, b.Harm)
+		fmt.Fprintf(w, "build %d (%s %g): %s; %d submissions, harm %.4f\n", build.Number, build.Flaw, build.Strength, outcome,
+			build.Submissions, build.Harm)
 	}
 	fmt.Fprintf(w, "votes that reached the platform: on %d, back %d\n", f.Votes["on"], f.Votes["back"])
-	if f.Behind > 0.05 {
+	if f.Behind > maxSendDelaySeconds {
 		fmt.Fprintf(w, "the client sent as much as %.0f ms late: the machine is too busy for this day\n", f.Behind*1000)
 	}
-	sum := 0
+	violations := 0
 	for _, n := range f.Rules {
-		sum += n
+		violations += n
 	}
-	if sum == 0 {
+	if violations == 0 {
 		fmt.Fprintln(w, "rules: all five kept")
 		return
 	}
 	fmt.Fprintf(w, "rules BROKEN: 1 answers %d, 2 effects %d, 3 drains %d, 4 cold workers %d, 5 exposure %d\n", f.Rules[1], f.Rules[2], f.Rules[3],
 		f.Rules[4], f.Rules[5])
-	for i, v := range f.Violations {
-		if i == 5 {
-			fmt.Fprintf(w, "  ... %d more in the report\n", sum-5)
+	for i, violation := range f.Violations {
+		if i == maxPrintedViolations {
+			fmt.Fprintf(w, "  ... %d more in the report\n", violations-5)
 			break
 		}
-		fmt.Fprintf(w, "  %s\n", v)
+		fmt.Fprintf(w, "  %s\n", violation)
 	}
 }
