--- a/lab/platform.go
+++ b/lab/platform.go
@@ -20,13 +20,13 @@
 const (
 	stepInterval        = 20 * time.Millisecond  // between updates of machines and releases
 	stepsPerSlowdown    = 5                      // steps between updates of the fleet's slowdown, every 100 ms
-	streamPollInterval  = 10 * time.Millisecond  // between looks for new lines of a watch
+	streamPollInterval  = 10 * time.Millisecond  // between polls for new lines of a watch
 	bookmarkInterval    = 500 * time.Millisecond // silence of a watch after which a bookmark is sent
-	voteLifetime        = 4 * time.Second        // after which a vote no longer counts
-	stalledVoteTimeout  = 5 * time.Second        // for which a stalled platform holds a request with a vote
+	voteLifetime        = 4 * time.Second        // age up to which a vote counts
+	stalledVoteTimeout  = 5 * time.Second        // how long a stalled platform holds a request with a vote
 	shutdownTimeout     = 2 * time.Second
 	maxVoteBytes        = 64 << 10
-	stageShareTolerance = 1e-9 // of rounding, in machines
+	stageShareTolerance = 1e-9 // rounding error allowed in a number of replicas
 )
 
 // platform simulates the release platform: it manages workers, builds, stages and caps, counts votes, and serves the REST
