--- a/lab/checker.go
+++ b/lab/checker.go
@@ -35,8 +35,8 @@
 	return fmt.Sprintf("rule %d at %.3fs: %s\n    %s", v.Rule, v.At.Seconds(), v.Text, strings.Join(v.Story, "\n    "))
 }
 
-// checker checks the rules against a record. From the edges it only uses their answers to clients, and
-// nothing that they report about themselves.
+// checker checks the rules against a record. From the edges it only uses their answers to clients, and nothing
+// that they report about themselves.
 type checker struct {
 	day              *Day
 	rec              *Record
