--- a/api/check.go
+++ b/api/check.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// ValidationError reports a field of an API object whose value is out of range.
+// ValidationError reports a field of an API object with an invalid value.
 type ValidationError struct{ Field, Found, Wanted string }
 
 func (e *ValidationError) Error() string {
@@ -20,8 +20,8 @@
 	MaxStage = 1000
 )
 
-// Validate returns a *ValidationError if a field of the worker is invalid, else nil. An unknown state is valid, because a
-// newer platform may define more states.
+// Validate returns a *ValidationError for the first invalid field of the worker, or nil. It accepts an unknown state,
+// because a newer platform may define more states.
 func (w *Worker) Validate() error {
 	prefix := "worker " + strconv.Quote(w.ID) + ", "
 	switch _, port, err := net.SplitHostPort(w.Address); {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// Validate returns a *ValidationError if a field of the release is invalid, else nil.
+// Validate returns a *ValidationError for the first invalid field of the release, or nil.
 func (r *Release) Validate() error {
 	prefix := fmt.Sprintf("release of build %d, ", r.Build)
 	switch {
@@ -59,7 +59,7 @@
 	return &ValidationError{prefix + "phase", strconv.Quote(r.Phase), "one of on-trial, going-back, released, withdrawn"}
 }
 
-// ParsePort parses a TCP port number. It returns -1 if s is not one.
+// ParsePort parses a TCP port number. It returns -1 if s is not a port number.
 func ParsePort(s string) int {
 	n, err := strconv.ParseUint(s, 10, 16)
 	if err != nil {
--- a/api/client.go
+++ b/api/client.go
@@ -15,32 +15,43 @@
 
 // Errors of Client.Vote.
 var (
-	// ErrStaleVote means that the platform discarded the vote, as it names another build or stage than the current one.
+	// ErrStaleVote means that the platform discarded the vote because it names another build or stage than the current one.
 	ErrStaleVote = errors.New("api: the vote is not for the current build or stage")
 	// ErrTooManyVotes means that the platform rejected the vote because it receives more than it accepts.
 	ErrTooManyVotes = errors.New("api: more votes than the platform accepts")
-	// ErrVoteOutcomeUnknown means that no complete answer arrived: the platform may or may not have counted the vote.
+	// ErrVoteOutcomeUnknown means that no complete answer arrived, so the vote may have been counted.
 	ErrVoteOutcomeUnknown = errors.New("api: no answer in time; the vote may have been counted")
 )
 
+const (
+	// defaultWatchIdleTimeout is Client.WatchIdleTimeout of a new client.
+	defaultWatchIdleTimeout = 3 * time.Second
+	// maxIdleConns is the number of idle connections that a client keeps open.
+	maxIdleConns = 8
+	// watchBufferBytes is the size of a watch's read buffer. It does not limit the length of a line.
+	watchBufferBytes = 64 << 10
+	// maxVoteAnswerBytes bounds how much of the answer to a vote is read.
+	maxVoteAnswerBytes = 64 << 10
+)
+
 // Client accesses one API server. It is safe for concurrent use.
 type Client struct {
 	BaseURL string // for example http://127.0.0.1:7000
 	HTTP    *http.Client
-	// WatchIdleTimeout is how long a watch may deliver no event before it fails.
+	// WatchIdleTimeout is the time without any event after which a watch fails.
 	WatchIdleTimeout time.Duration
 }
 
 // NewClient returns a client with its own connection pool; Close releases it.
 func NewClient(baseURL string) *Client {
-	return &Client{BaseURL: baseURL, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}, WatchIdleTimeout: 3 * time.Second}
+	return &Client{BaseURL: baseURL, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}}, WatchIdleTimeout: defaultWatchIdleTimeout}
 }
 
 // Close closes idle connections.
 func (c *Client) Close() { c.HTTP.CloseIdleConnections() }
 
-// Watch reads events from one watch until it fails or ctx ends, and passes each line to handle. It always returns a non-nil
-// error.
+// Watch opens a watch and passes each line of it to handle, until the watch or handle fails or ctx is cancelled. It always
+// returns a non-nil error.
 func (c *Client) Watch(ctx context.Context, path string, query url.Values, handle func(line []byte) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -59,7 +70,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("watch %s: status %d", path, resp.StatusCode)
 	}
-	lines := bufio.NewReaderSize(resp.Body, 64<<10)
+	lines := bufio.NewReaderSize(resp.Body, watchBufferBytes)
 	for {
 		line, err := lines.ReadBytes('\n')
 		if err != nil {
@@ -72,7 +83,7 @@
 	}
 }
 
-// cause returns the reason why ctx was cancelled, or err if it was not.
+// cause returns the cause of ctx's cancellation, or err if ctx was not cancelled.
 func cause(ctx context.Context, err error) error {
 	if c := context.Cause(ctx); c != nil {
 		return c
@@ -80,8 +91,8 @@
 	return err
 }
 
-// Vote casts a vote and returns the release state that the platform answers with. It fails with ErrStaleVote,
-// ErrTooManyVotes, ErrVoteOutcomeUnknown, or another error if the vote was not counted.
+// Vote casts a vote and returns the release state from the platform's answer. ErrStaleVote and ErrTooManyVotes mean that
+// the vote was not counted, and ErrVoteOutcomeUnknown that it may have been.
 func (c *Client) Vote(ctx context.Context, v Vote) (ReleaseEvent, error) {
 	var event ReleaseEvent
 	body, err := json.Marshal(v)
@@ -102,7 +113,7 @@
 		return event, fmt.Errorf("vote: %w", err)
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxVoteAnswerBytes))
 	if err != nil {
 		return event, ErrVoteOutcomeUnknown
 	}
--- a/api/types.go
+++ b/api/types.go
@@ -4,26 +4,27 @@
 //	GET  /v1/workers                      worker list         GET  /v1/workers?watch=1&revision=N   changes to it
 //	GET  /v1/releases                     newest release      GET  /v1/releases?watch=1&revision=N  changes to it
 //	POST /v1/releases/{name}/votes        cast a vote
-//	GET  /v1/reports?watch=1&edge=E       answers that clients reported as wrong
+//	GET  /v1/reports?watch=1&edge=E       answers from this edge that clients reported as wrong
 //	GET  /v1/tallies?watch=1              the platform's counts by build and product
 //
-// A watch is an unbounded response of JSON lines, one event per line. An event of type "whole" replaces the known state,
+// A watch is an unbounded response of JSON lines, one event per line. An event of type "whole" replaces the client's state,
 // "change" updates it, and "bookmark" is a keepalive that carries the server's current revision. After a disconnect the
-// client resumes the watch from the last revision it saw; a server that no longer holds that revision sends a "whole" event.
+// client resumes the watch from the last revision it received. If the server no longer holds that revision, it sends a
+// "whole" event.
 package api
 
 // Event types.
 const (
 	Whole    = "whole"    // a complete snapshot
-	Change   = "change"   // an update to the state known so far
+	Change   = "change"   // an update to the preceding state
 	Bookmark = "bookmark" // a keepalive with the current revision
 )
 
 // Worker states.
 const (
-	Up       = "up"
-	Draining = "draining"
-	Gone     = "gone"
+	Up       = "up"       // serves txns
+	Draining = "draining" // gets no new txns and will stop soon
+	Gone     = "gone"     // has stopped
 )
 
 // Worker is an entry of the worker list.
@@ -31,13 +32,13 @@
 	ID      string  `json:"id"`
 	Address string  `json:"address"`
 	Zone    string  `json:"zone,omitempty"`
-	Kind    string  `json:"kind,omitempty"`
-	Cell    int     `json:"cell,omitempty"`
+	Kind    string  `json:"kind,omitempty"` // kind of machine
+	Cell    int     `json:"cell,omitempty"` // workers of one cell may share their deduplication of txns
 	State   string  `json:"state"`
 	Weight  float64 `json:"weight,omitempty"`
 	Build   int     `json:"build"`
-	// StartedAt is the server's clock at the worker's latest start, in nanoseconds; 0 means long ago. It distinguishes a
-	// restarted worker from the earlier incarnation under the same id.
+	// StartedAt is when the worker last started, by the server's clock in nanoseconds; 0 means long ago. It distinguishes a
+	// restarted worker from its earlier incarnation with the same id.
 	StartedAt int64 `json:"startedAt,omitempty"`
 }
 
@@ -51,10 +52,10 @@
 
 // Release phases.
 const (
-	OnTrial   = "on-trial"
-	GoingBack = "going-back"
-	Released  = "released"
-	Withdrawn = "withdrawn"
+	OnTrial   = "on-trial"   // its exposure is limited to Release.Cap
+	GoingBack = "going-back" // its workers return to the preceding build
+	Released  = "released"   // its exposure is not limited
+	Withdrawn = "withdrawn"  // all its workers have returned to the preceding build
 )
 
 // Release is the newest build and its rollout state.
@@ -64,7 +65,7 @@
 	Stage int     `json:"stage"`
 	Phase string  `json:"phase"`
 	Cap   float64 `json:"cap"`
-	// Since is the server's clock when this state began, in nanoseconds.
+	// Since is when this state began, by the server's clock in nanoseconds.
 	Since int64 `json:"since"`
 }
 
@@ -84,7 +85,7 @@
 	VoteBack = "back"
 )
 
-// Vote is the vote of one sentry. A later vote of the same sentry replaces it.
+// Vote is a sentry's vote on a stage of a build. It replaces the sentry's earlier vote.
 type Vote struct {
 	Edge    string `json:"edge"`
 	Sentry  int    `json:"sentry"`
@@ -103,7 +104,7 @@
 	Mean    int64  `json:"mean"` // mean time of the settled ones, in nanoseconds
 }
 
-// Report states that a client found an answer wrong that this edge had forwarded to it.
+// Report states that a client found an answer wrong. It is sent to the edge that forwarded the answer.
 type Report struct {
 	Type    string `json:"type"`
 	Sentry  int    `json:"sentry"`
