--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -1,5 +1,5 @@
-// Package fleet simulates workers, the builds they run and their failures. It is deterministic: callers pass in the clock,
-// each machine has its own seeded random source, and the package opens no sockets and starts no goroutines.
+// Package fleet simulates workers, the builds that they run and their failures. It is deterministic: callers pass in the
+// clock, each machine has its own seeded random source, and the package opens no sockets and starts no goroutines.
 package fleet
 
 import (
@@ -19,20 +19,22 @@
 // Flaw is the kind of defect of a build.
 type Flaw string
 
-// Flaws of builds.
+// Flaws of builds. Strength and Product are fields of Build.
 const (
-	NoFlaw        Flaw = "good"
+	NoFlaw        Flaw = "good"      // works as a normal build
 	Errors        Flaw = "errors"    // fails a share of Strength of all txns
 	Slow          Flaw = "slow"      // takes Strength times the work
-	OneProduct    Flaw = "product"   // fails a share of Strength of one product's txns
-	UnderLoad     Flaw = "load"      // slows down by Strength and fails UnderLoadErrorRate of txns on a busy machine
-	DelayedErrors Flaw = "late"      // fails a share of Strength of txns, from DelayedErrorsAfter on
-	WrongAnswers  Flaw = "wrong"     // answers a share of Strength of txns wrongly, indistinguishable from correct answers
+	OneProduct    Flaw = "product"   // fails a share of Strength of the txns of Product
+	UnderLoad     Flaw = "load"      // on a busy machine, takes Strength times the work and fails UnderLoadErrorRate of txns
+	DelayedErrors Flaw = "late"      // fails a share of Strength of all txns, from DelayedErrorsAfter on
+	WrongAnswers  Flaw = "wrong"     // gives wrong answers, which look like correct ones, to a share of Strength of all txns
 	SlowsFleet    Flaw = "slows-all" // slows all machines by up to Strength, in proportion to its share of the traffic
+)
 
+const (
 	// DelayedErrorsAfter is the time from a machine's start to the first failures of DelayedErrors.
 	DelayedErrorsAfter = 6 * Second
-	// UnderLoadThreshold is the busy share of the cores above which UnderLoad takes effect.
+	// UnderLoadThreshold is the share of busy cores above which UnderLoad takes effect.
 	UnderLoadThreshold = 0.5
 	// UnderLoadErrorRate is the share of txns that UnderLoad fails.
 	UnderLoadErrorRate = 0.2
@@ -43,27 +45,28 @@
 	Number   int
 	Flaw     Flaw
 	Strength float64 // failure rate, wrong-answer rate or slowdown factor, depending on Flaw
-	Product  int     // index of the product that OneProduct affects
-	Speed    float64 // speed relative to a normal build; NewMachine takes 0 as 1
+	Product  int     // index of the product that OneProduct fails
+	Speed    float64 // relative to a normal build; NewMachine replaces 0 with 1
 }
 
 // Kind describes the capacity and failure behavior of a machine.
 type Kind struct {
 	Cores int
-	// Slots limits the queued and running txns; further ones are refused without being processed.
+	// Slots limits the queued and running txns. Further txns are refused without being processed.
 	Slots int
 	// Speed is relative to a normal machine.
 	Speed float64
-	// ColdStartCapacity is the share of the capacity that a machine has at its start. It rises linearly to 1 over WarmUp.
+	// ColdStartCapacity is the share of its full capacity that a machine has at its start. The share rises linearly to 1
+	// over WarmUp.
 	ColdStartCapacity float64
 	WarmUp            Nanos
-	// A machine that warms up fails if the work that it is sent within OverloadWindow exceeds OverloadMultiple times its
-	// current capacity. An OverloadMultiple of 0 disables this.
+	// OverloadMultiple limits the work submitted to a machine within OverloadWindow while it warms up, as a multiple of its
+	// current capacity. Above the limit the machine fails; 0 means no limit.
 	OverloadMultiple float64
 	OverloadWindow   Nanos
 	StopsOnCancel    bool    // whether a machine stops work whose connection was closed
 	BaseErrorRate    float64 // share of txns that fail with any build
-	ReportInterval   Nanos   // between updates of the load report
+	ReportInterval   Nanos   // time between updates of the load report
 	ReportNoise      float64 // relative standard deviation of the reported utilization
 }
 
@@ -72,9 +75,9 @@
 	ID       uint64
 	Product  int
 	DedupKey uint64 // key that identifies duplicates; 0 means none
-	Memory   Nanos  // how long DedupKey is remembered
+	Memory   Nanos  // time for which DedupKey is remembered
 	Work     Nanos  // run time on a core of speed 1
-	From     int    // index of the sentry that submitted it
+	From     int    // index of the sentry that submitted the job
 }
 
 // Admission is a machine's response to a submitted job.
@@ -107,31 +110,31 @@
 	Finished Nanos
 }
 
-// TookEffect reports whether this machine executed the job's effect.
+// TookEffect reports whether this machine executed the job, instead of answering it as a duplicate.
 func (d CompletedJob) TookEffect() bool { return d.End != Dropped }
 
 // MachineFault is a fault injected into one machine, whatever its build. The zero value is a healthy machine.
 type MachineFault struct {
-	Slow           float64 // factor on run times; 0 and 1 mean none
-	NeighbourShare float64 // share of the machine's capacity that another program uses
+	Slow           float64 // factor on run times; 0 and 1 mean no slowdown
+	NeighbourShare float64 // share of the machine's capacity that another program on it uses
 	FailureRate    float64 // share of txns that fail immediately
 	Hangs          bool    // accepts txns and completes none
 	ReportsIdle    bool    // always reports zero load
 	ReportsStale   bool    // its load reports are no longer updated
 }
 
-// SharedState is the state that all machines of a fleet share: the dedup keys of executed effects, and the slowdown by a
-// build with the flaw SlowsFleet.
+// SharedState is the state that all machines of a fleet share: the dedup keys of executed jobs, and the slowdown caused by
+// a build with the flaw SlowsFleet.
 type SharedState struct {
 	seen           map[uint64]dedupEntry
 	insertionOrder []uint64
-	// SlowdownFactor multiplies all run times. The host sets it from the share of traffic that a SlowsFleet build gets.
+	// SlowdownFactor multiplies all run times. The caller sets it from the share of traffic that a SlowsFleet build gets.
 	SlowdownFactor float64
 }
 
-// dedupEntry records when a dedup key was first seen and how long it is remembered.
+// dedupEntry records when a dedup key was first seen and for how long it is remembered.
 type dedupEntry struct {
-	seenAt, memory Nanos
+	seenAt, window Nanos
 }
 
 // NewSharedState returns the shared state of a new fleet.
@@ -139,20 +142,20 @@
 	return &SharedState{seen: map[uint64]dedupEntry{}, SlowdownFactor: 1}
 }
 
-// isDuplicate reports whether a job's dedup key is remembered, and records the key if not.
+// isDuplicate reports whether a job's dedup key is remembered, and records the key if it is not.
 func (s *SharedState) isDuplicate(now Nanos, j Job) bool {
 	if j.DedupKey == 0 || j.Memory <= 0 {
 		return false
 	}
 	for len(s.insertionOrder) > 0 {
 		e, known := s.seen[s.insertionOrder[0]]
-		if known && now-e.seenAt < e.memory {
+		if known && now-e.seenAt < e.window {
 			break
 		}
 		delete(s.seen, s.insertionOrder[0])
 		s.insertionOrder = s.insertionOrder[1:]
 	}
-	if e, known := s.seen[j.DedupKey]; known && now-e.seenAt < e.memory {
+	if e, known := s.seen[j.DedupKey]; known && now-e.seenAt < e.window {
 		return true
 	}
 	s.seen[j.DedupKey] = dedupEntry{now, j.Memory}
@@ -164,21 +167,21 @@
 type pendingJob struct {
 	CompletedJob
 	endsAt Nanos
-	gone   bool // its client disconnected and the machine stops work on that
+	gone   bool // unused
 }
 
-// arrival records the work that a job sent to a machine.
+// arrival records the work of a job that was submitted to a machine.
 type arrival struct {
 	arrivedAt Nanos
 	work      Nanos
-	from      int
+	sentry    int // index of the sentry that submitted the job
 }
 
-// Machine is one worker process. The clock passed to its methods must not go back.
+// Machine is one worker process. The clock passed to its methods must never go back.
 type Machine struct {
 	Kind    Kind
 	Build   Build
-	Started Nanos // 0 means long ago: the machine is warm
+	Started Nanos // 0 means long ago, so that the machine is warm
 	Fault   MachineFault
 	shared  *SharedState
 	rng     *rand.Rand
@@ -186,7 +189,7 @@
 	running []pendingJob
 	down    bool
 
-	recentArrivals []arrival // within OverloadWindow, while warming up
+	recentArrivals []arrival // within OverloadWindow, recorded while the machine warms up
 	busyShare      float64   // exponential moving average of the share of busy cores
 	busyUpdatedAt  Nanos
 	completed      float64 // number of completed jobs
@@ -195,11 +198,11 @@
 }
 
 // NewMachine starts a machine. seed initializes its random source.
-func NewMachine(kind Kind, build Build, started Nanos, shared *SharedState, seed int64) *Machine {
+func NewMachine(spec Kind, build Build, started Nanos, shared *SharedState, seed int64) *Machine {
 	if build.Speed == 0 {
 		build.Speed = 1
 	}
-	return &Machine{Kind: kind, Build: build, Started: started, shared: shared, rng: rand.New(rand.NewSource(seed)),
+	return &Machine{Kind: spec, Build: build, Started: started, shared: shared, rng: rand.New(rand.NewSource(seed)),
 		busyUpdatedAt: started}
 }
 
@@ -217,7 +220,7 @@
 // JobCount returns the number of queued and running jobs.
 func (m *Machine) JobCount() int { return len(m.queue) + len(m.running) }
 
-// Submit submits a job. A refused job still counts towards the overload limit.
+// Submit submits a job to the machine. A refused job counts towards the overload limit too.
 func (m *Machine) Submit(now Nanos, j Job) Admission {
 	if m.down {
 		return MachineDown
@@ -234,7 +237,7 @@
 	return Accepted
 }
 
-// checkOverload records the work that a warming-up machine is sent, and fails the machine once the work within
+// checkOverload records the work submitted to a machine that warms up. The machine fails once the work within
 // OverloadWindow exceeds OverloadMultiple times its capacity by more than two average jobs, a margin for random bursts.
 func (m *Machine) checkOverload(now Nanos, j Job) {
 	if m.CapacityShare(now) >= 1 || m.Kind.OverloadMultiple <= 0 {
@@ -261,7 +264,7 @@
 func (m *Machine) RecentWork() map[int]Nanos {
 	bySentry := map[int]Nanos{}
 	for _, a := range m.recentArrivals {
-		bySentry[a.from] += a.work
+		bySentry[a.sentry] += a.work
 	}
 	return bySentry
 }
@@ -273,8 +276,8 @@
 		m.queue = m.queue[1:]
 		m.updateBusyShare(now)
 		job.Started = now
-		duration, end := m.execute(now, job.Job)
-		job.End, job.endsAt = end, now+duration
+		duration, result := m.execute(now, job.Job)
+		job.End, job.endsAt = result, now+duration
 		if m.Fault.Hangs {
 			job.endsAt = math.MaxInt64
 		}
@@ -282,7 +285,7 @@
 	}
 }
 
-// execute returns how long a job takes and its result.
+// execute returns the run time of a job and its result.
 func (m *Machine) execute(now Nanos, j Job) (Nanos, End) {
 	if m.shared.isDuplicate(now, j) {
 		return Millisecond, Dropped
@@ -318,16 +321,16 @@
 	}
 	speed := m.Kind.Speed * b.Speed * m.CapacityShare(now) * (1 - m.Fault.NeighbourShare) / max(1, m.shared.SlowdownFactor)
 	duration := Nanos(float64(j.Work) * slowdown / max(speed, 0.001))
-	switch x := m.rng.Float64(); {
-	case x < failureRate:
+	switch draw := m.rng.Float64(); {
+	case draw < failureRate:
 		return duration, Failed
-	case x < failureRate+wrongRate:
+	case draw < failureRate+wrongRate:
 		return duration, WrongAnswer
 	}
 	return duration, Succeeded
 }
 
-// Advance completes the jobs that end by now, and returns them in order of their end.
+// Advance completes the jobs that end by now, and returns them in the order of completion.
 func (m *Machine) Advance(now Nanos) []CompletedJob {
 	var done []CompletedJob
 	for {
@@ -350,7 +353,7 @@
 	}
 }
 
-// NextCompletion returns when the next job ends, or math.MaxInt64 if none will.
+// NextCompletion returns when the next job ends, or math.MaxInt64 if no running job ends.
 func (m *Machine) NextCompletion() Nanos {
 	next := Nanos(math.MaxInt64)
 	for i := range m.running {
@@ -359,7 +362,7 @@
 	return next
 }
 
-// Cancel removes a job whose connection was closed, if Kind.StopsOnCancel is set. It reports whether the job was found, and
+// Cancel removes a job whose connection was closed, if StopsOnCancel is set. It reports whether the job was removed, and
 // whether it had started.
 func (m *Machine) Cancel(now Nanos, id uint64) (started, found bool) {
 	if !m.Kind.StopsOnCancel {
@@ -382,7 +385,7 @@
 	return false, false
 }
 
-// updateBusyShare updates the moving average of the busy share, with a time constant of one second.
+// updateBusyShare updates the moving average of the share of busy cores, with a time constant of one second.
 func (m *Machine) updateBusyShare(now Nanos) {
 	dt := float64(now-m.busyUpdatedAt) / float64(Second)
 	if dt <= 0 {
@@ -400,7 +403,7 @@
 	Busy  float64 // number of queued and running jobs
 }
 
-// Load returns the machine's latest load report. The report is renewed every ReportInterval and has random noise.
+// Load returns the machine's latest load report. The report is renewed every ReportInterval, and Util has random noise.
 func (m *Machine) Load(now Nanos) LoadReport {
 	if now-m.lastReportAt >= m.Kind.ReportInterval && !m.Fault.ReportsStale {
 		m.lastReportAt = now
--- a/fleet/machine_test.go
+++ b/fleet/machine_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-var kind = Kind{Cores: 2, Slots: 8, Speed: 1, ColdStartCapacity: 0.25, WarmUp: 4 * Second, OverloadMultiple: 2, OverloadWindow: Second, StopsOnCancel: true,
-	ReportInterval: Second}
+var spec = Kind{Cores: 2, Slots: 8, Speed: 1, ColdStartCapacity: 0.25, WarmUp: 4 * Second, OverloadMultiple: 2, OverloadWindow: Second,
+	StopsOnCancel: true, ReportInterval: Second}
 
-// submitJobs submits n jobs at a rate per second. It returns how many ended with each result, how many were not accepted, and
-// the mean latency of the successful ones.
-func submitJobs(m *Machine, start Nanos, n int, rate float64, product int) (ends map[End]int, refused int, mean Nanos) {
-	ends = map[End]int{}
+// submitJobs submits n jobs, rate per second. It returns the number of jobs by result, the number that were not accepted,
+// and the mean latency of the successful jobs.
+func submitJobs(m *Machine, start Nanos, n int, rate float64, product int) (results map[End]int, refused int, mean Nanos) {
+	results = map[End]int{}
 	sum, succeeded := Nanos(0), 0
 	count := func(jobs []CompletedJob) {
 		for _, d := range jobs {
-			ends[d.End]++
+			results[d.End]++
 			if d.End == Succeeded {
 				sum += d.Finished - d.Arrived
 				succeeded++
@@ -34,7 +34,7 @@
 	if succeeded > 0 {
 		mean = sum / Nanos(succeeded)
 	}
-	return ends, refused, mean
+	return results, refused, mean
 }
 
 func TestBuildFlaws(t *testing.T) {
@@ -59,14 +59,14 @@
 		{"wrong", Build{Flaw: WrongAnswers, Strength: 0.2}, 0, 20, 0, 0.2, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ends, refused, mean := submitJobs(NewMachine(kind, c.build, 0, NewSharedState(), 5), 0, n, c.rate, c.product)
+			results, refused, mean := submitJobs(NewMachine(spec, c.build, 0, NewSharedState(), 5), 0, n, c.rate, c.product)
 			if refused > 0 {
 				t.Errorf("%d jobs refused", refused)
 			}
-			if got := float64(ends[Failed]) / n; math.Abs(got-c.failureRate) > 0.04 {
+			if got := float64(results[Failed]) / n; math.Abs(got-c.failureRate) > 0.04 {
 				t.Errorf("failure rate %.3f, want %.3f", got, c.failureRate)
 			}
-			if got := float64(ends[WrongAnswer]) / n; math.Abs(got-c.wrongRate) > 0.04 {
+			if got := float64(results[WrongAnswer]) / n; math.Abs(got-c.wrongRate) > 0.04 {
 				t.Errorf("wrong-answer rate %.3f, want %.3f", got, c.wrongRate)
 			}
 			if got := float64(mean) / float64(10*Millisecond); math.Abs(got-c.slowdown) > 0.1 {
@@ -89,39 +89,39 @@
 		{"cold, above the overload multiple", 300, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := NewMachine(kind, Build{}, 1, NewSharedState(), 5)
+			m := NewMachine(spec, Build{}, 1, NewSharedState(), 5)
 			submitJobs(m, c.start, int(c.rate), c.rate, 0)
 			if m.IsDown() != c.down {
-				t.Errorf("machine down: %t", m.IsDown())
+				t.Errorf("IsDown() = %t, want the opposite", m.IsDown())
 			}
 		})
 	}
 }
 
-func TestDuplicatesAreDroppedWithinMemory(t *testing.T) {
+func TestDuplicatesWithinDedupWindow(t *testing.T) {
 	shared := NewSharedState()
-	a, b := NewMachine(kind, Build{}, 0, shared, 1), NewMachine(kind, Build{}, 0, shared, 2)
+	a, b := NewMachine(spec, Build{}, 0, shared, 1), NewMachine(spec, Build{}, 0, shared, 2)
 	job := Job{ID: 1, DedupKey: 7, Memory: Second, Work: 10 * Millisecond}
 	for _, c := range []struct {
-		m    *Machine
-		at   Nanos
-		want End
+		m           *Machine
+		submittedAt Nanos
+		want        End
 	}{{a, 0, Succeeded}, {b, 500 * Millisecond, Dropped}, {a, 900 * Millisecond, Dropped}, {b, 1500 * Millisecond, Succeeded}} {
-		c.m.Submit(c.at, job)
-		if got := c.m.Advance(c.at + 100*Millisecond); len(got) != 1 || got[0].End != c.want {
-			t.Errorf("at %d ms: %+v, want end %d", c.at/Millisecond, got, c.want)
+		c.m.Submit(c.submittedAt, job)
+		if got := c.m.Advance(c.submittedAt + 100*Millisecond); len(got) != 1 || got[0].End != c.want {
+			t.Errorf("at %d ms: %+v, want result %d", c.submittedAt/Millisecond, got, c.want)
 		}
 	}
 }
 
 func TestMachineFaults(t *testing.T) {
-	m := NewMachine(kind, Build{}, 0, NewSharedState(), 1)
+	m := NewMachine(spec, Build{}, 0, NewSharedState(), 1)
 	m.Fault = MachineFault{Hangs: true}
 	for i := 0; i < 10; i++ {
 		m.Submit(Nanos(i), Job{ID: uint64(i), Work: Millisecond})
 	}
-	if len(m.Advance(100*Second)) != 0 || m.JobCount() != kind.Slots {
-		t.Errorf("a hung machine completed a job, or holds %d", m.JobCount())
+	if len(m.Advance(100*Second)) != 0 || m.JobCount() != spec.Slots {
+		t.Errorf("a hung machine completed a job, or holds %d jobs instead of filling its slots", m.JobCount())
 	}
 	if started, found := m.Cancel(Second, 0); !started || !found {
 		t.Error("a running job was not cancelled")
@@ -129,11 +129,11 @@
 	if started, found := m.Cancel(Second, 7); started || !found {
 		t.Error("a queued job was not cancelled")
 	}
-	idle := NewMachine(kind, Build{}, 0, NewSharedState(), 1)
+	idle := NewMachine(spec, Build{}, 0, NewSharedState(), 1)
 	idle.Fault = MachineFault{ReportsIdle: true}
 	idle.Submit(0, Job{ID: 1, Work: Second})
 	if idle.Load(2*Second) != (LoadReport{}) {
-		t.Error("a machine with ReportsIdle reports its load")
+		t.Error("a machine with ReportsIdle reported its load")
 	}
 	for _, c := range []struct {
 		name     string
@@ -143,11 +143,11 @@
 	}{{"slow", MachineFault{Slow: 5}, 1, 50}, {"neighbour", MachineFault{NeighbourShare: 0.5}, 1, 20}, {"fleet-wide slowdown", MachineFault{}, 3, 30}} {
 		shared := NewSharedState()
 		shared.SlowdownFactor = c.slowdown
-		m := NewMachine(kind, Build{}, 0, shared, 1)
+		m := NewMachine(spec, Build{}, 0, shared, 1)
 		m.Fault = c.fault
 		m.Submit(0, Job{ID: 1, Work: 10 * Millisecond})
 		if m.NextCompletion()/Millisecond != c.runTime {
-			t.Errorf("%s: takes %d ms, want %d", c.name, m.NextCompletion()/Millisecond, c.runTime)
+			t.Errorf("%s: run time %d ms, want %d", c.name, m.NextCompletion()/Millisecond, c.runTime)
 		}
 	}
 }
