--- a/api/client.go
+++ b/api/client.go
@@ -44,7 +44,8 @@
 
 // NewClient returns a client with its own connection pool; Close releases it.
 func NewClient(baseURL string) *Client {
-	return &Client{BaseURL: baseURL, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}}, WatchIdleTimeout: defaultWatchIdleTimeout}
+	return &Client{BaseURL: baseURL, HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}},
+		WatchIdleTimeout: defaultWatchIdleTimeout}
 }
 
 // Close closes idle connections.
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -16,7 +16,7 @@
   (release (caps 12% 0.42 1) (shares 0.1 0.35 1) (window 6s) (free 3)))
 `
 
-func TestEdgeIsRead(t *testing.T) {
+func TestParseEdge(t *testing.T) {
 	e, err := ParseEdge("e.sexp", validEdge)
 	if err != nil {
 		t.Fatal(err)
@@ -29,14 +29,15 @@
 		}
 	}
 	if e.Routes[1].Product != 1 || e.Products[0].Expiry != time.Second || e.ClientLimits.MaxHeadBytes != 16<<10 {
-		t.Errorf("read as %+v", e)
+		t.Errorf("parsed as %+v", e)
 	}
 }
 
 func TestInvalidEdges(t *testing.T) {
 	cases := []struct {
-		name, from, to string // replacement in validEdge
-		at, found      string // line and column, and a part of the message
+		name              string
+		valid, invalid    string // text in validEdge and its replacement
+		position, message string // line and column of the error, and a part of its message
 	}{
 		{"unknown word", "(free 3)", "(fee 3)", "8:62", `unknown word "fee"`},
 		{"wrong type", "(sla 300ms)", "(sla often)", "4:24", "found often"},
@@ -74,19 +75,19 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if !strings.Contains(validEdge, c.from) {
-				t.Fatalf("validEdge does not contain %q", c.from)
+			if !strings.Contains(validEdge, c.valid) {
+				t.Fatalf("validEdge does not contain %q", c.valid)
 			}
-			_, err := ParseEdge("e.sexp", strings.Replace(validEdge, c.from, c.to, 1))
+			_, err := ParseEdge("e.sexp", strings.Replace(validEdge, c.valid, c.invalid, 1))
 			if err == nil {
 				t.Fatal("the file was accepted")
 			}
 			for _, line := range strings.Split(err.Error(), "\n") {
-				if strings.HasPrefix(line, "e.sexp:"+c.at+":") && strings.Contains(line, c.found) {
+				if strings.HasPrefix(line, "e.sexp:"+c.position+":") && strings.Contains(line, c.message) {
 					return
 				}
 			}
-			t.Errorf("got:\n%v\nwant %s with %q", err, c.at, c.found)
+			t.Errorf("got:\n%v\nwant an error at %s with %q", err, c.position, c.message)
 		})
 	}
 }
@@ -94,7 +95,7 @@
 func TestMissingFieldsAreReportedOnce(t *testing.T) {
 	_, err := ParseEdge("e.sexp", `(edge (listen "127.0.0.1:1"))`)
 	if errs, ok := err.(FileErrors); !ok || len(errs) != 4 { // source, product, route, release
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want four errors", err)
 	}
 }
 
@@ -102,27 +103,27 @@
 	invalid := strings.NewReplacer("300ms", "x", "(free 3)", "(free x)", "inquiry-like", "safe").Replace(validEdge)
 	_, err := ParseEdge("e.sexp", invalid)
 	if errs, ok := err.(FileErrors); !ok || len(errs) != 3 {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want three errors", err)
 	}
 }
 
-func TestWorkerListIsRead(t *testing.T) {
+func TestParseWorkerList(t *testing.T) {
 	l, err := ParseWorkerList("l", `(worker a (address "127.0.0.1:1") (build 3) (started 2026-12-01T10:00:00Z)) (release (build 3))`)
 	if err != nil || len(l.Workers) != 1 || l.Workers[0].Build != 3 || l.Workers[0].StartedAt == 0 || l.Release.Cap != 1 {
-		t.Errorf("read as %+v, %v", l, err)
+		t.Errorf("parsed as %+v, error %v", l, err)
 	}
 	if _, err = ParseWorkerList("l", `(worker a (address "x") (build 70000)) (worker a (address "127.0.0.1:2"))`); err == nil || len(err.(FileErrors)) != 4 {
 		t.Errorf("got %v, want four errors", err)
 	}
 }
 
-// A truncated list must be rejected, as the workers that it lacks would count as gone.
+// A truncated worker list must be rejected, as the workers missing from it would count as gone.
 func TestTruncatedWorkerLists(t *testing.T) {
 	for _, text := range []string{
 		`(worker a (address "127.0.0.1:1")) ; the first
 (worker b (address "127.0.0.1:2") (started 2026-12-01T10:00:00Z))
 (release (build 3) (phase on-trial) (cap 10%))`,
-		`(release (build 3)) (worker a (address "127.0.0.1:1")) (worker b (address "127.0.0.1:2"))`, // never complete, as the release is not last
+		`(release (build 3)) (worker a (address "127.0.0.1:1")) (worker b (address "127.0.0.1:2"))`, // incomplete at any length, as the release is not last
 	} {
 		accepted := 0
 		for n := 0; n <= len(text); n++ {
@@ -133,7 +134,7 @@
 			}
 		}
 		if complete := strings.HasSuffix(text, "10%))"); accepted != 1 && complete || accepted > 0 && !complete {
-			t.Errorf("accepted %d times: %s", accepted, text)
+			t.Errorf("%d prefixes accepted of: %s", accepted, text)
 		}
 	}
 }
@@ -141,5 +142,5 @@
 func FuzzEdge(f *testing.F) {
 	f.Add(validEdge)
 	f.Add("(edge (listen))")
-	f.Fuzz(func(t *testing.T, text string) { ParseEdge("e", text) }) // it must not panic
+	f.Fuzz(func(t *testing.T, text string) { ParseEdge("e", text) }) // ParseEdge must not panic
 }
--- a/config/edge.go
+++ b/config/edge.go
@@ -15,7 +15,7 @@
 type Edge struct {
 	Name   string
 	Listen string // address for clients
-	Admin  string // address of health checks and metrics; empty disables them
+	Admin  string // address for health checks and metrics; empty disables them
 	// Peers holds the message address of every sentry, by sentry number.
 	Peers []string
 	// PeerListen is the address for messages of other sentries, which are identified by their source address. If it is
@@ -23,11 +23,11 @@
 	PeerListen   string
 	Loops        int // number of event loops, each of which is a sentry
 	Seed         int64
-	Zone         string // of this process
-	Zones        []string
-	Kinds        []string
-	StateDir     string // directory for state that survives a restart; empty means none is kept
-	LogLevel     string // minimum level of log messages
+	Zone         string   // zone of this process
+	Zones        []string // zones that workers may be in
+	Kinds        []string // kinds of machine that workers may run on
+	StateDir     string   // directory for state that survives a restart; empty disables it
+	LogLevel     string   // minimum level of log messages
 	ClientLimits ClientLimits
 	WorkerLimits WorkerPoolLimits
 	Source       Source
@@ -39,7 +39,7 @@
 
 	// AnswerSlack is subtracted from a client's timeout, so that the final answer arrives in time.
 	AnswerSlack time.Duration
-	// ShutdownDelay is how long the process still accepts connections and requests after SIGTERM.
+	// ShutdownDelay is how long the process continues to accept connections and requests after SIGTERM.
 	ShutdownDelay time.Duration
 	// DrainTimeout bounds the drain that follows ShutdownDelay.
 	DrainTimeout time.Duration
@@ -47,56 +47,59 @@
 	Module map[string]any
 }
 
-// ClientLimits holds the limits on client connections. Limits on counts and on held bytes apply to each event loop, except
-// those on connections, which apply to the process.
+// ClientLimits holds the limits on client connections. MaxConnections and OverflowConnections apply to the process,
+// MaxOpenTxns, MaxHeldBytes and MaxStreams to each event loop, and all others to each connection.
 type ClientLimits struct {
 	MaxHeadBytes int64 // of a request's head
 	MaxBodyBytes int64 // of a request's body
-	// AnswerBufferBytes is the size up to which an answer is buffered whole; larger answers are streamed.
+	// AnswerBufferBytes is the size up to which an answer is buffered whole. Larger answers are streamed.
 	AnswerBufferBytes int64
-	// MaxUnsentBytes bounds the answers that wait for a client to read. Beyond it the connection is aborted.
+	// MaxUnsentBytes bounds the answers that wait for the client to read. Beyond it the connection is aborted.
 	MaxUnsentBytes int64
 	IdleTimeout    time.Duration
 	HeadTimeout    time.Duration // for a request's head to arrive
 	BodyTimeout    time.Duration // for a request's body to arrive
-	// SlowReaderTimeout is how long a client may take to read answers before its connection is closed.
+	// SlowReaderTimeout is how long a client may read nothing of its answers before its connection is aborted.
 	SlowReaderTimeout time.Duration
 	MaxConnections    int
 	MaxOpenTxns       int
-	MaxPipelinedBytes int // unparsed bytes of one connection
-	MaxHeldBytes      int // received and not yet processed bytes of all connections; 0 means unlimited
-	// OverflowConnections is how many connections beyond MaxConnections are accepted while idle ones are closed to make room.
+	MaxPipelinedBytes int // received and not yet parsed bytes of a connection
+	MaxHeldBytes      int // received and not yet processed bytes of all connections of a loop; 0 means unlimited
+	// OverflowConnections is how many connections are accepted beyond MaxConnections, while idle ones are closed to make
+	// room.
 	OverflowConnections int
-	// PressureIdleTimeout is the idle time after which a connection may be closed to make room, or once more than half of
-	// MaxConnections are open.
+	// PressureIdleTimeout is how long a connection has to be idle before it can be closed to make room. While more than
+	// half of MaxConnections are open, PostgreSQL connections have this timeout instead of IdleTimeout.
 	PressureIdleTimeout time.Duration
 	MaxStreams          int // concurrently streamed answers
 }
 
-// WorkerPoolLimits holds the limits on connections to workers. They apply to each event loop.
+// WorkerPoolLimits holds the limits on connections to workers, for each event loop.
 type WorkerPoolLimits struct {
 	MaxConnections      int // per worker
 	MaxTotalConnections int // to all workers; 0 means unlimited
 	MaxDialing          int // concurrent connection attempts to all workers
 	ConnectTimeout      time.Duration
 	IdleTimeout         time.Duration
-	ReuseDelay          time.Duration // between an answer and the next request on the same connection
+	ReuseDelay          time.Duration // minimum time between an answer and the next request on the same connection
 	MaxAnswerHeadBytes  int64
 }
 
-// Trace holds what is recorded of the sentries' decisions and how long it is kept.
+// Trace holds the settings of the trace recorder: what it records of the sentries' decisions, and how much of it is kept.
 type Trace struct {
 	Dir   string // empty disables recording
 	Level string // whole, sampled or decisions
-	OneIn uint32 // at level sampled, one in OneIn of the txns that ended well is recorded
-	// TailDir is a directory in memory that preserves the latest records when the process is killed; empty disables it.
+	OneIn uint32 // at level sampled, one in OneIn of the txns that were answered and did not fail is recorded, and all others
+	// TailDir is a directory on a memory file system, which preserves the latest records if the process is killed; empty
+	// disables it.
 	TailDir      string
 	SegmentBytes int64
 	SegmentAge   time.Duration
 	TotalBytes   int64
 }
 
-// Source is where the worker list and release updates come from and votes go to: a file, which accepts no votes, or an API.
+// Source is the source of the worker list and release updates, and the destination of votes: a file, which accepts no
+// votes, or an API. One of the two is set.
 type Source struct {
 	File   string
 	APIURL string
@@ -111,8 +114,8 @@
 	Stream bool   // whether answers are forwarded as they arrive instead of being buffered
 }
 
-// Route determines the product, key, customer and cost of a request. The matching route with the longest prefix applies; of
-// two with the same prefix, the one that states a method goes before the one for any method.
+// Route determines the product of a request, and the headers that hold its key, customer and cost. The matching route with
+// the longest prefix applies; if two have the same prefix, the route with a method takes precedence.
 type Route struct {
 	Method         string // empty matches any
 	Prefix         string
@@ -120,7 +123,7 @@
 	KeyHeader      string
 	CustomerHeader string
 	CostHeader     string
-	RepeatHeader   string // its presence marks a request as a repetition
+	RepeatHeader   string // header whose presence marks a request as a retry
 }
 
 const (
@@ -128,7 +131,7 @@
 	day  = 24 * hour
 )
 
-// ReadEdge reads and validates an edge's settings file. The error is FileErrors if the contents are invalid.
+// ReadEdge reads and validates an edge's settings file. The error is FileErrors if the file's contents are invalid.
 func ReadEdge(path string) (*Edge, error) {
 	r, err := ReadFile(path)
 	if err != nil {
@@ -137,7 +140,7 @@
 	return readEdge(r)
 }
 
-// ParseEdge is like ReadEdge, for text that was read from file.
+// ParseEdge is like ReadEdge, but for the text of a settings file; file is the file name for error messages.
 func ParseEdge(file, text string) (*Edge, error) {
 	r, err := Read(file, text)
 	if err != nil {
@@ -146,7 +149,7 @@
 	return readEdge(r)
 }
 
-// readEdge reads and validates all settings, and returns all errors together.
+// readEdge reads and validates all settings. It returns all errors together.
 func readEdge(r *Reader) (*Edge, error) {
 	e := &Edge{Module: map[string]any{}}
 	f := r.Root().RequireField("edge")
@@ -163,19 +166,19 @@
 	return e, nil
 }
 
-// address reads an address and port. A missing field is an error if required is set.
+// address reads a field that holds an address and port. A missing field is an error if required is set.
 func (f *Form) address(name string, required bool) string {
-	a := f.Text(name, "")
-	if a == "" {
+	address := f.Text(name, "")
+	if address == "" {
 		if required && f.Field(name) == nil {
 			f.RequireField(name)
 		}
 		return ""
 	}
-	if _, port, err := net.SplitHostPort(a); err != nil || api.ParsePort(port) < 0 {
-		f.Field(name).AddError(strconv.Quote(a), "an address and port, such as 127.0.0.1:8080")
+	if _, port, err := net.SplitHostPort(address); err != nil || api.ParsePort(port) < 0 {
+		f.Field(name).AddError(strconv.Quote(address), "an address and port, such as 127.0.0.1:8080")
 	}
-	return a
+	return address
 }
 
 // rejectDuplicates records an error for each name that a field holds more than once.
@@ -187,7 +190,7 @@
 	}
 }
 
-// readProcess reads the settings of the process, its traces and its source.
+// readProcess reads the settings of the process, its trace recorder and its source.
 func (e *Edge) readProcess(f *Form) {
 	e.Name = f.Text("name", "edge")
 	e.Listen = f.address("listen", true)
@@ -205,8 +208,8 @@
 		f.Field("zone").AddError(strconv.Quote(e.Zone), "one of (zones ...)")
 	}
 	e.DrainTimeout = f.Duration("drain-within", 10*time.Second, 0, hour)
-	if p := f.Field("peers"); p != nil {
-		for _, n := range p.items {
+	if peers := f.Field("peers"); peers != nil {
+		for _, n := range peers.items {
 			if n.List != nil {
 				f.r.addError(n.Pos, n.String(), "an address and port")
 				continue
@@ -217,36 +220,36 @@
 			e.Peers = append(e.Peers, literalText(n))
 		}
 	}
-	t := f.OptionalField("trace")
+	trace := f.OptionalField("trace")
 	traceDir := ""
 	if e.StateDir != "" {
 		traceDir = filepath.Join(e.StateDir, "trace")
 	}
-	e.Trace = Trace{Dir: t.Text("folder", traceDir), SegmentBytes: t.Bytes("segment", 64<<20, 64<<10, 1<<40),
-		SegmentAge: t.Duration("age", 10*time.Minute, time.Second, day), TotalBytes: t.Bytes("total", 1<<30, 1<<20, 1<<50)}
-	e.Trace.Level = t.OneOf("level", "whole", "whole", "sampled", "decisions")
-	if e.Trace.TailDir = t.Text("tail", "/dev/shm"); e.Trace.TailDir == "none" {
+	e.Trace = Trace{Dir: trace.Text("folder", traceDir), SegmentBytes: trace.Bytes("segment", 64<<20, 64<<10, 1<<40),
+		SegmentAge: trace.Duration("age", 10*time.Minute, time.Second, day), TotalBytes: trace.Bytes("total", 1<<30, 1<<20, 1<<50)}
+	e.Trace.Level = trace.OneOf("level", "whole", "whole", "sampled", "decisions")
+	if e.Trace.TailDir = trace.Text("tail", "/dev/shm"); e.Trace.TailDir == "none" {
 		e.Trace.TailDir = ""
 	}
-	e.Trace.OneIn = uint32(t.Int("one-in", 100, 1, 1<<30))
-	if s := t.Field("one-in"); s != nil && e.Trace.Level != "sampled" {
-		s.AddError("(one-in ...) at level "+e.Trace.Level, "(one-in ...) at level sampled only")
+	e.Trace.OneIn = uint32(trace.Int("one-in", 100, 1, 1<<30))
+	if oneIn := trace.Field("one-in"); oneIn != nil && e.Trace.Level != "sampled" {
+		oneIn.AddError("(one-in ...) at level "+e.Trace.Level, "(one-in ...) at level sampled only")
 	}
-	if !t.Bool("on", true) {
+	if !trace.Bool("on", true) {
 		e.Trace.Dir = ""
 	}
 	if e.Trace.TotalBytes < 2*e.Trace.SegmentBytes {
-		t.AddError(fmt.Sprintf("(total ...) of %d bytes", e.Trace.TotalBytes), "at least the size of two segments")
+		trace.AddError(fmt.Sprintf("(total ...) of %d bytes", e.Trace.TotalBytes), "at least the size of two segments")
 	}
-	t.RejectUnknown()
-	s := f.RequireField("source")
-	e.Source.File, e.Source.APIURL = s.Text("file", ""), s.Text("api", "")
-	s.RejectUnknown()
+	trace.RejectUnknown()
+	source := f.RequireField("source")
+	e.Source.File, e.Source.APIURL = source.Text("file", ""), source.Text("api", "")
+	source.RejectUnknown()
 	if (e.Source.File == "") == (e.Source.APIURL == "") {
-		s.AddError("(source ...)", "either (file PATH) or (api URL)")
+		source.AddError("(source ...)", "either (file PATH) or (api URL)")
 	}
 	if e.Source.APIURL != "" && !strings.HasPrefix(e.Source.APIURL, "http://") {
-		s.AddError(strconv.Quote(e.Source.APIURL), "a URL that starts with http://")
+		source.AddError(strconv.Quote(e.Source.APIURL), "a URL that starts with http://")
 	}
 }
 
@@ -279,7 +282,7 @@
 	workers.RejectUnknown()
 }
 
-// readProducts reads the products and customers. It relies on the zones and on WorkerLimits, which were read before.
+// readProducts reads the products and customers. Zones and WorkerLimits have to be read before.
 func (e *Edge) readProducts(f *Form) {
 	seen := map[string]bool{}
 	forms := f.Fields("product")
@@ -288,99 +291,100 @@
 	}
 	m := e.Module
 	m["products.count"] = float64(len(forms))
-	for i, p := range forms {
-		name := p.TakeName("a product's name")
+	for i, form := range forms {
+		name := form.TakeName("a product's name")
 		if seen[name] {
-			p.AddError(fmt.Sprintf("a second product %q", name), "unique names")
+			form.AddError(fmt.Sprintf("a second product %q", name), "unique names")
 		}
 		seen[name] = true
-		product := Product{Name: name, Stream: p.Bool("stream", false)}
-		p.RequireField("sla")
-		p.RequireField("expiry")
-		p.RequireField("effect")
-		product.SLA = p.Duration("sla", time.Second, time.Millisecond, hour)
-		product.Expiry = p.Duration("expiry", hour, time.Millisecond, hour)
-		if p.Field("expiry") != nil && product.Expiry < product.SLA {
-			p.Field("expiry").AddError(product.Expiry.String(), fmt.Sprintf("at least the SLA time, %v", product.SLA))
+		product := Product{Name: name, Stream: form.Bool("stream", false)}
+		form.RequireField("sla")
+		form.RequireField("expiry")
+		form.RequireField("effect")
+		product.SLA = form.Duration("sla", time.Second, time.Millisecond, hour)
+		product.Expiry = form.Duration("expiry", hour, time.Millisecond, hour)
+		if form.Field("expiry") != nil && product.Expiry < product.SLA {
+			form.Field("expiry").AddError(product.Expiry.String(), fmt.Sprintf("at least the SLA time, %v", product.SLA))
 		}
-		product.Effect = p.OneOf("effect", "once-only", "inquiry-like", "referenced", "once-only")
-		group := p.OneOf("group", "all", "all", "zone", "cell")
-		memory := p.Duration("memory", 0, 0, hour)
+		product.Effect = form.OneOf("effect", "once-only", "inquiry-like", "referenced", "once-only")
+		group := form.OneOf("group", "all", "all", "zone", "cell")
+		memory := form.Duration("memory", 0, 0, hour)
 		if product.Effect == "referenced" && memory <= 0 {
-			p.RequireField("memory")
+			form.RequireField("memory")
 		}
 		if group == "zone" && len(e.Zones) == 0 {
-			p.Field("group").AddError("(group zone) without (zones ...)", "the zones that workers may be in")
+			form.Field("group").AddError("(group zone) without (zones ...)", "the zones that workers may be in")
 		}
 		if product.Effect == "referenced" && memory > 0 {
-			// A submission may wait for its connection for up to ConnectTimeout after it was decided. The module is given a
-			// memory that is shorter by this time: otherwise a retry that was decided in time could reach workers that have
-			// already forgotten the first submission.
+			// A submission may wait for a connection for up to ConnectTimeout after the module decided on it. The memory in
+			// the module's settings is shorter by this time: otherwise a retry that the module decided on in time could reach
+			// workers that have already forgotten the first submission.
 			if memory -= e.WorkerLimits.ConnectTimeout; memory <= 0 {
-				p.Field("memory").AddError((memory + e.WorkerLimits.ConnectTimeout).String(),
+				form.Field("memory").AddError((memory + e.WorkerLimits.ConnectTimeout).String(),
 					fmt.Sprintf("more than (connect-timeout %v) of (workers ...)", e.WorkerLimits.ConnectTimeout))
 			}
 		}
-		if product.Effect != "referenced" && p.Field("memory") != nil {
-			p.Field("memory").AddError("a memory of a product that is "+product.Effect, "a memory of referenced products only")
+		if product.Effect != "referenced" && form.Field("memory") != nil {
+			form.Field("memory").AddError("a memory of a product that is "+product.Effect, "a memory of referenced products only")
 		}
 		prefix := "products." + strconv.Itoa(i) + "."
 		m[prefix+"name"], m[prefix+"effect"], m[prefix+"group"], m[prefix+"stream"] = name, product.Effect, group, product.Stream
 		m[prefix+"sla"], m[prefix+"expiry"], m[prefix+"memory"] = float64(product.SLA), float64(product.Expiry), float64(memory)
-		m[prefix+"revenue"] = p.Float("revenue", 1, 0, 1e9)
-		m[prefix+"late-revenue"] = p.Float("late-revenue", 0, 0, 1)
-		p.RejectUnknown()
+		m[prefix+"revenue"] = form.Float("revenue", 1, 0, 1e9)
+		m[prefix+"late-revenue"] = form.Float("late-revenue", 0, 0, 1)
+		form.RejectUnknown()
 		e.Products = append(e.Products, product)
 	}
 	e.Customers = f.Texts("customers")
 	m["customers.count"] = float64(len(e.Customers))
 }
 
-// readRoutes reads the routes. It relies on the products, which were read before.
+// readRoutes reads the routes. The products have to be read before.
 func (e *Edge) readRoutes(f *Form) {
 	forms := f.Fields("route")
 	if len(forms) == 0 {
 		f.RequireField("route")
 	}
-	for _, g := range forms {
-		r := Route{Method: g.Text("method", ""), Prefix: g.Text("prefix", "/"), KeyHeader: g.Text("key", ""),
-			CustomerHeader: g.Text("customer", ""), CostHeader: g.Text("cost", ""), RepeatHeader: g.Text("repeat", "")}
-		if !strings.HasPrefix(r.Prefix, "/") {
-			g.Field("prefix").AddError(strconv.Quote(r.Prefix), "a path that starts with /")
+	for _, form := range forms {
+		route := Route{Method: form.Text("method", ""), Prefix: form.Text("prefix", "/"), KeyHeader: form.Text("key", ""),
+			CustomerHeader: form.Text("customer", ""), CostHeader: form.Text("cost", ""), RepeatHeader: form.Text("repeat", "")}
+		if !strings.HasPrefix(route.Prefix, "/") {
+			form.Field("prefix").AddError(strconv.Quote(route.Prefix), "a path that starts with /")
 		}
 		name := ""
-		if g.RequireField("product").items != nil {
-			name = g.Text("product", "")
+		if form.RequireField("product").items != nil {
+			name = form.Text("product", "")
 		}
-		r.Product = -1
+		route.Product = -1
 		for i := range e.Products {
 			if e.Products[i].Name == name {
-				r.Product = i
+				route.Product = i
 			}
 		}
-		if r.Product < 0 && name != "" {
-			g.Field("product").AddError(strconv.Quote(name), "the name of a product")
+		if route.Product < 0 && name != "" {
+			form.Field("product").AddError(strconv.Quote(name), "the name of a product")
 		}
 		for _, other := range e.Routes {
-			if other.Method == r.Method && other.Prefix == r.Prefix {
-				g.AddError(fmt.Sprintf("a second route of %s %s", r.Method, r.Prefix), "unique routes")
+			if other.Method == route.Method && other.Prefix == route.Prefix {
+				form.AddError(fmt.Sprintf("a second route of %s %s", route.Method, route.Prefix), "unique routes")
 			}
 		}
-		g.RejectUnknown()
-		e.Routes = append(e.Routes, r)
+		form.RejectUnknown()
+		e.Routes = append(e.Routes, route)
 	}
 }
 
-// readModuleSettings collects the settings of the decision module, under the module's names.
+// readModuleSettings reads the remaining settings of the decision module into ModuleSettings. It relies on the products, on
+// WorkerLimits and on the settings of the process, which have to be read before.
 func (e *Edge) readModuleSettings(f *Form) {
 	m := e.Module
-	duration := func(g *Form, name string, fallback, maximum time.Duration) {
-		m[g.name+"."+name] = float64(g.Duration(name, fallback, 0, maximum))
+	duration := func(form *Form, name string, fallback, maximum time.Duration) {
+		m[form.name+"."+name] = float64(form.Duration(name, fallback, 0, maximum))
 	}
-	number := func(g *Form, name string, fallback, minimum, maximum float64) {
-		m[g.name+"."+name] = g.Float(name, fallback, minimum, maximum)
+	number := func(form *Form, name string, fallback, minimum, maximum float64) {
+		m[form.name+"."+name] = form.Float(name, fallback, minimum, maximum)
 	}
-	boolean := func(g *Form, name string, fallback bool) { m[g.name+"."+name] = g.Bool(name, fallback) }
+	boolean := func(form *Form, name string, fallback bool) { m[form.name+"."+name] = form.Bool(name, fallback) }
 	m["discovery"] = "push" // the source delivers every change without being polled
 	m["sentries"] = float64(f.Int("sentries", int64(max(1, e.Loops)), 1, 1<<20))
 	m["index"] = float64(f.Int("index", 0, 0, 1<<20))
@@ -390,79 +394,79 @@
 	}
 	m["zone"] = float64(max(0, indexOf(e.Zones, e.Zone)))
 
-	a := f.OptionalField("allow")
-	number(a, "submissions", 4, 1, 8)
-	boolean(a, "copies", true)
-	boolean(a, "cancel", true)
-	boolean(a, "messages", len(e.Peers) > 0)
-	duration(a, "longest-retry-after", time.Second, hour)
+	allow := f.OptionalField("allow")
+	number(allow, "submissions", 4, 1, 8)
+	boolean(allow, "copies", true)
+	boolean(allow, "cancel", true)
+	boolean(allow, "messages", len(e.Peers) > 0)
+	duration(allow, "longest-retry-after", time.Second, hour)
 	if m["allow.messages"].(bool) && float64(len(e.Peers)) != m["sentries"].(float64) {
-		a.AddError(fmt.Sprintf("(messages true) with %d addresses in (peers ...)", len(e.Peers)),
+		allow.AddError(fmt.Sprintf("(messages true) with %d addresses in (peers ...)", len(e.Peers)),
 			fmt.Sprintf("the address of each of %v sentries, by number", m["sentries"]))
 	}
-	a.RejectUnknown()
+	allow.RejectUnknown()
 
-	g := f.RequireField("release")
-	m["release.votes"] = g.OneOf("votes", "single", "single", "majority", "clocked")
-	m["release.style"] = g.OneOf("style", "in-place", "in-place", "beside")
-	m["release.counts"] = g.OneOf("counts", "all", "all", "product")
-	caps, shares := g.Floats("caps", 0, 1), g.Floats("shares", 0, 1)
-	g.RequireField("caps")
-	g.RequireField("shares")
-	if c := g.Field("caps"); c != nil && len(caps) == 0 {
-		c.AddError("(caps) without a value", "a cap for each stage")
+	release := f.RequireField("release")
+	m["release.votes"] = release.OneOf("votes", "single", "single", "majority", "clocked")
+	m["release.style"] = release.OneOf("style", "in-place", "in-place", "beside")
+	m["release.counts"] = release.OneOf("counts", "all", "all", "product")
+	caps, shares := release.Floats("caps", 0, 1), release.Floats("shares", 0, 1)
+	release.RequireField("caps")
+	release.RequireField("shares")
+	if capsForm := release.Field("caps"); capsForm != nil && len(caps) == 0 {
+		capsForm.AddError("(caps) without a value", "a cap for each stage")
 	}
 	if len(caps) != len(shares) {
-		g.AddError(fmt.Sprintf("%d caps and %d shares", len(caps), len(shares)), "a cap and a share for each stage")
+		release.AddError(fmt.Sprintf("%d caps and %d shares", len(caps), len(shares)), "a cap and a share for each stage")
 	}
 	for i := range caps {
 		m["release.caps."+strconv.Itoa(i)] = caps[i]
 		if i > 0 && caps[i] < caps[i-1] {
-			g.Field("caps").AddError(fmt.Sprintf("%g after %g", caps[i], caps[i-1]), "caps that do not fall")
+			release.Field("caps").AddError(fmt.Sprintf("%g after %g", caps[i], caps[i-1]), "caps that do not fall")
 		}
 	}
 	for i := range shares {
 		m["release.shares."+strconv.Itoa(i)] = shares[i]
 	}
-	g.RequireField("window")
-	m["release.window"] = float64(g.Duration("window", 6*time.Second, time.Millisecond, hour))
-	number(g, "free", 1, 1, 1e6) // below 1 no submission could ever go to a build on trial, as each counts as 1
-	duration(g, "bake", 3*time.Second, day)
-	duration(g, "vote-timeout", time.Second, hour)
-	number(g, "votes-back", 1, 0, 1e6)
-	number(g, "votes-per-second", 20, 0.001, 1e6)
-	number(g, "guarded-stages", 0, 0, 100)
-	boolean(g, "one-way", false)
-	g.RejectUnknown()
+	release.RequireField("window")
+	m["release.window"] = float64(release.Duration("window", 6*time.Second, time.Millisecond, hour))
+	number(release, "free", 1, 1, 1e6) // below 1 no submission could be sent to a build on trial, as each counts as 1
+	duration(release, "bake", 3*time.Second, day)
+	duration(release, "vote-timeout", time.Second, hour)
+	number(release, "votes-back", 1, 0, 1e6)
+	number(release, "votes-per-second", 20, 0.001, 1e6)
+	number(release, "guarded-stages", 0, 0, 100)
+	boolean(release, "one-way", false)
+	release.RejectUnknown()
 
-	r := f.OptionalField("rules")
-	duration(r, "cold", 5*time.Second, hour)
-	number(r, "cold-from", 0.3, 0.001, 1)
-	number(r, "fall-multiple", 2, 0.1, 1000)
-	duration(r, "fall-after", time.Second, hour)
-	duration(r, "drain-grace", 500*time.Millisecond, hour)
-	// A submission that waits for its connection while its worker starts to drain, or while a cap falls, is sent up to
-	// ConnectTimeout later. The grace period has to cover this.
+	rules := f.OptionalField("rules")
+	duration(rules, "cold", 5*time.Second, hour)
+	number(rules, "cold-from", 0.3, 0.001, 1)
+	number(rules, "fall-multiple", 2, 0.1, 1000)
+	duration(rules, "fall-after", time.Second, hour)
+	duration(rules, "drain-grace", 500*time.Millisecond, hour)
+	// A submission that waits for a connection while its worker starts to drain, or while a cap falls, is sent up to
+	// ConnectTimeout later. The grace period has to cover this time.
 	if grace := m["rules.drain-grace"].(float64); grace < float64(e.WorkerLimits.ConnectTimeout) {
-		r.AddError(fmt.Sprintf("(drain-grace %v)", time.Duration(grace)),
+		rules.AddError(fmt.Sprintf("(drain-grace %v)", time.Duration(grace)),
 			fmt.Sprintf("at least (connect-timeout %v) of (workers ...)", e.WorkerLimits.ConnectTimeout))
 	}
-	duration(r, "ask-within", 10*time.Second, hour)
-	e.AnswerSlack = r.Duration("answer-slack", 20*time.Millisecond, 0, time.Second)
+	duration(rules, "ask-within", 10*time.Second, hour)
+	e.AnswerSlack = rules.Duration("answer-slack", 20*time.Millisecond, 0, time.Second)
 	m["rules.answer-slack"] = float64(e.AnswerSlack)
 	for i := range e.Products {
 		if e.AnswerSlack*2 > e.Products[i].Expiry {
-			r.AddError(fmt.Sprintf("(answer-slack %v)", e.AnswerSlack),
+			rules.AddError(fmt.Sprintf("(answer-slack %v)", e.AnswerSlack),
 				fmt.Sprintf("at most half the expiry of %s, %v", e.Products[i].Name, e.Products[i].Expiry))
 		}
 	}
-	r.RejectUnknown()
-	p := f.OptionalField("price")
-	number(p, "cross-zone", 0, 0, 1)
-	p.RejectUnknown()
+	rules.RejectUnknown()
+	price := f.OptionalField("price")
+	number(price, "cross-zone", 0, 0, 1)
+	price.RejectUnknown()
 }
 
-// indexOf returns the index of a name, or -1 if it is missing.
+// indexOf returns the index of name in names, or -1 if names does not contain it.
 func indexOf(names []string, name string) int {
 	for i, s := range names {
 		if s == name {
--- a/config/form.go
+++ b/config/form.go
@@ -23,15 +23,18 @@
 	Word *string `parser:"| @Word"`
 }
 
+// list is a parenthesized sequence of nodes.
 type list struct {
 	Open  string  `parser:"@'('"`
 	Items []*node `parser:"@@* ')'"`
 }
 
+// document is the sequence of nodes of a whole file.
 type document struct {
 	Items []*node `parser:"@@*"`
 }
 
+// grammar is the parser of settings files and worker lists.
 var grammar = participle.MustBuild[document](
 	participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
 		{Name: "Comment", Pattern: `;[^\n]*`},
@@ -71,7 +74,7 @@
 	return fmt.Sprintf("%s:%d:%d: found %s, wanted %s", e.File, e.Line, e.Column, e.Found, e.Wanted)
 }
 
-// FileErrors are all errors of a file, ordered by position.
+// FileErrors holds all errors of a file, ordered by position.
 type FileErrors []FileError
 
 func (l FileErrors) Error() string {
@@ -89,8 +92,8 @@
 	errs FileErrors
 }
 
-// ReadFile parses a file. The error is FileErrors if the text is not a valid S-expression, else the error from reading the
-// file.
+// ReadFile reads and parses a file. The error is FileErrors if the file could be read but is not a sequence of
+// S-expressions.
 func ReadFile(path string) (*Reader, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -99,7 +102,7 @@
 	return Read(path, string(text))
 }
 
-// Read parses text; file is the file name for error messages.
+// Read parses the text of a file; file is the file name for error messages. The error is FileErrors.
 func Read(file, text string) (*Reader, error) {
 	doc, err := grammar.ParseString(file, text)
 	if err != nil {
@@ -142,8 +145,8 @@
 	pos         lexer.Position
 	name        string
 	items       []*node
-	requested   map[string]bool // names of the fields that were looked up
-	placeholder bool            // stands for a missing form; its errors are suppressed, as the absence was reported
+	requested   map[string]bool // names of the fields looked up so far
+	placeholder bool            // stands for a form whose absence was reported; its own errors are suppressed
 }
 
 // Name returns the form's first word.
@@ -169,14 +172,15 @@
 	f.requested[name] = true
 	var fields []*Form
 	for _, n := range f.items {
-		if g := f.asForm(n); g != nil && g.name == name {
-			fields = append(fields, g)
+		if field := f.asForm(n); field != nil && field.name == name {
+			fields = append(fields, field)
 		}
 	}
 	return fields
 }
 
-// Field returns the only field with a name, or nil if there is none. More than one is an error, reported once.
+// Field returns the only field with a name, or nil if there is none. Of several fields it returns the first and, at the
+// first call, records an error for each of the others.
 func (f *Form) Field(name string) *Form {
 	firstLookup := !f.requested[name]
 	fields := f.Fields(name)
@@ -184,23 +188,24 @@
 		return nil
 	}
 	if firstLookup {
-		for _, g := range fields[1:] {
-			g.AddError(fmt.Sprintf("a second (%s ...)", name), fmt.Sprintf("one (%s ...) in (%s ...)", name, f.name))
+		for _, field := range fields[1:] {
+			field.AddError(fmt.Sprintf("a second (%s ...)", name), fmt.Sprintf("one (%s ...) in (%s ...)", name, f.name))
 		}
 	}
 	return fields[0]
 }
 
-// RequireField is like Field, but a missing field is an error. It then returns an empty form.
+// RequireField is like Field, but records an error and returns an empty form if the field is missing.
 func (f *Form) RequireField(name string) *Form {
-	if g := f.Field(name); g != nil {
-		return g
+	if field := f.Field(name); field != nil {
+		return field
 	}
 	f.AddError(fmt.Sprintf("(%s ...) without (%s ...)", f.name, name), fmt.Sprintf("a field (%s ...)", name))
 	return &Form{r: f.r, pos: f.pos, name: name, requested: map[string]bool{}, placeholder: true}
 }
 
-// RejectUnknown records an error for each item that is not a field looked up before. Call it after all fields were read.
+// RejectUnknown records an error for each item that is not a field looked up before. It has to be called after all fields
+// were read.
 func (f *Form) RejectUnknown() {
 	var names []string
 	for n := range f.requested {
@@ -208,11 +213,11 @@
 	}
 	sort.Strings(names)
 	for _, n := range f.items {
-		g := f.asForm(n)
-		if g == nil {
+		field := f.asForm(n)
+		if field == nil {
 			f.r.addError(n.Pos, n.String(), fmt.Sprintf("a field of (%s ...): %s", f.name, strings.Join(names, ", ")))
-		} else if !f.requested[g.name] {
-			f.r.addError(n.Pos, fmt.Sprintf("unknown word %q", g.name),
+		} else if !f.requested[field.name] {
+			f.r.addError(n.Pos, fmt.Sprintf("unknown word %q", field.name),
 				fmt.Sprintf("a field of (%s ...): %s", f.name, strings.Join(names, ", ")))
 		}
 	}
@@ -242,13 +247,14 @@
 	return *n.Word
 }
 
-// readValue parses the value of a field. It returns fallback if the field is missing or invalid.
+// readValue parses the value of a field. It returns fallback if the field is missing or invalid, and records an error if
+// the field is invalid.
 func readValue[T any](f *Form, name string, fallback T, wanted string, parse func(string) (T, bool)) T {
-	g := f.Field(name)
-	if g == nil {
+	field := f.Field(name)
+	if field == nil {
 		return fallback
 	}
-	n := g.singleValue(wanted)
+	n := field.singleValue(wanted)
 	if n == nil {
 		return fallback
 	}
@@ -270,7 +276,7 @@
 	return readValue(f, name, fallback, "true or false", func(s string) (bool, bool) { return s == "true", s == "true" || s == "false" })
 }
 
-// OneOf reads one of the given words.
+// OneOf reads a word that has to be one of words.
 func (f *Form) OneOf(name, fallback string, words ...string) string {
 	return readValue(f, name, fallback, "one of "+strings.Join(words, ", "), func(s string) (string, bool) {
 		for _, w := range words {
@@ -318,13 +324,13 @@
 		})
 }
 
-// byteUnits are the suffixes of sizes. The first one that fits applies, so the shorter ones come last.
+// byteUnits holds the suffixes of sizes. The first that matches applies, so B and the empty suffix come last.
 var byteUnits = []struct {
 	suffix string
 	factor int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}, {"", 1}}
 
-// Bytes reads a number of bytes, such as 64KiB, from minimum to maximum.
+// Bytes reads a size in bytes, such as 64KiB, from minimum to maximum.
 func (f *Form) Bytes(name string, fallback, minimum, maximum int64) int64 {
 	return readValue(f, name, fallback, fmt.Sprintf("a size from %d to %d bytes, such as 64KiB", minimum, maximum),
 		func(s string) (int64, bool) {
@@ -341,14 +347,14 @@
 		})
 }
 
-// Texts reads a field of any number of non-empty strings. It returns nil if the field is missing.
+// Texts reads a field that holds any number of non-empty strings. It returns nil if the field is missing.
 func (f *Form) Texts(name string) []string {
-	g := f.Field(name)
-	if g == nil {
+	field := f.Field(name)
+	if field == nil {
 		return nil
 	}
 	var texts []string
-	for _, n := range g.items {
+	for _, n := range field.items {
 		if n.List != nil || literalText(n) == "" {
 			f.r.addError(n.Pos, n.String(), "a non-empty string")
 			continue
@@ -358,14 +364,15 @@
 	return texts
 }
 
-// Floats reads a field of any number of numbers, each from minimum to maximum. It returns nil if the field is missing.
+// Floats reads a field that holds any number of numbers, each from minimum to maximum. It returns nil if the field is
+// missing.
 func (f *Form) Floats(name string, minimum, maximum float64) []float64 {
-	g := f.Field(name)
-	if g == nil {
+	field := f.Field(name)
+	if field == nil {
 		return nil
 	}
-	values := make([]float64, len(g.items)) // invalid items keep their place, so that no error on the count follows
-	for i, n := range g.items {
+	values := make([]float64, len(field.items)) // with an element for each invalid item, so that no error on the count follows
+	for i, n := range field.items {
 		ok := n.List == nil
 		if ok {
 			values[i], ok = parseNumber(literalText(n), minimum, maximum)
@@ -392,8 +399,8 @@
 // OptionalField is like Field, but returns an empty form if the field is missing, so that the form's fields take their
 // defaults.
 func (f *Form) OptionalField(name string) *Form {
-	if g := f.Field(name); g != nil {
-		return g
+	if field := f.Field(name); field != nil {
+		return field
 	}
 	return &Form{r: f.r, pos: f.pos, name: name, requested: map[string]bool{}}
 }
--- a/config/list.go
+++ b/config/list.go
@@ -19,45 +19,46 @@
 	if err != nil {
 		return nil, err
 	}
-	return readList(r)
+	return readWorkerList(r)
 }
 
-// readList reads and validates the workers and the release.
-func readList(r *Reader) (*WorkerList, error) {
+// readWorkerList reads and validates the workers and the release.
+func readWorkerList(r *Reader) (*WorkerList, error) {
 	workerList := &WorkerList{}
 	f := r.Root()
-	// A file that was truncated between two forms would be read as complete, and its missing workers as gone. The release
-	// has to be the last form, so that a file without it is known to be truncated.
+	// A file truncated between two forms would pass as complete, and its missing workers would count as gone. The release
+	// has to be the last form, so that a truncated file lacks it.
 	if n := len(f.items); n > 0 {
 		if last := f.asForm(f.items[n-1]); last == nil || last.name != "release" {
 			f.r.addError(f.items[n-1].Pos, f.items[n-1].String(), "(release ...) as the last form: without it the file is incomplete")
 		}
 	}
 	seen := map[string]bool{}
-	for _, w := range f.Fields("worker") {
-		id := w.TakeName("a worker's id")
+	for _, worker := range f.Fields("worker") {
+		id := worker.TakeName("a worker's id")
 		if seen[id] {
-			w.AddError("a second worker "+id, "unique ids")
+			worker.AddError("a second worker "+id, "unique ids")
 		}
 		seen[id] = true
-		workerList.Workers = append(workerList.Workers, api.Worker{ID: id, Address: w.address("address", true), Zone: w.Text("zone", ""),
-			Kind: w.Text("kind", ""), Cell: int(w.Int("cell", 0, 0, 1<<30)),
-			State:  w.OneOf("state", api.Up, api.Up, api.Draining, api.Gone),
-			Weight: w.Float("weight", 1, 0, 1e9), Build: int(w.Int("build", 1, 0, api.MaxBuild)),
-			StartedAt: w.timestamp("started")})
-		w.RejectUnknown()
+		workerList.Workers = append(workerList.Workers, api.Worker{ID: id, Address: worker.address("address", true),
+			Zone: worker.Text("zone", ""), Kind: worker.Text("kind", ""), Cell: int(worker.Int("cell", 0, 0, 1<<30)),
+			State:  worker.OneOf("state", api.Up, api.Up, api.Draining, api.Gone),
+			Weight: worker.Float("weight", 1, 0, 1e9), Build: int(worker.Int("build", 1, 0, api.MaxBuild)),
+			StartedAt: worker.timestamp("started")})
+		worker.RejectUnknown()
 	}
 	if len(workerList.Workers) == 0 {
 		f.RequireField("worker")
 	}
-	rel := f.Field("release")
-	if rel == nil { // reported above
-		rel = &Form{r: r, name: "release", requested: map[string]bool{}, placeholder: true}
+	release := f.Field("release")
+	if release == nil { // its absence was reported above
+		release = &Form{r: r, name: "release", requested: map[string]bool{}, placeholder: true}
 	}
-	workerList.Release = api.Release{Build: int(rel.Int("build", 1, 0, api.MaxBuild)), Stage: int(rel.Int("stage", 0, 0, api.MaxStage)),
-		Phase: rel.OneOf("phase", api.Released, api.OnTrial, api.GoingBack, api.Released, api.Withdrawn),
-		Cap:   rel.Float("cap", 1, 0, 1), Since: rel.timestamp("since")}
-	rel.RejectUnknown()
+	workerList.Release = api.Release{Build: int(release.Int("build", 1, 0, api.MaxBuild)),
+		Stage: int(release.Int("stage", 0, 0, api.MaxStage)),
+		Phase: release.OneOf("phase", api.Released, api.OnTrial, api.GoingBack, api.Released, api.Withdrawn),
+		Cap:   release.Float("cap", 1, 0, 1), Since: release.timestamp("since")}
+	release.RejectUnknown()
 	f.RejectUnknown()
 	if err := r.Err(); err != nil {
 		return nil, err
