--- a/config/form.go
+++ b/config/form.go
@@ -34,7 +34,7 @@
 	Items []*node `parser:"@@*"`
 }
 
-// grammar is the parser of settings files and worker lists.
+// grammar is the parser of S-expressions.
 var grammar = participle.MustBuild[document](
 	participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
 		{Name: "Comment", Pattern: `;[^\n]*`},
