--- a/cmd/dunegrade-edge/main.go
+++ b/cmd/dunegrade-edge/main.go
@@ -17,8 +17,8 @@
 		} `cmd:"" default:"withargs" help:"Serve HTTP by a settings file."`
 		Live struct{} `cmd:"" help:"Serve as one sentry of a platform, by the start document that ROUTER_CONFIG names."`
 	}
-	c := kong.Parse(&args, kong.Name("dunegrade-edge"), kong.Description("Routes txns to workers and votes builds on or back."))
-	if c.Command() == "live" {
+	command := kong.Parse(&args, kong.Name("dunegrade-edge"), kong.Description("Routes txns to workers and votes builds on or back."))
+	if command.Command() == "live" {
 		os.Exit(platform.Serve())
 	}
 	os.Exit(edge.Serve(args.Serve.Settings))
--- a/cmd/dunegrade/main.go
+++ b/cmd/dunegrade/main.go
@@ -1,5 +1,5 @@
-// Command dunegrade is the command line tool: it checks settings files, reads traces, and runs simulated days and load tests
-// against real edges.
+// Command dunegrade is the command line tool for operators and developers: it checks settings files, reads traces, and runs
+// simulated days and load tests against real edges.
 package main
 
 import (
@@ -28,14 +28,14 @@
 
 func (c *checkCmd) Run() error {
 	invalid := 0
-	for _, f := range c.Files {
-		edgeConfig, err := config.ReadEdge(f)
+	for _, path := range c.Files {
+		edgeConfig, err := config.ReadEdge(path)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			invalid++
 			continue
 		}
-		fmt.Printf("%s: valid, %d products, %d routes, %d loops\n", f, len(edgeConfig.Products), len(edgeConfig.Routes), edgeConfig.Loops)
+		fmt.Printf("%s: valid, %d products, %d routes, %d loops\n", path, len(edgeConfig.Products), len(edgeConfig.Routes), edgeConfig.Loops)
 	}
 	if invalid > 0 {
 		return inputError{fmt.Errorf("%d of %d files are invalid", invalid, len(c.Files))}
@@ -43,10 +43,10 @@
 	return nil
 }
 
-// inputError is an error in the arguments or input files. It causes exit status 2.
+// inputError is an error in the arguments or the input files. It makes the command exit with status 2.
 type inputError struct{ error }
 
-// errRuleViolated reports that a run violated one of the five rules. It causes exit status 1.
+// errRuleViolated means that a run violated one of the five rules. It makes the command exit with status 1.
 var errRuleViolated = errors.New("a rule was violated")
 
 type runCmd struct {
@@ -73,7 +73,8 @@
 	return runDay(day, c.Edge, c.Out, c.JSON)
 }
 
-// findDay reads a day from a file if name contains a slash or a dot, else returns the embedded day with that name.
+// findDay reads a day from the file called name if name contains a slash or a dot. Otherwise it returns the embedded day
+// with that name.
 func findDay(name string) (*lab.Day, error) {
 	if strings.ContainsAny(name, "/.") {
 		return lab.ReadDay(name)
@@ -81,10 +82,11 @@
 	return lab.Embedded(name)
 }
 
-// runDay runs a day against real edges, prints its progress unless quiet is set, and writes and prints the report.
-func runDay(day *lab.Day, kind, out string, quiet bool) error {
-	if out == "" {
-		out = filepath.Join("found", "lab", fmt.Sprintf("%s-%d-%s", day.Name, day.Seed, kind))
+// runDay runs a day against real edges of a kind and writes its report to outDir. It prints the progress and a table of the
+// figures, or with asJSON only the figures.
+func runDay(day *lab.Day, edgeKind, outDir string, asJSON bool) error {
+	if outDir == "" {
+		outDir = filepath.Join("found", "lab", fmt.Sprintf("%s-%d-%s", day.Name, day.Seed, edgeKind))
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -92,36 +94,37 @@
 	if err != nil {
 		return err
 	}
-	r := &lab.Runner{Day: day, Out: filepath.Join(out, "edges"), Edge: func(settings string) *exec.Cmd {
-		if kind == "dunegrade" {
+	runner := &lab.Runner{Day: day, Out: filepath.Join(outDir, "edges"), Edge: func(settings string) *exec.Cmd {
+		if edgeKind == "dunegrade" {
 			return exec.Command(executable, "edge", settings)
 		}
-		return exec.Command(executable, "lab", "rival", kind, settings)
+		return exec.Command(executable, "lab", "rival", edgeKind, settings)
 	}}
-	if !quiet {
+	if !asJSON {
 		fmt.Printf("%s: %v, %d machines, %d edges (%s), %g txns a second, seed %d\n", day.Name, day.Length.Round(time.Millisecond), day.Machines,
-			day.Sentries, kind, day.Rate, day.Seed)
+			day.Sentries, edgeKind, day.Rate, day.Seed)
 		fmt.Println("  time  build stage phase        txns  in time  late  declined  voided  lost  at the newest build")
-		r.Live = func(s lab.Snapshot) {
-			for _, m := range s.Marks {
-				fmt.Println("          " + m)
+		runner.Live = func(snapshot lab.Snapshot) {
+			for _, event := range snapshot.Marks {
+				fmt.Println("          " + event)
 			}
-			fmt.Printf("%5.0fs  %5d %5d %-11s %5d  %7d %5d  %8d  %6d %5d  %d\n", s.At.Seconds(), s.Build, s.Stage, s.Phase, s.Asked, s.InTime, s.Late,
-				s.Decline, s.Voided, s.Lost, s.Trial)
+			fmt.Printf("%5.0fs  %5d %5d %-11s %5d  %7d %5d  %8d  %6d %5d  %d\n", snapshot.At.Seconds(), snapshot.Build,
+				snapshot.Stage, snapshot.Phase, snapshot.Asked, snapshot.InTime, snapshot.Late, snapshot.Decline,
+				snapshot.Voided, snapshot.Lost, snapshot.Trial)
 		}
 	}
-	record, err := r.Run(ctx)
+	record, err := runner.Run(ctx)
 	if err != nil {
 		return err
 	}
 	violations := lab.Check(day, record)
-	figures := lab.Sum(day, record, kind, violations)
-	page, err := lab.WriteReport(out, figures, record.Marks)
+	figures := lab.Sum(day, record, edgeKind, violations)
+	page, err := lab.WriteReport(outDir, figures, record.Marks)
 	if err != nil {
 		return err
 	}
-	if quiet {
-		data, err := os.ReadFile(filepath.Join(out, "report.json"))
+	if asJSON {
+		data, err := os.ReadFile(filepath.Join(outDir, "report.json"))
 		if err != nil {
 			return err
 		}
@@ -144,7 +147,8 @@
 	Out       string   `help:"Folder of the reports." type:"path" default:"found/lab"`
 }
 
-// Run runs each day with each seed against all edges concurrently, each edge with its own fleet, and prints a Markdown table.
+// Run runs each day, with each seed, against all kinds of edges concurrently, each with a fleet of its own. It prints a
+// Markdown table.
 func (c *compareCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -154,20 +158,21 @@
 	}
 	var rows []*lab.Figures
 	for _, name := range c.Days {
-		for k := 0; k < c.Seeds; k++ {
+		for seedOffset := 0; seedOffset < c.Seeds; seedOffset++ {
 			var runs []lab.Contender
-			for _, kind := range c.Edges {
+			for _, edgeKind := range c.Edges {
 				day, err := findDay(name)
 				if err != nil {
 					return inputError{err}
 				}
-				day.Seed += int64(k)
+				day.Seed += int64(seedOffset)
 				day.Scale(c.TimeScale)
 				args := []string{"edge"}
-				if kind != "dunegrade" {
-					args = []string{"lab", "rival", kind}
+				if edgeKind != "dunegrade" {
+					args = []string{"lab", "rival", edgeKind}
 				}
-				runs = append(runs, lab.Contender{Kind: kind, Day: day, Out: filepath.Join(c.Out, fmt.Sprintf("%s-%d-%s", day.Name, day.Seed, kind)),
+				runs = append(runs, lab.Contender{Kind: edgeKind, Day: day,
+					Out: filepath.Join(c.Out, fmt.Sprintf("%s-%d-%s", day.Name, day.Seed, edgeKind)),
 					Edge: func(settings string) *exec.Cmd {
 						return exec.Command(executable, append(args[:len(args):len(args)], settings)...)
 					}})
@@ -180,8 +185,8 @@
 		}
 	}
 	lab.Markdown(os.Stdout, rows)
-	for _, f := range rows {
-		if f.Edge == "dunegrade" && f.Breaks() > 0 {
+	for _, figures := range rows {
+		if figures.Edge == "dunegrade" && figures.Breaks() > 0 {
 			return errRuleViolated
 		}
 	}
@@ -197,12 +202,12 @@
 }
 
 func (c *importCmd) Run() error {
-	text, dropped, err := lab.Import(c.Day, lab.Scales{Machines: c.Machines, Sentries: c.Sentries, Rate: c.Rate})
+	text, omitted, err := lab.Import(c.Day, lab.Scales{Machines: c.Machines, Sentries: c.Sentries, Rate: c.Rate})
 	if err != nil {
 		return inputError{err}
 	}
-	for _, l := range dropped {
-		fmt.Fprintln(os.Stderr, "not imported:", l)
+	for _, line := range omitted {
+		fmt.Fprintln(os.Stderr, "not imported:", line)
 	}
 	if c.O == "" {
 		fmt.Print(text)
@@ -273,18 +278,18 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	slices, err := lab.Load(ctx, plan, func(s *lab.LoadSlice) {
+	slices, err := lab.Load(ctx, plan, func(slice *lab.LoadSlice) {
 		if !c.JSON {
-			fmt.Fprintf(os.Stderr, "%s: %6.0f offered, %6.0f successful a second, %d refused, %d failed, p99 %d us\n", plan.Targets[s.Target], s.Rate, s.PerSecond(), s.Refused, s.Bad,
-				s.Times.ValueAtQuantile(99))
+			fmt.Fprintf(os.Stderr, "%s: %6.0f offered, %6.0f successful a second, %d refused, %d failed, p99 %d us\n",
+				plan.Targets[slice.Target], slice.Rate, slice.PerSecond(), slice.Refused, slice.Bad, slice.Times.ValueAtQuantile(99))
 		}
 	})
 	if err != nil {
 		return err
 	}
-	rows, diffs := lab.SumLoad(plan, slices)
+	rows, differences := lab.SumLoad(plan, slices)
 	var text strings.Builder
-	lab.LoadTable(&text, rows, diffs)
+	lab.LoadTable(&text, rows, differences)
 	if c.HTML != "" {
 		page, err := lab.LoadPage(plan, slices, text.String())
 		if err != nil {
@@ -298,7 +303,7 @@
 		return json.NewEncoder(os.Stdout).Encode(struct {
 			Rows        []lab.LoadRow
 			Differences []lab.LoadDifference
-		}{rows, diffs})
+		}{rows, differences})
 	}
 	fmt.Print(text.String())
 	return nil
@@ -324,6 +329,7 @@
 	return nil
 }
 
+// subjectCmd runs a forwarder or the worker of the throughput bench, which starts it as a child process.
 type subjectCmd struct {
 	Kind   string `arg:""`
 	Listen string
@@ -348,18 +354,20 @@
 type daysCmd struct{}
 
 func (daysCmd) Run() error {
-	for _, n := range lab.EmbeddedNames() {
-		fmt.Println(n)
+	for _, name := range lab.EmbeddedNames() {
+		fmt.Println(name)
 	}
 	return nil
 }
 
+// edgeCmd runs an edge, as dunegrade-edge does. The lab starts its edges with it.
 type edgeCmd struct {
 	Settings string `arg:"" type:"path"`
 }
 
 func (c *edgeCmd) Run() error { os.Exit(edge.Serve(c.Settings)); return nil }
 
+// rivalCmd runs a comparison edge. The lab starts it as a child process.
 type rivalCmd struct {
 	Kind     string `arg:"" enum:"round-robin,reverse-proxy"`
 	Settings string `arg:"" type:"path"`
--- a/cmd/dunegrade/trace.go
+++ b/cmd/dunegrade/trace.go
@@ -29,20 +29,22 @@
 	Export    exportCmd    `cmd:"" help:"Print records as JSON lines."`
 }
 
-// reportDamage prints a damaged part of a trace file to standard error.
-func reportDamage(path string, d trace.Damage) { fmt.Fprintf(os.Stderr, "%s: damaged: %v\n", path, d) }
+// reportDamage prints the position and kind of damage to a trace file to standard error.
+func reportDamage(path string, damage trace.Damage) {
+	fmt.Fprintf(os.Stderr, "%s: damaged: %v\n", path, damage)
+}
 
-// openRuns returns the recorded runs of sentries (the lives) in files and folders. It reports trace files that cannot be
-// read and skips them; it is an error if none is left.
+// openRuns returns the recorded runs of sentries in files and directories. The output calls the id of a run its life.
+// openRuns prints an error for files that cannot be read and skips them. It fails if no run is left.
 func openRuns(paths []string) ([]*trace.Life, error) {
-	found, err := trace.Lives(paths)
+	runs, err := trace.Lives(paths)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "dunegrade:", err)
 	}
-	if len(found) == 0 {
+	if len(runs) == 0 {
 		return nil, inputError{errors.New("no trace files found")}
 	}
-	return found, nil
+	return runs, nil
 }
 
 type followCmd struct {
@@ -64,7 +66,8 @@
 which reads all the files: for large ones, cut or merge first.`
 }
 
-// maxClockCompareBytes is the total size of files up to which follow compares the sentries' clocks, which reads all of them.
+// maxClockCompareBytes is the total size of the files up to which followCmd compares the sentries' clocks, for which all
+// files are read.
 const maxClockCompareBytes = 256 << 20
 
 func (c *followCmd) Run() error {
@@ -91,22 +94,22 @@
 	}
 	timeline := trace.Join(stories, runs, clocks)
 	if c.SVG != "" {
-		out, err := os.Create(c.SVG)
+		file, err := os.Create(c.SVG)
 		if err != nil {
 			return err
 		}
-		err = timeline.SVG(out)
-		if cerr := out.Close(); err == nil {
-			err = cerr
+		err = timeline.SVG(file)
+		if closeErr := file.Close(); err == nil {
+			err = closeErr
 		}
 		if err != nil {
 			return err
 		}
 	}
 	if c.JSON {
-		enc := json.NewEncoder(os.Stdout)
-		for _, s := range stories {
-			if err := enc.Encode(s); err != nil {
+		encoder := json.NewEncoder(os.Stdout)
+		for _, story := range stories {
+			if err := encoder.Encode(story); err != nil {
 				return err
 			}
 		}
@@ -116,18 +119,19 @@
 	if !c.Why {
 		return nil
 	}
-	for _, s := range stories {
-		workers, err := trace.Why(s)
+	for _, story := range stories {
+		statuses, err := trace.Why(story)
 		if err != nil {
-			return fmt.Errorf("%s: %w", s.Name(), err)
+			return fmt.Errorf("%s: %w", story.Name(), err)
 		}
-		fmt.Printf("\nat the last decision on %s\n", s.Name())
-		t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(t, "  worker\tbuild\tin hand\tof\ttimes the usual time\tagainst it")
-		for _, w := range workers {
-			fmt.Fprintf(t, "  %s\t%d\t%d\t%.1f\t%.2f\t%s\n", w.Worker, w.Rel, w.Open, w.Limit, w.Slowdown, w.Reason)
+		fmt.Printf("\nat the last decision on %s\n", story.Name())
+		table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+		fmt.Fprintln(table, "  worker\tbuild\tin flight\tlimit\tslowdown\treason not to send")
+		for _, status := range statuses {
+			fmt.Fprintf(table, "  %s\t%d\t%d\t%.1f\t%.2f\t%s\n", status.Worker, status.Rel, status.Open, status.Limit, status.Slowdown,
+				status.Reason)
 		}
-		t.Flush()
+		table.Flush()
 	}
 	return nil
 }
@@ -153,90 +157,91 @@
 	if c.With != "" {
 		return whatIf(runs, c.With, c.JSON)
 	}
-	enc := json.NewEncoder(os.Stdout)
-	different, events, actions := 0, 0, 0
-	began := time.Now()
-	for _, l := range runs {
-		r, err := trace.Replay(l)
-		name := fmt.Sprintf("%s, sentry %d, life %016x", l.Edge, l.Sentry, l.ID)
-		if r == nil {
+	encoder := json.NewEncoder(os.Stdout)
+	differing, events, actions := 0, 0, 0
+	start := time.Now()
+	for _, run := range runs {
+		result, err := trace.Replay(run)
+		name := fmt.Sprintf("%s, sentry %d, life %016x", run.Edge, run.Sentry, run.ID)
+		if result == nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		events, actions = events+r.Events, actions+r.Actions
+		events, actions = events+result.Events, actions+result.Actions
 		if c.JSON {
-			why := ""
+			errText := ""
 			if err != nil {
-				why = err.Error()
+				errText = err.Error()
 			}
-			if r.Differs != "" || err != nil {
-				different++
+			if result.Differs != "" || err != nil {
+				differing++
 			}
-			if err := enc.Encode(struct {
+			if err := encoder.Encode(struct {
 				Edge, Life string
 				Sentry     uint32
 				Why        string `json:",omitempty"`
 				*trace.Replayed
-			}{l.Edge, fmt.Sprintf("%016x", l.ID), l.Sentry, why, r}); err != nil {
+			}{run.Edge, fmt.Sprintf("%016x", run.ID), run.Sentry, errText, result}); err != nil {
 				return err
 			}
 			continue
 		}
-		if r.OtherVersion {
+		if result.OtherVersion {
 			fmt.Printf("%s: recorded by another version of the decision module\n", name)
 		}
 		switch {
-		case r.Differs != "":
-			different++
-			fmt.Printf("%s: differs after %d events and %d actions: %s\n", name, r.Events, r.Actions, r.Differs)
+		case result.Differs != "":
+			differing++
+			fmt.Printf("%s: differs after %d events and %d actions: %s\n", name, result.Events, result.Actions, result.Differs)
 		case err != nil:
-			different++
-			fmt.Printf("%s: %v, after %d equal events and %d equal actions\n", name, err, r.Events, r.Actions)
+			differing++
+			fmt.Printf("%s: %v, after %d equal events and %d equal actions\n", name, err, result.Events, result.Actions)
 		default:
-			fmt.Printf("%s: equal: %d txns, %d events, %d actions\n", name, r.Txns, r.Events, r.Actions)
+			fmt.Printf("%s: equal: %d txns, %d events, %d actions\n", name, result.Txns, result.Events, result.Actions)
 		}
 	}
 	if !c.JSON {
-		fmt.Printf("%d events and %d actions in %v\n", events, actions, time.Since(began).Round(time.Millisecond))
+		fmt.Printf("%d events and %d actions in %v\n", events, actions, time.Since(start).Round(time.Millisecond))
 	}
-	if different > 0 {
-		return fmt.Errorf("%d of %d lives differ or end early", different, len(runs))
+	if differing > 0 {
+		return fmt.Errorf("%d of %d lives differ or end early", differing, len(runs))
 	}
 	return nil
 }
 
-// whatIf prints how the decisions on the recorded events differ under other settings.
+// whatIf prints how the decisions on the recorded events differ under the settings of the file at path.
 func whatIf(runs []*trace.Life, path string, asJSON bool) error {
 	edgeConfig, err := config.ReadEdge(path)
 	if err != nil {
 		return inputError{err}
 	}
-	for _, l := range runs {
+	for _, run := range runs {
 		settings := map[string]any{}
-		for k, v := range edgeConfig.Module {
-			settings[k] = v
+		for name, value := range edgeConfig.Module {
+			settings[name] = value
 		}
-		settings["index"] = float64(l.Sentry)
-		d, err := trace.WhatIf(l, settings)
+		settings["index"] = float64(run.Sentry)
+		result, err := trace.WhatIf(run, settings)
 		if err != nil {
-			return fmt.Errorf("%s, sentry %d: %w", l.Edge, l.Sentry, err)
+			return fmt.Errorf("%s, sentry %d: %w", run.Edge, run.Sentry, err)
 		}
 		if asJSON {
-			if err := json.NewEncoder(os.Stdout).Encode(d); err != nil {
+			if err := json.NewEncoder(os.Stdout).Encode(result); err != nil {
 				return err
 			}
 			continue
 		}
-		fmt.Printf("%s, sentry %d: %d of %d txns are sent, declined or voided differently\n", l.Edge, l.Sentry, d.Differ, d.Txns)
-		kinds := make([]string, 0, len(d.Sums))
-		for k := range d.Sums {
-			kinds = append(kinds, k)
+		fmt.Printf("%s, sentry %d: %d of %d txns are sent, declined or voided differently\n", run.Edge, run.Sentry,
+			result.Differ, result.Txns)
+		kinds := make([]string, 0, len(result.Sums))
+		for kind := range result.Sums {
+			kinds = append(kinds, kind)
 		}
 		sort.Strings(kinds)
-		for _, k := range kinds {
-			fmt.Printf("  %-10s %7d recorded %7d now\n", strings.ToLower(k), d.Sums[k][0], d.Sums[k][1])
+		for _, kind := range kinds {
+			fmt.Printf("  %-10s %7d recorded %7d now\n", strings.ToLower(kind), result.Sums[kind][0], result.Sums[kind][1])
 		}
-		for _, e := range d.Examples {
-			fmt.Println("  " + e)
+		for _, example := range result.Examples {
+			fmt.Println("  " + example)
 		}
 	}
 	return nil
@@ -261,12 +266,12 @@
 	if err != nil {
 		return err
 	}
-	s, err := trace.Summarise(runs, reportDamage)
+	summary, err := trace.Summarise(runs, reportDamage)
 	if err != nil {
 		return err
 	}
 	if c.HTML != "" {
-		page, err := s.Page("traces of " + strings.Join(c.Paths, ", "))
+		page, err := summary.Page("traces of " + strings.Join(c.Paths, ", "))
 		if err != nil {
 			return err
 		}
@@ -282,7 +287,7 @@
 		if err != nil {
 			return err
 		}
-		changes := trace.Compare(before, s)
+		changes := trace.Compare(before, summary)
 		if c.JSON {
 			return json.NewEncoder(os.Stdout).Encode(changes)
 		}
@@ -290,9 +295,9 @@
 		return nil
 	}
 	if c.JSON {
-		return json.NewEncoder(os.Stdout).Encode(s)
+		return json.NewEncoder(os.Stdout).Encode(summary)
 	}
-	s.Print(os.Stdout)
+	summary.Print(os.Stdout)
 	return nil
 }
 
@@ -321,29 +326,29 @@
 	if err != nil {
 		return err
 	}
-	f := trace.Filter{Product: c.Product, Worker: c.Worker, Build: c.Build, End: c.End}
+	filter := trace.Filter{Product: c.Product, Worker: c.Worker, Build: c.Build, End: c.End}
 	if !c.From.IsZero() {
-		f.From = c.From.UnixNano()
+		filter.From = c.From.UnixNano()
 	}
 	if !c.Till.IsZero() {
-		f.Till = c.Till.UnixNano()
+		filter.Till = c.Till.UnixNano()
 	}
 	if c.Txn != "" {
-		q := trace.ParseQuery(c.Txn)
-		f.Query = &q
+		query := trace.ParseQuery(c.Txn)
+		filter.Query = &query
 	}
 	if err := os.MkdirAll(c.O, 0o755); err != nil {
 		return err
 	}
-	for _, l := range runs {
-		path := filepath.Join(c.O, fmt.Sprintf("%s-s%d-%016x-cut%s", l.Edge, l.Sentry, l.ID, trace.Suffix))
-		out, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
+	for _, run := range runs {
+		path := filepath.Join(c.O, fmt.Sprintf("%s-s%d-%016x-cut%s", run.Edge, run.Sentry, run.ID, trace.Suffix))
+		file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 		if err != nil {
 			return err
 		}
-		n, err := trace.Cut(l, f, out, reportDamage)
-		if cerr := out.Close(); err == nil {
-			err = cerr
+		numTxns, err := trace.Cut(run, filter, file, reportDamage)
+		if closeErr := file.Close(); err == nil {
+			err = closeErr
 		}
 		if err != nil {
 			return err
@@ -352,9 +357,9 @@
 			err = json.NewEncoder(os.Stdout).Encode(struct {
 				Path string
 				Txns int
-			}{path, n})
+			}{path, numTxns})
 		} else {
-			_, err = fmt.Printf("%s: %d txns\n", path, n)
+			_, err = fmt.Printf("%s: %d txns\n", path, numTxns)
 		}
 		if err != nil {
 			return err
@@ -389,16 +394,16 @@
 	if err := os.MkdirAll(c.O, 0o755); err != nil {
 		return err
 	}
-	for i, l := range runs {
+	for i, run := range runs {
 		// The file's name must not reveal its source either.
 		path := filepath.Join(c.O, fmt.Sprintf("anonymous-%d%s", i, trace.Suffix))
-		out, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
+		file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 		if err != nil {
 			return err
 		}
-		err = trace.Anonymise(l, secret, out, reportDamage)
-		if cerr := out.Close(); err == nil {
-			err = cerr
+		err = trace.Anonymise(run, secret, file, reportDamage)
+		if closeErr := file.Close(); err == nil {
+			err = closeErr
 		}
 		if err != nil {
 			os.Remove(path)
@@ -435,42 +440,42 @@
 		return err
 	}
 	var clocks []trace.Clock
-	m := &trace.Merged{}
+	merged := &trace.Merged{}
 	if c.O == "" {
 		if clocks, err = trace.Clocks(runs, reportDamage); err != nil {
 			return err
 		}
 	} else {
-		out, err := os.OpenFile(c.O, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
+		file, err := os.OpenFile(c.O, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 		if err != nil {
 			return err
 		}
-		m, err = trace.Merge(runs, out, reportDamage)
-		if cerr := out.Close(); err == nil {
-			err = cerr
+		merged, err = trace.Merge(runs, file, reportDamage)
+		if closeErr := file.Close(); err == nil {
+			err = closeErr
 		}
 		if err != nil {
 			os.Remove(c.O)
 			return err
 		}
-		clocks = m.Clocks
+		clocks = merged.Clocks
 	}
-	m.Clocks = clocks
+	merged.Clocks = clocks
 	if c.JSON {
-		return json.NewEncoder(os.Stdout).Encode(m)
+		return json.NewEncoder(os.Stdout).Encode(merged)
 	}
-	for i, l := range runs {
+	for i, run := range runs {
 		if i == 0 {
-			fmt.Printf("%s, sentry %d, life %016x: the reference clock\n", l.Edge, l.Sentry, l.ID)
+			fmt.Printf("%s, sentry %d, life %016x: the reference clock\n", run.Edge, run.Sentry, run.ID)
 			continue
 		}
-		fmt.Printf("%s, sentry %d, life %016x: %v\n", l.Edge, l.Sentry, l.ID, clocks[i])
+		fmt.Printf("%s, sentry %d, life %016x: %v\n", run.Edge, run.Sentry, run.ID, clocks[i])
 		if clocks[i].Broken > 0 {
 			fmt.Printf("  %d events contradict the others and were ignored\n", clocks[i].Broken)
 		}
 	}
 	if c.O != "" {
-		fmt.Printf("%s: %d records; %d were delayed to follow their causes\n", c.O, m.Records, m.Held)
+		fmt.Printf("%s: %d records; %d were delayed to follow their causes\n", c.O, merged.Records, merged.Held)
 	}
 	return nil
 }
@@ -483,29 +488,29 @@
 	JSON  bool     `help:"Print JSON."`
 }
 
-// checkRules checks the five rules on recorded runs.
+// checkRules checks the five rules on recorded runs and prints the violations.
 func (c *verifyCmd) checkRules(runs []*trace.Life) error {
-	plan := trace.RulesPlan{Cores: c.Cores}
+	options := trace.RulesPlan{Cores: c.Cores}
 	if c.With != "" {
-		e, err := config.ReadEdge(c.With)
+		edgeConfig, err := config.ReadEdge(c.With)
 		if err != nil {
 			return inputError{err}
 		}
-		plan.Settings = e.Module
+		options.Settings = edgeConfig.Module
 	}
-	r, err := trace.CheckRules(runs, plan, reportDamage)
+	report, err := trace.CheckRules(runs, options, reportDamage)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
-		if err := json.NewEncoder(os.Stdout).Encode(r); err != nil {
+		if err := json.NewEncoder(os.Stdout).Encode(report); err != nil {
 			return err
 		}
 	} else {
-		r.Print(os.Stdout)
+		report.Print(os.Stdout)
 	}
-	if len(r.Broken) > 0 {
-		return fmt.Errorf("%d rule violations", len(r.Broken))
+	if len(report.Broken) > 0 {
+		return fmt.Errorf("%d rule violations", len(report.Broken))
 	}
 	return nil
 }
@@ -526,25 +531,26 @@
 		return c.checkRules(runs)
 	}
 	faults := 0
-	for _, l := range runs {
+	for _, run := range runs {
 		records, missing, lastTime, backwards := 0, uint64(0), int64(0), 0
 		ended := false
-		err := l.Each(func(r *trace.Record, _ []string) bool {
+		err := run.Each(func(record *trace.Record, _ []string) bool {
 			records++
-			if r.Kind == tracepb.Kind_BACK {
-				lastTime = r.At - int64(r.Span) // an announced step back in time: txns are recorded when they have ended
+			if record.Kind == tracepb.Kind_BACK {
+				// The next records are up to Span earlier, because the records of a txn are written when it ends.
+				lastTime = record.At - int64(record.Span)
 				return true
 			}
-			if r.At < lastTime {
+			if record.At < lastTime {
 				backwards++
 			}
-			lastTime = r.At
-			if r.Kind == tracepb.Kind_GAP {
-				missing += r.Token
+			lastTime = record.At
+			if record.Kind == tracepb.Kind_GAP {
+				missing += record.Token
 			}
-			ended = r.Kind == tracepb.Kind_END
+			ended = record.Kind == tracepb.Kind_END
 			return true
-		}, func(path string, d trace.Damage) { faults++; reportDamage(path, d) })
+		}, func(path string, damage trace.Damage) { faults++; reportDamage(path, damage) })
 		if err != nil {
 			return err
 		}
@@ -560,11 +566,12 @@
 				Missing           uint64
 				Ended             bool
 				Backwards         int
-			}{l.Edge, fmt.Sprintf("%016x", l.ID), l.Sentry, len(l.Paths), records, missing, ended, backwards}); err != nil {
+			}{run.Edge, fmt.Sprintf("%016x", run.ID), run.Sentry, len(run.Paths), records, missing, ended, backwards}); err != nil {
 				return err
 			}
 		} else {
-			fmt.Printf("%s, sentry %d, life %016x: %d segments, %d records, %d txns not recorded, %s\n", l.Edge, l.Sentry, l.ID, len(l.Paths), records, missing, ending)
+			fmt.Printf("%s, sentry %d, life %016x: %d segments, %d records, %d txns not recorded, %s\n", run.Edge, run.Sentry, run.ID,
+				len(run.Paths), records, missing, ending)
 		}
 		faults += backwards
 	}
@@ -604,23 +611,23 @@
 		if err != nil {
 			return err
 		}
-		n, err := trace.ExportSpans(runs, clocks, file, reportDamage)
+		numSpans, err := trace.ExportSpans(runs, clocks, file, reportDamage)
 		if err == nil && c.O != "" {
-			fmt.Printf("%s: %d spans\n", c.O, n)
+			fmt.Printf("%s: %d spans\n", c.O, numSpans)
 		}
 		return err
 	}
-	out := bufio.NewWriter(file)
-	enc := json.NewEncoder(out)
-	for _, l := range runs {
+	buffered := bufio.NewWriter(file)
+	encoder := json.NewEncoder(buffered)
+	for _, run := range runs {
 		var encodeErr error
-		err := l.Each(func(r *trace.Record, names []string) bool {
-			encodeErr = enc.Encode(struct {
+		err := run.Each(func(record *trace.Record, names []string) bool {
+			encodeErr = encoder.Encode(struct {
 				Sentry uint32
 				What   string
 				Worker string `json:",omitempty"`
 				*trace.Record
-			}{l.Sentry, r.Kind.String(), names[r.Worker], r})
+			}{run.Sentry, record.Kind.String(), names[record.Worker], record})
 			return encodeErr == nil
 		}, reportDamage)
 		if err == nil {
@@ -630,5 +637,5 @@
 			return err
 		}
 	}
-	return out.Flush()
+	return buffered.Flush()
 }
