--- a/api/types.go
+++ b/api/types.go
@@ -15,9 +15,9 @@
 
 // Event types.
 const (
-	Whole    = "whole"    // a complete snapshot
-	Change   = "change"   // an update to the preceding state
-	Bookmark = "bookmark" // a keepalive with the current revision
+	Whole    = "whole"    // replaces the client's state
+	Change   = "change"   // updates the client's state
+	Bookmark = "bookmark" // a keepalive that carries the current revision
 )
 
 // Worker states.
@@ -99,9 +99,9 @@
 	Type    string `json:"type"`
 	Build   int    `json:"build"`
 	Product string `json:"product"`
-	Many    int    `json:"many"` // number of submissions
-	Bad     int    `json:"bad"`  // number of those that did not settle
-	Mean    int64  `json:"mean"` // mean time of the settled ones, in nanoseconds
+	Many    int    `json:"many"` // submissions in the sample
+	Bad     int    `json:"bad"`  // submissions in the sample that did not settle
+	Mean    int64  `json:"mean"` // mean time of the settled submissions, in nanoseconds
 }
 
 // Report states that a client found an answer wrong. It is sent to the edge that forwarded the answer.
@@ -110,5 +110,5 @@
 	Sentry  int    `json:"sentry"`
 	Product string `json:"product"`
 	Worker  string `json:"worker"`
-	Age     int64  `json:"age"` // time since the submission was sent, in nanoseconds
+	Age     int64  `json:"age"` // time since the edge sent the submission, in nanoseconds
 }
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -90,7 +90,7 @@
 	MachineDown           // the machine has failed
 )
 
-// End is the result of a job.
+// End is how a job ended.
 type End int
 
 // Job results.
@@ -110,10 +110,10 @@
 	Finished Nanos
 }
 
-// TookEffect reports whether this machine executed the job, instead of answering it as a duplicate.
+// TookEffect reports whether this machine executed the job instead of answering it as a duplicate.
 func (d CompletedJob) TookEffect() bool { return d.End != Dropped }
 
-// MachineFault is a fault injected into one machine, whatever its build. The zero value is a healthy machine.
+// MachineFault is a fault injected into one machine, whatever its build. The zero value means no fault.
 type MachineFault struct {
 	Slow           float64 // factor on run times; 0 and 1 mean no slowdown
 	NeighbourShare float64 // share of the machine's capacity that another program on it uses
