--- a/config/edge.go
+++ b/config/edge.go
@@ -16,7 +16,7 @@
 	Name   string
 	Listen string // address for clients
 	Admin  string // address for health checks and metrics; empty disables them
-	// Peers holds the message address of every sentry, by sentry number.
+	// Peers holds the address for messages of every sentry, by sentry number.
 	Peers []string
 	// PeerListen is the address for messages of other sentries, which are identified by their source address. If it is
 	// empty, the process receives at its own entry of Peers, and each message carries the sender's number.
@@ -89,7 +89,9 @@
 type Trace struct {
 	Dir   string // empty disables recording
 	Level string // whole, sampled or decisions
-	OneIn uint32 // at level sampled, one in OneIn of the txns that were answered and did not fail is recorded, and all others
+	// OneIn is the sampling rate at level sampled: one in OneIn of the txns that were answered and did not fail is recorded.
+	// All other txns are recorded too.
+	OneIn uint32
 	// TailDir is a directory on a memory file system, which preserves the latest records if the process is killed; empty
 	// disables it.
 	TailDir      string
@@ -99,7 +101,7 @@
 }
 
 // Source is the source of the worker list and release updates, and the destination of votes: a file, which accepts no
-// votes, or an API. One of the two is set.
+// votes, or an API.
 type Source struct {
 	File   string
 	APIURL string
