--- a/cmd/dunegrade/trace.go
+++ b/cmd/dunegrade/trace.go
@@ -126,7 +126,7 @@
 		}
 		fmt.Printf("\nat the last decision on %s\n", story.Name())
 		table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(table, "  worker\tbuild\tin flight\tlimit\tslowdown\treason not to send")
+		fmt.Fprintln(table, "  worker\tbuild\tin hand\tof\ttimes the usual time\tagainst it")
 		for _, status := range statuses {
 			fmt.Fprintf(table, "  %s\t%d\t%d\t%.1f\t%.2f\t%s\n", status.Worker, status.Rel, status.Open, status.Limit, status.Slowdown,
 				status.Reason)
