--- a/trace/cut.go
+++ b/trace/cut.go
@@ -9,15 +9,15 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Filter selects txns. An empty field matches every txn; a txn must match all fields that are set.
+// Filter selects txns. A field with its zero value matches every txn; a txn must match all other fields.
 type Filter struct {
-	From    int64 // earliest time taken, wall clock, nanoseconds since 1970; 0: unbounded
-	Till    int64 // latest time taken, likewise
+	From    int64 // earliest time at which the txn was taken, wall clock, nanoseconds since 1970
+	Till    int64 // latest such time
 	Query   *Query
 	Product string
-	Worker  string // received a submission
-	Build   int64  // received a submission; 0: any
-	End     string // settled, declined, voided, left or cut
+	Worker  string // a worker to which the txn was submitted
+	Build   int64  // a build to which the txn was submitted
+	End     string // the txn's ending: settled, declined, voided, left or cut
 }
 
 // candidateTxn is a txn that matches the filter by its TAKE record and whose other records are still being read.
@@ -26,10 +26,10 @@
 	ending        string
 	workerMatches bool
 	buildMatches  bool
-	pending       int // submissions without an outcome
+	pending       int // number of submissions without an outcome
 }
 
-// Cut writes the matching txns of a run to one file: all of their records, and the platform's updates. It returns the
+// Cut writes all records of the matching txns of a run to one file, together with the platform's updates. It returns the
 // number of txns. The file is marked as partial, because the other txns are missing.
 func Cut(l *Life, f Filter, w io.Writer, onDamage func(path string, d Damage)) (int, error) {
 	if l.origin != 0 {
@@ -52,7 +52,7 @@
 			selected[r.Txn] = matching[r.Serial]
 		}
 		switch {
-		case r.Kind == tracepb.Kind_WORKER, r.Kind == tracepb.Kind_BACK: // the writer adds its own
+		case r.Kind == tracepb.Kind_WORKER, r.Kind == tracepb.Kind_BACK: // fileWriter writes its own
 		case r.Txn != 0 && selected[r.Txn],
 			r.Txn == 0 && r.Kind != tracepb.Kind_TIMER && r.Kind != tracepb.Kind_REMIND:
 			writeErr = fw.writeRecord(*r, names[r.Worker])
@@ -68,11 +68,11 @@
 	return len(matching), fw.close()
 }
 
-// mayMatch reports, from the index, whether a block can hold the TAKE record of a matching txn or a worker list.
+// mayMatch reports, from the block's index entry, whether a block can hold the TAKE of a matching txn or a worker list.
 func (f *Filter) mayMatch(l *Life, q Query, file *File, i int) bool {
 	b := file.Blocks[i].Block
 	if b.Kinds == 0 || b.Kinds&(1<<tracepb.Kind_LIST) != 0 {
-		return true // indexed without record kinds by an older version, or holds the workers' builds
+		return true // either an older version wrote the entry without record kinds, or the block has the workers' builds
 	}
 	wallOffset := l.Headers[0].Wall - l.Headers[0].Start
 	first := b.First
@@ -82,7 +82,7 @@
 	product := uint64(0)
 	for k, name := range l.Headers[0].Products {
 		if name == f.Product {
-			product = 1 << min(k, 63)
+			product = 1 << min(k, lastProductBit)
 		}
 	}
 	return b.Kinds&(1<<tracepb.Kind_TAKE) != 0 && (f.From == 0 || b.Last+wallOffset >= f.From) && (f.Till == 0 || first+wallOffset <= f.Till) &&
@@ -149,10 +149,10 @@
 	w           io.Writer
 	enc         *encoder
 	records     []byte            // of the current block, encoded
-	first, last int64             // times of the block's first record and of its latest
+	first, last int64             // times of the block's first and last records
 	workers     map[string]uint32 // worker numbers in the block, by name
 	index       tracepb.Index
-	size        uint64 // bytes written
+	size        uint64 // bytes written to w
 }
 
 // newFileWriter writes the header and returns a writer for the records.
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// writeRecord appends a record, with a WORKER record before it where the block has none for its worker yet, and a BACK
-// record where its time is earlier than that of the previous one. The worker is given by name.
+// writeRecord appends a record. It inserts a BACK record where the time is earlier than that of the previous record, and
+// a WORKER record where the block has none for the worker yet. The worker is given by name, "" for none.
 func (fw *fileWriter) writeRecord(r Record, worker string) error {
 	if len(fw.records) >= blockBytes {
 		if err := fw.flush(); err != nil {
--- a/trace/file.go
+++ b/trace/file.go
@@ -30,16 +30,17 @@
 	frameKindBlock  = 'B'
 	frameKindHeader = 'H'
 
-	// maxFrameBytes limits the payload that a reader allocates memory for, whatever length a frame claims.
+	// maxFrameBytes limits a frame's payload, so that a damaged length cannot make a reader allocate without bound.
 	maxFrameBytes = 64 << 20
 
-	// maxDecodedBlockBytes limits the decompressed records of a block that a reader allocates memory for.
+	// maxDecodedBlockBytes limits the size of a block's decompressed records, for the same reason.
 	maxDecodedBlockBytes = 64 << 20
 
-	// minFilterKeys is the least number of keys that a block's filter is sized for.
+	// minFilterKeys is the smallest number of keys that a block's filter is sized for.
 	minFilterKeys = 16
 
-	// filterFalsePositives is the share of blocks without a key whose filter reports that they may hold it.
+	// filterFalsePositives is the false-positive rate of a block's filter: the fraction of blocks that do not hold a key
+	// but whose filter matches it.
 	filterFalsePositives = 0.003
 
 	// filterHeaderBytes is the size of an encoded filter before its words of bits: number of bits, number of hashes and
@@ -51,6 +52,15 @@
 
 	// blockFieldKeys is the number of the field keys of the Block message.
 	blockFieldKeys protowire.Number = 7
+
+	// lastProductBit is the last bit of Block.Products; all products with a larger index share it.
+	lastProductBit = 63
+
+	// maxWorkerNamesCap limits the initial capacity for a block's worker names, whatever number a damaged block claims.
+	maxWorkerNamesCap = 1 << 16
+
+	// markerSearchBytes is the size of the buffer in which a reader searches for the next marker after damage.
+	markerSearchBytes = 64 << 10
 )
 
 var (
@@ -58,7 +68,7 @@
 	castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Errors of reading a file.
+// Errors returned when reading a file.
 var (
 	ErrNoTrace = errors.New("trace: not a trace file")
 	ErrVersion = errors.New("trace: unsupported newer format version")
@@ -104,8 +114,8 @@
 // encoder encodes blocks of records as frames. It must be used by one goroutine at a time.
 type encoder struct {
 	dense      *zstd.Encoder
-	fast       *zstd.Encoder // for blocks that fill quickly: output a tenth larger in two thirds of the time
-	out        []byte        // the last frame
+	fast       *zstd.Encoder // for blocks that fill quickly: takes two thirds of the time, output is a tenth larger
+	frame      []byte        // the last frame
 	compressed []byte
 	keys       []uint64
 	headBytes  int // bytes of the last frame before its compressed records
@@ -113,8 +123,8 @@
 
 // indexEntry returns the entry in the index for the last encoded frame.
 func (e *encoder) indexEntry(offset uint64, info *tracepb.Block) *tracepb.Index_Entry {
-	info.Keys = nil // the filter is in the block's head; in the index it would take too much space
-	return &tracepb.Index_Entry{Offset: offset, Block: info, Head: uint32(e.headBytes), HeadSum: crc32.Checksum(e.out[:e.headBytes], castagnoliTable)}
+	info.Keys = nil // the filter stays in the block's head: it would make the index too large
+	return &tracepb.Index_Entry{Offset: offset, Block: info, Head: uint32(e.headBytes), HeadSum: crc32.Checksum(e.frame[:e.headBytes], castagnoliTable)}
 }
 
 func newEncoder() (*encoder, error) {
@@ -131,7 +141,7 @@
 	return &encoder{dense: dense, fast: fast}, nil
 }
 
-// encodeBlock encodes records as a frame and returns it with the block's description, which is gathered from the records.
+// encodeBlock encodes records as a frame and returns it with the block's description, which it derives from the records.
 func (e *encoder) encodeBlock(first int64, records []byte) ([]byte, *tracepb.Block, error) {
 	info := &tracepb.Block{First: first, Last: first, Size: uint32(len(records))}
 	e.keys = e.keys[:0]
@@ -150,12 +160,12 @@
 		}
 		switch r.Kind {
 		case tracepb.Kind_TAKE:
-			info.Products |= 1 << min(r.Product, 63)
+			info.Products |= 1 << min(r.Product, lastProductBit)
 			if r.Serial == 0 {
 				r.Serial = serial + 1
 			}
 			serial = r.Serial
-			// Serials are almost in order only: a txn whose request body arrives slowly is taken late.
+			// Serials are not quite in order: a txn whose request body arrives slowly is taken late.
 			if info.FirstSerial == 0 || r.Serial < info.FirstSerial {
 				info.FirstSerial = r.Serial
 			}
@@ -183,8 +193,8 @@
 	return e.encodeBlockWithInfo(info, e.keys, records)
 }
 
-// encodeBlockWithInfo encodes records as the frame of a block whose description is complete but for the filter, which is
-// built from filterKeys.
+// encodeBlockWithInfo encodes records as the frame of a block whose description lacks only the filter, which it builds
+// from filterKeys.
 func (e *encoder) encodeBlockWithInfo(info *tracepb.Block, filterKeys []uint64, records []byte) ([]byte, *tracepb.Block, error) {
 	if len(filterKeys) > 0 {
 		filter := newKeyFilter(len(filterKeys))
@@ -207,8 +217,8 @@
 	}
 	e.compressed = enc.EncodeAll(records, e.compressed[:0])
 	length := binary.AppendUvarint(nil, uint64(len(head)))
-	e.out, e.headBytes = appendFrame(e.out[:0], frameKindBlock, length, head, e.compressed), frameHeaderBytes+len(length)+len(head)
-	return e.out, info, nil
+	e.frame, e.headBytes = appendFrame(e.frame[:0], frameKindBlock, length, head, e.compressed), frameHeaderBytes+len(length)+len(head)
+	return e.frame, info, nil
 }
 
 // headerFrame encodes the first frame of a file.
@@ -220,8 +230,8 @@
 	return appendFrame(nil, frameKindHeader, data), nil
 }
 
-// indexFrame encodes the last frame of a closed file. Its last four bytes are the length of the frame, by which a reader
-// finds it from the end of the file.
+// indexFrame encodes the last frame of a closed file. It ends with its own length in four bytes, by which a reader finds
+// its start from the end of the file.
 func indexFrame(x *tracepb.Index) ([]byte, error) {
 	data, err := proto.Marshal(x)
 	if err != nil {
@@ -246,10 +256,10 @@
 	Closed          bool // the file ends with an index, so its writer closed it
 	Rebuilt         bool // the list of blocks was rebuilt by reading through the file
 	in              io.ReaderAt
-	size            int64
+	size            int64 // bytes
 	decoder         *zstd.Decoder
-	frame           []byte
-	records         []byte
+	frame           []byte   // the last frame or block head read
+	records         []byte   // decompressed records of the last block read
 	filterKey       uint64   // key that filterPositions belong to
 	filterPositions []uint64 // hashes of filterKey, not yet reduced to the size of a filter
 }
@@ -269,7 +279,7 @@
 	return f, nil
 }
 
-// openHeader reads a file's header only, and returns the offset behind it.
+// openHeader reads only a file's header, and returns the offset of the frame after it.
 func openHeader(in io.ReaderAt, size int64) (*File, int64, error) {
 	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecodedBlockBytes))
 	if err != nil {
@@ -295,16 +305,16 @@
 
 // readFrame reads the frame at an offset and returns the offset of the next one. The payload is valid until the next
 // call.
-func (f *File) readFrame(at int64) (kind byte, payload []byte, next int64, err error) {
+func (f *File) readFrame(offset int64) (kind byte, payload []byte, next int64, err error) {
 	var head [frameHeaderBytes]byte
-	if _, err := f.in.ReadAt(head[:], at); err != nil {
+	if _, err := f.in.ReadAt(head[:], offset); err != nil {
 		return 0, nil, 0, fmt.Errorf("%w: %w", ErrDamaged, io.ErrUnexpectedEOF)
 	}
 	if [4]byte(head[:4]) != frameMarker {
 		return 0, nil, 0, fmt.Errorf("%w: frame marker is missing", ErrDamaged)
 	}
 	size := int64(binary.LittleEndian.Uint32(head[8:]))
-	if size > maxFrameBytes || at+frameHeaderBytes+size > f.size {
+	if size > maxFrameBytes || offset+frameHeaderBytes+size > f.size {
 		return 0, nil, 0, fmt.Errorf("%w: invalid frame length of %d bytes", ErrDamaged, size)
 	}
 	f.frame = append(f.frame[:0], head[:]...)
@@ -312,13 +322,13 @@
 		f.frame = append(make([]byte, 0, frameHeaderBytes+size), head[:]...)
 	}
 	f.frame = f.frame[:frameHeaderBytes+size]
-	if _, err := f.in.ReadAt(f.frame[frameHeaderBytes:], at+frameHeaderBytes); err != nil {
+	if _, err := f.in.ReadAt(f.frame[frameHeaderBytes:], offset+frameHeaderBytes); err != nil {
 		return 0, nil, 0, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	if frameChecksum(f.frame) != binary.LittleEndian.Uint32(head[12:]) {
 		return 0, nil, 0, fmt.Errorf("%w: frame checksum does not match", ErrDamaged)
 	}
-	return head[4], f.frame[frameHeaderBytes:], at + frameHeaderBytes + size, nil
+	return head[4], f.frame[frameHeaderBytes:], offset + frameHeaderBytes + size, nil
 }
 
 // loadIndex reads the index at the end of the file and reports whether there is a valid one.
@@ -327,11 +337,11 @@
 	if _, err := f.in.ReadAt(frameLength[:], f.size-4); err != nil {
 		return false
 	}
-	at := f.size - int64(binary.LittleEndian.Uint32(frameLength[:]))
-	if at < 0 {
+	offset := f.size - int64(binary.LittleEndian.Uint32(frameLength[:]))
+	if offset < 0 {
 		return false
 	}
-	kind, payload, next, err := f.readFrame(at)
+	kind, payload, next, err := f.readFrame(offset)
 	if err != nil || kind != frameKindIndex || next != f.size || len(payload) < 4 {
 		return false
 	}
@@ -349,41 +359,41 @@
 }
 
 // rebuild lists the blocks by reading through the file from an offset. After damage it resumes at the next marker.
-func (f *File) rebuild(at int64) {
+func (f *File) rebuild(offset int64) {
 	f.Rebuilt = true
-	for at < f.size {
-		kind, payload, next, err := f.readFrame(at)
+	for offset < f.size {
+		kind, payload, next, err := f.readFrame(offset)
 		if err == nil {
 			if kind == frameKindBlock {
 				if info, _, err := splitBlock(payload); err == nil {
-					f.Blocks = append(f.Blocks, &tracepb.Index_Entry{Offset: uint64(at), Block: info})
+					f.Blocks = append(f.Blocks, &tracepb.Index_Entry{Offset: uint64(offset), Block: info})
 				} else {
-					f.Damages = append(f.Damages, Damage{at, next, err.Error()})
+					f.Damages = append(f.Damages, Damage{offset, next, err.Error()})
 				}
 			}
-			at = next
+			offset = next
 			continue
 		}
-		resume := f.findMarker(at + 1)
-		f.Damages = append(f.Damages, Damage{at, resume, err.Error()})
-		at = resume
+		resume := f.findMarker(offset + 1)
+		f.Damages = append(f.Damages, Damage{offset, resume, err.Error()})
+		offset = resume
 	}
 }
 
 // findMarker returns the offset of the first marker at or after an offset, or the end of the file.
-func (f *File) findMarker(at int64) int64 {
-	buf := make([]byte, 64<<10)
-	for at < f.size {
-		n, _ := f.in.ReadAt(buf, at)
+func (f *File) findMarker(offset int64) int64 {
+	buf := make([]byte, markerSearchBytes)
+	for offset < f.size {
+		n, _ := f.in.ReadAt(buf, offset)
 		for i := 0; i+4 <= n; i++ {
 			if [4]byte(buf[i:i+4]) == frameMarker {
-				return at + int64(i)
+				return offset + int64(i)
 			}
 		}
 		if n < len(buf) {
 			break
 		}
-		at += int64(n) - 3
+		offset += int64(n) - 3 // a marker may begin in the last three bytes
 	}
 	return f.size
 }
@@ -425,9 +435,9 @@
 	return info, nil
 }
 
-// Read calls fn for each record of block i until fn returns false. A record is valid during the call only. names holds
-// the ids of the block's workers by their numbers in the block. A TAKE that also holds a SUBMIT and a REMIND is passed on
-// as separate records.
+// Read calls fn for each record of block i until fn returns false. A record is valid only during the call. names holds
+// the ids of the block's workers, indexed by their numbers in the block. A TAKE that includes a SUBMIT and a REMIND is
+// passed to fn as separate records.
 func (f *File) Read(i int, fn func(r *Record, names []string) bool) error {
 	e := f.Blocks[i]
 	info, err := f.decompress(i)
@@ -435,7 +445,7 @@
 		return err
 	}
 	var r, implied Record
-	names := make([]string, 1, info.Workers%(1<<16)+1)
+	names := make([]string, 1, info.Workers%maxWorkerNamesCap+1)
 	at, serial := info.First, uint64(0)
 	for rest := f.records; len(rest) > 0; {
 		if rest, err = r.Decode(rest, at); err != nil {
@@ -491,7 +501,7 @@
 }
 
 // isDuplicate reports whether block i was read before, and otherwise advances lastNumber, the number of the last block
-// read. A block is in both a segment and the tail file while its slot is not freed after the write.
+// read. A block is both in a segment and in the tail file from its write until its slot is freed.
 func (f *File) isDuplicate(i int, lastNumber *uint64) bool {
 	n := f.Blocks[i].Block.Number
 	if n != 0 && n <= *lastNumber {
@@ -502,7 +512,7 @@
 }
 
 // MayContain reports whether block i may hold a key or a trace id, according to its filter. For a trace id, key is the
-// exclusive or of its halves.
+// XOR of its halves.
 func (f *File) MayContain(i int, key uint64) bool {
 	e := f.Blocks[i]
 	filter := e.Block.Keys
@@ -512,7 +522,7 @@
 		}
 		var ok bool
 		if filter, ok = f.blockFilter(e); !ok {
-			return true // without a readable filter the block has to be searched
+			return true // the filter cannot be read, so the block has to be searched
 		}
 	}
 	if len(filter) == 0 {
@@ -556,15 +566,15 @@
 	return nil, true
 }
 
-// filterContains looks a key up in an encoded filter: number of bits, number of hashes, number of bits again and the bits
-// in big-endian words of eight bytes. The library's own decoder would copy the filter.
+// filterContains looks up a key in an encoded filter: number of bits, number of hashes, number of bits again, and the bits,
+// all in big-endian words of eight bytes. It reads the filter in place, because the library's decoder would copy it.
 func (f *File) filterContains(filter []byte, key uint64) bool {
 	if len(filter) < filterHeaderBytes+8 {
 		return true
 	}
 	bitCount, hashes := binary.BigEndian.Uint64(filter), binary.BigEndian.Uint64(filter[8:])
 	words := filter[filterHeaderBytes:]
-	// A damaged filter can hold any numbers, which must not lead to an access out of range or an endless computation.
+	// A damaged filter can hold any numbers. They must lead neither to an access out of range nor to unbounded work.
 	if bitCount == 0 || bitCount > uint64(len(words))*8 || hashes == 0 || hashes > maxFilterHashes {
 		return true
 	}
--- a/trace/record.go
+++ b/trace/record.go
@@ -16,31 +16,31 @@
 // Kind is the kind of a record, as defined by the protobuf schema.
 type Kind = tracepb.Kind
 
-// Record is the decoded form of every kind of record: each kind uses some of the fields, as the schema describes.
+// Record is a decoded record of any kind. Each kind uses some of the fields, as the schema describes.
 type Record struct {
 	Kind     Kind
-	At       int64     // sentry clock in nanoseconds; files store the difference to the preceding record
+	At       int64     // sentry clock, nanoseconds; files store the difference to the preceding record
 	Txn      uint64    // the sentry's id of a txn in progress
-	Serial   uint64    // of the txn in this run, from 1
-	Number   uint32    // submission of the txn, from 0; other kinds use it for a mode, a verdict or a peer
-	Worker   uint32    // number given by a WORKER record of the same block, from 1
+	Serial   uint64    // number of the txn in this run, from 1
+	Number   uint32    // number of the submission in its txn, from 0; in other kinds a list mode, a verdict or a peer
+	Worker   uint32    // number assigned by a WORKER record of the same block, from 1; 0: none
 	Product  uint32    // index in the header's products
 	Customer uint32    // number of the customer
 	Ending   uint32    // how a submission ended, a logic.Ending
 	Key      uint64    // hash of the txn's key
-	TraceID  [2]uint64 // upper and lower half of the W3C trace id that the client sent; zeros without one
+	TraceID  [2]uint64 // upper and lower half of the W3C trace id that the client sent; zeros if it sent none
 	Cost     uint64    // expected work in nanoseconds, 0 if unknown
-	Patience uint64    // time until the expiry, nanoseconds
+	Patience uint64    // time from taking the txn to its expiry, nanoseconds
 	Elapsed  uint64    // duration of a submission, nanoseconds
-	Token    uint64    // timer token, seed, build, status or count, by kind
-	Span     uint64    // duration in nanoseconds, by kind
-	Util     float64   // load report: share of the worker's cores in use
+	Token    uint64    // timer token, seed, build, status or count, depending on the kind
+	Span     uint64    // nanoseconds; its meaning depends on the kind
+	Util     float64   // load report: fraction of the worker's cores in use
 	Queue    float64   // load report: txns waiting
 	Busy     float64   // load report: txns in progress
 	Repeat   bool      // the client marked the txn as a repeat
-	Over     bool      // this outcome is the final one of the txn
+	Over     bool      // the outcome settles the txn
 	Loaded   bool      // the outcome carries a load report
-	Body     []byte    // encoded message of kinds that have one
+	Body     []byte    // encoded message; nil for kinds without one
 	Text     string    // worker id or log line
 	Origin   uint32    // in a merged file: position in the header's list of origins, from 1
 }
@@ -50,8 +50,8 @@
 
 // Field numbers of the Record message in trace.proto.
 //
-// The encoding is written by hand because the event loop must not allocate: a record costs it some tens of
-// nanoseconds. Tests compare it with the generated code.
+// The encoding is written by hand because the event loop must not allocate and can spare only some tens of nanoseconds
+// for a record. Tests compare it with the generated code.
 const (
 	fieldKind             protowire.Number = 1
 	fieldAfter            protowire.Number = 2
@@ -231,7 +231,7 @@
 }
 
 // Decode decodes the record at the front of b and returns the remaining bytes. prevAt is the time of the preceding
-// record. Body points into b. Unknown fields are skipped, as the format promises.
+// record. Body aliases b. Unknown fields are skipped, so that later versions of the format can add fields.
 func (r *Record) Decode(b []byte, prevAt int64) ([]byte, error) {
 	size, n := protowire.ConsumeVarint(b)
 	if n < 0 || size > uint64(len(b)-n) {
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -24,7 +24,7 @@
 	// bufferCount is the number of block buffers of a recorder, and so the number of blocks by which the writer may lag.
 	bufferCount = 16
 
-	// reservedBuffers is the number of buffers kept for the records of txns that were taken already: new txns are not
+	// reservedBuffers is the number of buffers kept for further records of txns whose TAKE is recorded: new txns are not
 	// recorded while fewer are free.
 	reservedBuffers = 4
 
@@ -42,37 +42,37 @@
 	initialKeys = 4096
 )
 
-// Recorder records one sentry. Its methods, except Close, are called from the sentry's event loop and never wait for a
-// disk: blocks that the writer has not written yet wait in a fixed number of buffers. When these run out, whole txns are
-// skipped and counted.
+// Recorder records one sentry. Its methods, except Close, are called from the sentry's event loop and never block on the
+// disk: a fixed number of buffers holds the blocks until the writer goroutine has written them. While too few buffers are
+// free, whole txns are skipped and counted.
 type Recorder struct {
-	cur         *block // nil: none begun, or no buffer is free
+	cur         *block // current block; nil: none begun, or no buffer is free
 	lastAt      int64  // time of the last record in cur
-	lastSerial  uint64 // of the last TAKE in cur, 0 if there is none
+	lastSerial  uint64 // serial of the last TAKE in cur, 0 if there is none
 	workers     map[logic.WorkerID]*workerRef
-	generation  uint32 // of cur: worker numbers are valid within one block
-	rec         Record
+	generation  uint32 // of cur; a worker's number is valid only in the generation that assigned it
+	rec         Record // scratch space for the record being written
 	pending     pendingTake
-	lastRelease []byte    // last release update that ended well, as an encoded tracepb.News
-	sampler     *sampler  // nil: every record is written at once
-	spare       []*block  // free buffers of the event loop; the one used last, still in the CPU cache, is at the end
-	tail        *tailFile // nil: none
-	blockCount  uint64    // blocks begun so far
-	returned    chan *block
-	queue       chan *block
-	done        chan struct{}
+	lastRelease []byte        // last release update with ending OK, as an encoded tracepb.News
+	sampler     *sampler      // nil: every record is written at once
+	spare       []*block      // free buffers owned by the event loop; the last one was used last and may still be in the CPU cache
+	tail        *tailFile     // nil: none
+	blockCount  uint64        // blocks begun so far
+	freed       chan *block   // buffers that the writer has finished with
+	queue       chan *block   // blocks to be written
+	done        chan struct{} // closed when the writer has ended
 	log         *zap.Logger
 	segments    *segmentWriter
 
 	skippedTxns    uint64        // txns not recorded since the last GAP record
 	skippedRecords uint32        // other records not recorded since then
 	skippedSince   int64         // sentry clock at the first of them, 0 if there is none
-	TotalSkipped   atomic.Uint64 // txns not recorded in all; any goroutine may read it
+	TotalSkipped   atomic.Uint64 // txns skipped since the recorder's start; any goroutine can read it
 	lostTxns       atomic.Uint64 // txns in blocks that could not be written, since the last GAP record
 	lostSince      atomic.Int64  // sentry clock at the first of them, 0 if there is none
 }
 
-// workerRef is the number of a worker in the block of the given generation, and the worker's build.
+// workerRef holds a worker's number in the block of a generation, and the worker's build.
 type workerRef struct {
 	number, generation uint32
 	build              uint64
@@ -81,11 +81,12 @@
 // pendingTake is a TAKE that is not written yet. The SUBMIT and REMIND that nearly always follow at once are put into the
 // same record.
 type pendingTake struct {
-	open, submitted bool
-	txn             logic.Txn
-	serial          uint64
-	traceID         [2]uint64
-	worker          uint32
+	active    bool      // a TAKE is pending
+	submitted bool      // it includes a SUBMIT, but no REMIND yet
+	txn       logic.Txn // its Expiry is relative to the time of the TAKE
+	serial    uint64
+	traceID   [2]uint64
+	worker    uint32 // number of the SUBMIT's worker in the current block; 0: no SUBMIT
 }
 
 // block is a buffer of encoded records and their description.
@@ -95,19 +96,19 @@
 	keys      []uint64 // keys and trace ids, for the filter
 	info      tracepb.Block
 	lostTxns  uint64 // txns missing from the trace if this block is lost: taken in it or counted in its GAP records
-	lostSince int64  // sentry clock since when they would be missing
+	lostSince int64  // sentry clock at the first of them
 }
 
-// NewRecorder starts a recorder and its writer goroutine; Close ends both. settings are those that the decision module
-// is given. The header's Wall and Start are the present moment by the wall clock and by the sentry's clock.
+// NewRecorder starts a recorder and its writer goroutine; Close ends both. settings are the decision module's settings.
+// The header's Wall and Start must hold the current time of the wall clock and of the sentry's clock.
 func NewRecorder(dir Directory, retention Keep, header *tracepb.Header, settings map[string]any, logger *zap.Logger) (*Recorder, error) {
 	return NewTailed(dir, "", retention, header, settings, logger)
 }
 
-// NewTailed is like NewRecorder, with a tail file in the directory tails, which should be on a file system in
-// memory; "" for none. Blocks that terminated processes recording to the same directory left in their tail files are
-// written to segments first.
-func NewTailed(dir Directory, tails string, retention Keep, header *tracepb.Header, settings map[string]any, logger *zap.Logger) (*Recorder, error) {
+// NewRecorderWithTail is like NewRecorder, but keeps a tail file in tailDir, which should be on a file system in memory;
+// "" disables the tail file. The writer first recovers the blocks that terminated processes recording to the same
+// directory left in their tail files, and writes them to segments.
+func NewTailed(dir Directory, tailDir string, retention Keep, header *tracepb.Header, settings map[string]any, logger *zap.Logger) (*Recorder, error) {
 	h := proto.Clone(header).(*tracepb.Header)
 	data, err := json.Marshal(settings)
 	if err != nil {
@@ -119,19 +120,19 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Recorder{workers: map[logic.WorkerID]*workerRef{}, returned: make(chan *block, bufferCount), queue: make(chan *block, bufferCount),
+	r := &Recorder{workers: map[logic.WorkerID]*workerRef{}, freed: make(chan *block, bufferCount), queue: make(chan *block, bufferCount),
 		done: make(chan struct{}), log: logger, segments: &segmentWriter{dir: dir, retention: retention, header: h, enc: enc}, generation: 1}
 	if h.Level != LevelWhole {
 		r.sampler = newSampler(h.Level, h.OneIn)
 	}
-	if tails != "" {
+	if tailDir != "" {
 		tailHeader := proto.Clone(h).(*tracepb.Header)
 		if disk, ok := dir.(Disk); ok {
 			if tailHeader.Folder, err = filepath.Abs(string(disk)); err != nil {
 				return nil, err
 			}
 		}
-		if r.tail, err = createTail(tails, tailHeader); err != nil {
+		if r.tail, err = createTail(tailDir, tailHeader); err != nil {
 			logger.Warn("no tail for traces: a kill loses up to a second of them", zap.Error(err))
 		}
 	}
@@ -144,17 +145,17 @@
 		}
 		r.spare = append(r.spare, b)
 	}
-	go r.runWriter(tails)
+	go r.runWriter(tailDir)
 	return r, nil
 }
 
-// runWriter compresses blocks and writes them to segments. When a write fails it logs that once, drops the blocks that
-// follow, and tries again every writeRetryInterval with a new segment. The event loop then records the number of missing
-// txns in a GAP record.
-func (r *Recorder) runWriter(tails string) {
+// runWriter recovers tail files, then compresses blocks and writes them to segments. When a write fails, it logs that
+// once, drops the following blocks, and retries with a new segment every writeRetryInterval. The event loop records the
+// number of missing txns in a GAP record.
+func (r *Recorder) runWriter(tailDir string) {
 	defer close(r.done)
-	if tails != "" {
-		if err := recoverTails(r.segments.dir, tails, r.segments.header); err != nil {
+	if tailDir != "" {
+		if err := recoverTails(r.segments.dir, tailDir, r.segments.header); err != nil {
 			r.log.Warn("traces of a process that died stay in its tail", zap.Error(err))
 		}
 	}
@@ -181,7 +182,7 @@
 			failing = false
 		}
 		b.freeSlot()
-		r.returned <- b
+		r.freed <- b
 	}
 	if r.tail != nil {
 		defer r.tail.close()
@@ -197,7 +198,7 @@
 	r.lostSince.CompareAndSwap(0, b.lostSince)
 	r.lostTxns.Add(b.lostTxns)
 	b.freeSlot()
-	r.returned <- b
+	r.freed <- b
 }
 
 // Close ends the recording and waits for the writer. It is called from the event loop, or after the loop has ended.
@@ -218,12 +219,12 @@
 }
 
 // freeBuffers returns the number of free buffers.
-func (r *Recorder) freeBuffers() int { return len(r.spare) + len(r.returned) }
+func (r *Recorder) freeBuffers() int { return len(r.spare) + len(r.freed) }
 
-// prepare makes room for a record and reports whether there is any. A GAP record for skipped or lost txns is written
-// first.
+// prepare makes room for a record and reports whether there is any. It writes the pending TAKE, and a GAP record for
+// skipped or lost txns, first.
 func (r *Recorder) prepare(now logic.Nanos) bool {
-	if r.pending.open {
+	if r.pending.active {
 		r.writePending()
 	}
 	if r.cur != nil && len(r.cur.records) >= blockBytes {
@@ -238,11 +239,11 @@
 	return true
 }
 
-// nextBlock begins a block in the free buffer that was used last, and reports whether there was one.
+// nextBlock begins a block in the free buffer that was used last, and reports whether a buffer was free.
 func (r *Recorder) nextBlock(now logic.Nanos) bool {
 	for more := true; more; {
 		select {
-		case b := <-r.returned:
+		case b := <-r.freed:
 			r.spare = append(r.spare, b)
 		default:
 			more = false
@@ -278,12 +279,12 @@
 	lost := r.lostTxns.Swap(0)
 	if lost > 0 || (r.skippedTxns > 0 || r.skippedRecords > 0) && r.freeBuffers() >= reservedBuffers {
 		since := r.skippedSince
-		if at := r.lostSince.Swap(0); at != 0 && (since == 0 || at < since) {
-			since = at
+		if lostSince := r.lostSince.Swap(0); lostSince != 0 && (since == 0 || lostSince < since) {
+			since = lostSince
 		}
 		r.rec = Record{Kind: tracepb.Kind_GAP, At: int64(now), Number: r.skippedRecords, Token: lost + r.skippedTxns, Span: uint64(max(0, int64(now)-since))}
 		r.putRecord()
-		// If this block is lost too, its GAP record is lost with it, so the txns counted there count as lost again.
+		// If this block is lost too, so is its GAP record, and the txns that it counted must be counted as lost again.
 		r.cur.lostTxns += lost + r.skippedTxns
 		if since != 0 {
 			r.cur.lostSince = min(r.cur.lostSince, since)
@@ -326,7 +327,7 @@
 
 // enqueueBlock hands the current block to the writer. It never blocks: the queue has room for all buffers.
 func (r *Recorder) enqueueBlock() {
-	if r.pending.open {
+	if r.pending.active {
 		r.writePending()
 	}
 	if r.cur == nil || len(r.cur.records) == 0 {
@@ -337,9 +338,9 @@
 	r.cur = nil
 }
 
-// Flush hands the current block to the writer once it is flushAgeNanos old, so that a crash loses no more than that,
-// or tailFlushFactor times as old where a tail file preserves it: larger blocks compress better. It is called on each
-// tick of the housekeeping timer.
+// FlushStale hands the current block to the writer once it is older than flushAgeNanos, so that a crash loses no more
+// than that. With a tail file, which preserves the block in a crash, the age is tailFlushFactor times as long, because
+// larger blocks compress better. It is called on each tick of the housekeeping timer.
 func (r *Recorder) Flush(now logic.Nanos) {
 	if r.sampler != nil {
 		r.sampler.putOmitted(r, now)
@@ -354,7 +355,7 @@
 }
 
 // workerNumber returns the number of a worker in the current block, after writing a WORKER record if the block has none
-// of it yet. prepare must have succeeded before.
+// for the worker yet. prepare must have succeeded before.
 func (r *Recorder) workerNumber(now logic.Nanos, id logic.WorkerID) uint32 {
 	ref := r.workers[id]
 	if ref == nil {
@@ -379,7 +380,7 @@
 	}
 }
 
-// List records an update of the worker list.
+// UpdateWorkers records an update of the worker list.
 func (r *Recorder) List(now logic.Nanos, mode logic.ListMode, list []logic.Worker) {
 	msg := &tracepb.List{}
 	for _, w := range list {
@@ -397,7 +398,7 @@
 	r.putMessage(now, Record{Kind: tracepb.Kind_LIST, Number: uint32(mode)}, msg)
 }
 
-// News records an update of the state of the newest release.
+// ReleaseUpdate records an update of the state of the newest release.
 func (r *Recorder) News(now logic.Nanos, u logic.ReleaseUpdate) {
 	msg := &tracepb.News{Stage: int64(u.Stage), Answer: u.VoteReply, Build: int64(u.Rel), Cap: u.Cap, Phase: int64(u.Phase), Age: int64(u.Age),
 		Ending: int64(u.Ending)}
@@ -426,7 +427,7 @@
 	r.putRecord()
 }
 
-// Contested records that an answer was reported as wrong.
+// Contested records a report that an answer of a worker was wrong. age is the time since the answer.
 func (r *Recorder) Contested(now logic.Nanos, p logic.ProductID, id logic.WorkerID, age logic.Nanos) {
 	if r.prepare(now) {
 		n := r.workerNumber(now, id)
@@ -435,12 +436,12 @@
 	}
 }
 
-// Told records a message from another sentry.
+// PeerMessage records a message from another sentry.
 func (r *Recorder) Told(now logic.Nanos, from int, data []byte) {
 	r.putBytes(now, tracepb.Kind_TOLD, from, data)
 }
 
-// Tell records a message to another sentry.
+// SendToPeer records a message to another sentry.
 func (r *Recorder) Tell(now logic.Nanos, to int, data []byte) {
 	r.putBytes(now, tracepb.Kind_TELL, to, data)
 }
@@ -453,8 +454,8 @@
 	}
 }
 
-// Take records the arrival of a txn and reports whether it did. If it did not, the caller must not record anything else
-// of that txn. high and low are the halves of the trace id that the client sent, zeros if it sent none.
+// Take records the arrival of a txn and reports whether there was room for it. If not, the caller must not record
+// anything else about that txn. high and low are the halves of the trace id that the client sent, zeros if it sent none.
 func (r *Recorder) Take(now logic.Nanos, t *logic.Txn, serial, high, low uint64) bool {
 	if len(r.spare) < reservedBuffers && r.freeBuffers() < reservedBuffers || !r.prepare(now) {
 		if r.skippedTxns == 0 && r.skippedSince == 0 {
@@ -468,16 +469,16 @@
 		r.sampler.take(now, t, serial, high, low)
 		return true
 	}
-	r.pending = pendingTake{open: true, txn: *t, serial: serial, traceID: [2]uint64{high, low}}
+	r.pending = pendingTake{active: true, txn: *t, serial: serial, traceID: [2]uint64{high, low}}
 	r.pending.txn.Expiry -= now
 	r.rec.At = int64(now)
 	return true
 }
 
-// Settle writes the pending TAKE record. It is called when the module has handled its events, so that a tail file
-// holds all of their records if the process crashes afterwards.
+// WritePending writes the pending TAKE record, if any. It is called when the decision module has handled its events, so
+// that a tail file holds all of their records if the process crashes afterwards.
 func (r *Recorder) Settle() {
-	if r.pending.open {
+	if r.pending.active {
 		r.writePending()
 	}
 }
@@ -488,7 +489,7 @@
 // writeTake writes the pending TAKE together with the REMIND that followed it, if token is not 0.
 func (r *Recorder) writeTake(token, span uint64) {
 	t := &r.pending
-	t.open = false
+	t.active = false
 	now := r.rec.At
 	b, start := r.beginRecord(tracepb.Kind_TAKE, now)
 	b = putUint(b, tagTxn, uint64(t.txn.ID))
@@ -513,10 +514,10 @@
 	r.cur.addTake(t.serial, uint64(t.txn.Key), t.traceID, uint64(t.txn.Product))
 }
 
-// addTake adds a txn to the block's description.
+// addTake adds a txn to the block's description and its filter keys.
 func (b *block) addTake(serial, key uint64, id [2]uint64, product uint64) {
 	b.lostTxns++
-	b.info.Products |= 1 << min(product, 63)
+	b.info.Products |= 1 << min(product, lastProductBit)
 	if b.info.FirstSerial == 0 || serial < b.info.FirstSerial {
 		b.info.FirstSerial = serial
 	}
@@ -529,8 +530,8 @@
 	}
 }
 
-// maxBlockNames is the largest number of worker names in a block's description. Blocks with more workers list none, as
-// the description would outgrow the block.
+// maxBlockNames is the largest number of worker names in a block's description. The description of a block with more
+// workers has no names, because it could become larger than the block.
 const maxBlockNames = 64
 
 // addWorker adds a worker and its build to the block's description.
@@ -569,9 +570,9 @@
 	r.endRecord(putUint(b, tagToken, uint64(status)), start, int64(now))
 }
 
-// Event records an event or action that consists of numbers only.
+// Event records an event or action that has no fields but numbers.
 func (r *Recorder) Event(now logic.Nanos, kind Kind, txn logic.TxnID, number int, token, span uint64) {
-	if r.pending.open && kind == tracepb.Kind_REMIND && token != 0 && r.pending.submitted && int64(now) == r.rec.At {
+	if r.pending.active && kind == tracepb.Kind_REMIND && token != 0 && r.pending.submitted && int64(now) == r.rec.At {
 		r.pending.submitted = false
 		r.writeTake(token, span)
 		return
@@ -592,13 +593,13 @@
 		r.sampler.submit(now, t, w, timeout)
 		return
 	}
-	if r.pending.open && !r.pending.submitted && t == r.pending.txn.ID && timeout == 0 && int64(now) == r.rec.At && r.cur != nil {
+	if r.pending.active && !r.pending.submitted && t == r.pending.txn.ID && timeout == 0 && int64(now) == r.rec.At && r.cur != nil {
 		r.pending.submitted = true
 		ref := r.workers[w]
 		if ref == nil || ref.generation != r.generation {
-			r.pending.open = false // workerNumber writes a record, which must not write the pending TAKE
+			r.pending.active = false // the WORKER record must precede the TAKE, so it must not write the pending TAKE first
 			r.workerNumber(now, w)
-			r.pending.open = true
+			r.pending.active = true
 			ref = r.workers[w]
 		}
 		r.pending.worker = ref.number
@@ -607,8 +608,8 @@
 	r.putWorkerAction(now, tracepb.Kind_SUBMIT, t, w, timeout)
 }
 
-// Worker records an action that concerns a worker but no txn.
-func (r *Recorder) Worker(now logic.Nanos, kind Kind, w logic.WorkerID) {
+// WorkerAction records an action on a worker that concerns no txn.
+func (r *Recorder) WorkerAction(now logic.Nanos, kind Kind, w logic.WorkerID) {
 	r.putWorkerAction(now, kind, 0, w, 0)
 }
 
@@ -621,15 +622,14 @@
 	}
 }
 
-// Done reports that a txn has no further records. Where txns are sampled, this decides whether its records are
-// written.
+// TxnDone marks the end of a txn's records. A recorder that samples txns now writes the records or leaves them out.
 func (r *Recorder) Done(now logic.Nanos, t logic.TxnID) {
 	if r.sampler != nil {
 		r.sampler.finish(r, now, t)
 	}
 }
 
-// Log records a line that the module logged.
+// Log records a line that the decision module logged.
 func (r *Recorder) Log(now logic.Nanos, text string) {
 	if r.prepare(now) {
 		r.rec = Record{Kind: tracepb.Kind_LOG, At: int64(now), Text: text}
--- a/trace/store.go
+++ b/trace/store.go
@@ -16,12 +16,15 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Directory holds segments. OSDirectory is the implementation by the operating system; tests use ones that fail.
+// Directory stores segments. OSDirectory implements it in the operating system's file system; tests implement failing ones.
 type Directory interface {
+	// Create creates a file that does not exist yet.
 	Create(name string) (io.WriteCloser, error)
+	// Remove deletes a file.
 	Remove(name string) error
+	// List returns the segments, the oldest first.
 	List() ([]Segment, error)
-	// Replace writes a small file atomically: after a crash either the old or the new content is there in whole.
+	// Replace writes a small file atomically: after a crash it has either its old or its new content.
 	Replace(name string, data []byte) error
 }
 
@@ -32,10 +35,10 @@
 	Last time.Time `json:"last"` // time of the last write
 }
 
-// Disk is the path of a directory of the operating system.
+// OSDirectory is a directory in the operating system's file system, given by its path.
 type Disk string
 
-// Create creates a file, and the directory if need be; it fails if the file exists.
+// Create creates a file, and the directory if it does not exist. It fails if the file exists.
 func (d Disk) Create(name string) (io.WriteCloser, error) {
 	if err := os.MkdirAll(string(d), 0o755); err != nil {
 		return nil, err
@@ -55,18 +58,18 @@
 	if err != nil {
 		return nil, err
 	}
-	var out []Segment
+	var segments []Segment
 	for _, e := range entries {
 		info, err := e.Info()
 		if err == nil && strings.HasSuffix(e.Name(), Suffix) {
-			out = append(out, Segment{e.Name(), info.Size(), info.ModTime()})
+			segments = append(segments, Segment{e.Name(), info.Size(), info.ModTime()})
 		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Last.Before(out[j].Last) })
-	return out, nil
+	sort.Slice(segments, func(i, j int) bool { return segments[i].Last.Before(segments[j].Last) })
+	return segments, nil
 }
 
-// Replace writes a temporary file and renames it.
+// Replace writes a temporary file and renames it to name.
 func (d Disk) Replace(name string, data []byte) error {
 	tmp := filepath.Join(string(d), name+".new")
 	if err := os.WriteFile(tmp, data, 0o644); err != nil {
@@ -75,16 +78,19 @@
 	return os.Rename(tmp, filepath.Join(string(d), name))
 }
 
-// Suffix is the file name suffix of segments.
+// SegmentSuffix is the file name suffix of segments.
 const Suffix = ".dgt"
 
-const manifestName = "manifest.json"
+const (
+	manifestName    = "manifest.json"
+	manifestVersion = 1
+)
 
-// Keep limits the size and age of segments and the space they take.
+// Retention limits the size and age of segments, and the space that they take in total.
 type Keep struct {
 	SegmentBytes int64         // a segment is closed at this size
 	SegmentAge   time.Duration // or at this age
-	TotalBytes   int64         // limit for all segments of the directory together; the oldest are deleted first
+	TotalBytes   int64         // limit on the size of all segments in the directory; the oldest are deleted first
 }
 
 // segmentWriter writes the segments of one run of a sentry. It must be used by one goroutine at a time.
@@ -97,11 +103,11 @@
 	name      string
 	size      int64 // bytes written to the current segment
 	opened    time.Time
-	index     tracepb.Index
-	segment   uint32 // number of the next segment
+	index     tracepb.Index // of the current segment
+	segment   uint32        // number of the next segment
 }
 
-// namePrefix returns the part of the segments' names that is common to the run.
+// namePrefix returns the prefix that the names of all segments of the run share.
 func (s *segmentWriter) namePrefix() string {
 	return fmt.Sprintf("%s-s%d-%016x-", s.header.Edge, s.header.Sentry, s.header.Life)
 }
@@ -109,15 +115,15 @@
 // openSegment creates a segment and writes its header. clock is the sentry clock at its start.
 func (s *segmentWriter) openSegment(now time.Time, clock int64) error {
 	h := proto.Clone(s.header).(*tracepb.Header)
-	// The wall time is derived from the sentry clock, which never steps. Steps of the wall clock since the run's start are
-	// not reflected in it.
+	// The wall time is extrapolated from the run's start by the sentry clock, which never steps. Steps of the wall clock
+	// since then do not affect it.
 	h.Segment, h.Wall, h.Start = s.segment, h.Wall+clock-h.Start, clock
 	frame, err := headerFrame(h)
 	if err != nil {
 		return err
 	}
 	name := fmt.Sprintf("%s%06d%s", s.namePrefix(), s.segment, Suffix)
-	s.segment++ // the name is not used again after a failure, as a part of the file may exist
+	s.segment++ // the name is not reused after a failure, because a partial file may exist
 	file, err := s.dir.Create(name)
 	if err != nil {
 		return err
@@ -156,7 +162,7 @@
 	return nil
 }
 
-// abandon closes a segment without writing its index. Readers find its blocks by reading through it.
+// abandon closes the current segment without writing its index. Readers find its blocks by reading through the file.
 func (s *segmentWriter) abandon() {
 	if s.file != nil {
 		s.file.Close()
@@ -180,8 +186,8 @@
 	return err
 }
 
-// manifest is a list of the directory's segments for people and tools. The directory itself is authoritative: a manifest
-// that is out of date after a crash is rewritten from it.
+// manifest lists the directory's segments for people and tools. The directory itself is authoritative: a manifest that is
+// out of date after a crash is rewritten from it.
 type manifest struct {
 	Version  int       `json:"version"`
 	Segments []Segment `json:"segments"`
@@ -208,7 +214,7 @@
 		}
 		kept = append(kept, seg)
 	}
-	data, err := json.MarshalIndent(manifest{1, kept}, "", "  ")
+	data, err := json.MarshalIndent(manifest{manifestVersion, kept}, "", "  ")
 	if err == nil {
 		s.dir.Replace(manifestName, data)
 	}
