--- a/trace/clock.go
+++ b/trace/clock.go
@@ -14,14 +14,14 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Clock estimates the wall clock of a run relative to the reference clock, which is that of the first run.
+// Clock is the estimated relation of a run's wall clock to the reference clock, which is the clock of the first run.
 type Clock struct {
 	Middle int64   // the run's own wall clock at the middle of the recording, nanoseconds since 1970
 	Offset float64 // nanoseconds ahead of the reference clock at Middle
 	Drift  float64 // nanoseconds gained on the reference clock per nanosecond
 	Unsure int64   // largest error of the offset anywhere in the recording, nanoseconds; negative: unbounded
 	Bounds int     // number of events that bound the estimate
-	Broken int     // number of bounds ignored because they contradict the others
+	Broken int     // number of bounds that were ignored because they contradict the others
 }
 
 // ToReference converts a time of the run's own wall clock to the reference clock.
@@ -45,19 +45,19 @@
 type offsetBound struct {
 	at    int64   // clock j, nanoseconds since 1970
 	limit float64 // nanoseconds
-	lower bool    // limit is the least offset rather than the largest
+	lower bool    // limit is the smallest possible offset rather than the largest
 }
 
-// candidate is a possible offset and drift of a clock.
+// candidate is a possible offset (in nanoseconds) and drift (as a ratio) of a clock.
 type candidate struct{ offset, drift float64 }
 
-// region is the set of candidates that satisfy all bounds, a convex polygon. Each bound is a half-plane.
+// region is the set of candidates that satisfy all bounds. Each bound is a half-plane, so the region is a convex polygon.
 type region struct {
-	middle  int64       // time at which the candidates' offsets hold
-	corners []candidate // counterclockwise
+	middle  int64       // time to which the candidates' offsets refer, nanoseconds since 1970
+	corners []candidate // in counterclockwise order
 }
 
-// maxClockOffset is the largest offset considered between two clocks, in nanoseconds (one week).
+// maxClockOffset is the largest offset between two clocks that is considered, one week in nanoseconds.
 const maxClockOffset = float64(7 * 24 * 3600 * 1e9)
 
 func newRegion(middle int64) region {
@@ -114,20 +114,31 @@
 	return largest
 }
 
+const (
+	// maxFitPoints is the number of points above which fitLine computes slopes from a sample of them.
+	maxFitPoints = 300
+
+	// minSlopeNanos is the smallest distance of two points whose slope counts; noise dominates the slope of closer ones.
+	minSlopeNanos = 1e9
+
+	// minSlopes is the smallest number of slopes from which fitLine estimates a drift; with fewer it assumes none.
+	minSlopes = 10
+)
+
 // fitLine fits a line by the median slope and offset (Theil–Sen estimator), which tolerates many outliers. It samples
-// the points so that the number of slopes stays bounded.
+// the points to limit the number of slopes.
 func fitLine(middle int64, at []int64, diffs []float64) candidate {
 	var slopes, residuals []float64
-	step := 1 + len(at)/300
+	step := 1 + len(at)/maxFitPoints
 	for i := 0; i < len(at); i += step {
 		for k := i + 1; k < len(at); k += step {
-			if dt := float64(at[k] - at[i]); math.Abs(dt) > 1e9 {
+			if dt := float64(at[k] - at[i]); math.Abs(dt) > minSlopeNanos {
 				slopes = append(slopes, (diffs[k]-diffs[i])/dt)
 			}
 		}
 	}
 	c := candidate{}
-	if len(slopes) >= 10 {
+	if len(slopes) >= minSlopes {
 		c.drift = min(MaxDrift, max(-MaxDrift, median(slopes)))
 	}
 	for i := range at {
@@ -146,33 +157,33 @@
 	return (s[(len(s)-1)/2] + s[len(s)/2]) / 2
 }
 
-// recordRef identifies a record by its run and its position there.
+// recordRef identifies a record by its run and its position in the run.
 type recordRef struct {
 	run   int
 	at    int64 // the run's own wall clock, nanoseconds since 1970
-	index int   // among the run's records
+	index int   // position among the run's records, from 0
 }
 
-// happensBefore relates two records whose order is certain whatever the clocks show.
+// happensBefore relates two records whose order is certain regardless of the clocks.
 type happensBefore struct{ before, after recordRef }
 
-// attempt is a client's request that carried a trace id.
+// attempt is a request of a client that sent a trace id with it.
 type attempt struct {
 	taken, ended recordRef // ended.index is 0 if no end was recorded
-	repeat       bool      // the client marked it as a repeat
+	repeat       bool      // the client marked the request as a repeat
 }
 
-// clockEvidence holds the events by which the clocks of several runs can be compared.
+// clockEvidence holds the events that relate the clocks of several runs to each other.
 type clockEvidence struct {
-	start    []int64                  // first time by run, the run's own wall clock, nanoseconds since 1970
-	end      []int64                  // last time by run, likewise
+	start    []int64                  // by run: earliest time, the run's own wall clock, nanoseconds since 1970
+	end      []int64                  // by run: latest time, likewise
 	received map[uint64][]recordRef   // peer messages received, by messageKey
 	sent     map[uint64][]recordRef   // peer messages sent, by messageKey
 	attempts map[[2]uint64][]attempt  // by trace id
 	updates  []map[string][]recordRef // by run: release and worker updates from the platform
 }
 
-// collectEvidence reads all records of the runs once.
+// collectEvidence reads all records of the runs once and collects the events that relate their clocks.
 func collectEvidence(runs []*Life, onDamage func(string, Damage)) (*clockEvidence, error) {
 	s := &clockEvidence{start: make([]int64, len(runs)), end: make([]int64, len(runs)), received: map[uint64][]recordRef{}, sent: map[uint64][]recordRef{},
 		attempts: map[[2]uint64][]attempt{}}
@@ -206,7 +217,7 @@
 				var m tracepb.News
 				// The first update carries the state at start-up rather than a change.
 				if releaseUpdates++; releaseUpdates > 1 && proto.Unmarshal(r.Body, &m) == nil && !m.Answer {
-					// The update carries its age by the platform's clock: the release changed that long ago.
+					// The update's age, measured by the platform, dates back to the moment at which the release changed.
 					k := fmt.Sprintf("release %d %d %d %g", m.Build, m.Stage, m.Phase, m.Cap)
 					updates[k] = append(updates[k], recordRef{i, at - m.Age, index - 1})
 				}
@@ -227,7 +238,7 @@
 			}
 			if o, known := open[r.Txn]; known && r.Txn != 0 {
 				if end := endingAfter(ends[r.Txn], r); end != "cut" {
-					if end != "left" { // a client that left may have sent its next attempt before that
+					if end != "left" { // a client can send its next attempt before the edge sees that it left
 						s.attempts[o.traceID][o.index].ended = ref
 					}
 					delete(open, r.Txn)
@@ -253,9 +264,9 @@
 	return d.Sum64()
 }
 
-// certainOrder returns the relations that hold whatever the clocks show: a message was sent before it was received, and
-// a request that its client marks as a repeat came after the end of the previous attempt, or after its start if no end
-// was recorded.
+// certainOrder returns the relations that hold regardless of the clocks: a message was sent before it was received, and
+// a request that its client marked as a repeat came after the end of the previous attempt, or after the start of that
+// attempt if no end was recorded.
 func (s *clockEvidence) certainOrder() (relations []happensBefore) {
 	for k, to := range s.received {
 		if from := s.sent[k]; len(from) == 1 && len(to) == 1 && from[0].run != to[0].run {
@@ -275,7 +286,7 @@
 	return relations
 }
 
-// sortRelations sorts by the later record, which makes results independent of map order.
+// sortRelations sorts relations by their later record, so that results do not depend on map order.
 func sortRelations(relations []happensBefore) {
 	sort.Slice(relations, func(i, j int) bool {
 		a, b := relations[i].after, relations[j].after
@@ -283,7 +294,7 @@
 	})
 }
 
-// attemptOrder relates an attempt to the one after it.
+// attemptOrder relates attempt a to the later attempt b of the same client.
 func attemptOrder(a, b attempt) happensBefore {
 	if a.ended.index > 0 {
 		return happensBefore{a.ended, b.taken}
@@ -291,12 +302,12 @@
 	return happensBefore{a.taken, b.taken}
 }
 
-// EstimateClocks estimates each run's clock against that of the first. Messages and client repeats bound the difference
-// of two clocks because their order is certain; updates that the platform sends to all sentries bound it because they
-// arrive at about the same time. The bounds leave a region of offsets and drifts, a convex polygon, as in Duda, Harrus,
-// Haddad and Bernard, "Estimating global time in distributed systems", ICDCS 1987. The estimate is a point inside the
-// region, and the region's extent is the uncertainty. Runs that share no event with the first are related to it through
-// others, along the path of least uncertainty.
+// EstimateClocks estimates each run's clock relative to that of the first run. Messages and client repeats bound the
+// difference of two clocks because their order is certain; updates that the platform sends to all sentries bound it
+// because they arrive at about the same time. The bounds leave a region of offsets and drifts, a convex polygon, as in
+// Duda, Harrus, Haddad and Bernard, "Estimating global time in distributed systems", ICDCS 1987. The estimate is a point
+// inside the region, and the region's extent is the uncertainty. Runs that share no event with the first run are related
+// to it through other runs, along the path of least uncertainty.
 func Clocks(runs []*Life, onDamage func(path string, d Damage)) ([]Clock, error) {
 	s, err := collectEvidence(runs, onDamage)
 	if err != nil {
@@ -306,12 +317,12 @@
 	return clocks, nil
 }
 
-// estimateClocks also returns the relations that are certain once the clocks are estimated.
+// estimateClocks returns the estimated clocks and the relations that they are based on.
 func (s *clockEvidence) estimateClocks() ([]Clock, []happensBefore) {
 	certain := s.certainOrder()
 	clocks := s.solve(certain)
-	// Attempts with the same trace id add bounds where the estimate leaves no doubt about their order, even though no
-	// client marked them as repeats.
+	// Attempts with the same trace id that are not marked as repeats add bounds where the estimated clocks leave no doubt
+	// about their order.
 	extended := certain
 	for _, attempts := range s.attempts {
 		sort.Slice(attempts, func(i, j int) bool {
@@ -339,11 +350,11 @@
 // pairEstimate estimates the clock of one run relative to that of another.
 type pairEstimate struct {
 	region
-	fitted       *candidate // fits the updates that both received; nil if none does
-	best         candidate
-	uncertainty  float64 // largest error of best's offset, nanoseconds
-	bounds       int     // events that bound the estimate
-	contradicted int     // bounds ignored because they contradict the others
+	fitted       *candidate // line through the updates that both runs received; nil if there is none
+	best         candidate  // the estimate
+	uncertainty  float64    // largest error of best's offset, nanoseconds
+	bounds       int        // number of events that bound the estimate
+	contradicted int        // number of bounds ignored because they contradict the others
 }
 
 // estimatePair estimates the clock of run j relative to that of run i.
@@ -357,8 +368,8 @@
 	if p.contradicted == 0 {
 		p.applyUpdates(s.updates[i], s.updates[j])
 	} else {
-		// At least one certain bound is wrong, and it may be the first as well as any other. Start over from the
-		// platform's updates, most of which agree, so that the wrong bound is the one that contradicts them.
+		// At least one of the certain bounds is wrong, possibly the first. Start over from the platform's updates, most of
+		// which agree, so that the wrong bound is the one found to contradict the region.
 		*p = pairEstimate{region: newRegion(p.middle)}
 		p.applyUpdates(s.updates[i], s.updates[j])
 		p.applyBounds(certain)
@@ -370,7 +381,7 @@
 	return p
 }
 
-// applyBounds clips the region by bounds whose order is certain, and counts those that contradict it.
+// applyBounds clips the region by bounds from relations that are certain, and counts those that contradict it.
 func (p *pairEstimate) applyBounds(bounds []offsetBound) {
 	for _, x := range bounds {
 		p.bounds++
@@ -380,8 +391,11 @@
 	}
 }
 
-// applyUpdates clips the region by the platform's updates that each run received exactly once, so that the two
-// receptions belong together beyond doubt.
+// maxMarginDoublings limits how often applyUpdates doubles its margin to find a band that overlaps the region.
+const maxMarginDoublings = 20
+
+// applyUpdates clips the region by the platform's updates that each run received exactly once, so that there is no doubt
+// that both received the same update.
 func (p *pairEstimate) applyUpdates(first, second map[string][]recordRef) {
 	var at []int64
 	var diffs []float64
@@ -404,14 +418,14 @@
 		residuals = append(residuals, math.Abs(diffs[k]-line.offset-line.drift*float64(at[k]-p.middle)))
 	}
 	margin := max(5*median(residuals), maxUpdateSkew)
-	if len(at) < 5 { // too few events to show how late one can be
+	if len(at) < 5 { // too few updates to show how late one can be
 		margin = max(margin, 2*maxUpdateSkew)
 	}
-	// A band around each event would shrink the region with every event until it excluded the true clock, because
-	// updates are late at random. The band is therefore around the fitted line; updates that reached one of the two
-	// late lie far outside it and do not count.
+	// Updates are late at random, so a band around each of them would shrink the region until it excluded the true clock.
+	// A single band around the fitted line avoids that. Updates that reached one of the two runs late lie far outside it
+	// and do not count.
 	start, end := slices.Min(at), slices.Max(at)
-	for try := 0; try < 20; try, margin = try+1, margin*2 {
+	for try := 0; try < maxMarginDoublings; try, margin = try+1, margin*2 {
 		clipped, ok := region{p.middle, p.corners}, true
 		for _, t := range []int64{start, end + 1} {
 			mid := line.offset + line.drift*float64(t-p.middle)
@@ -430,11 +444,11 @@
 	}
 }
 
-// maxUpdateSkew is an assumed bound, in nanoseconds, on how much later one sentry receives an update than another. The
-// events cannot reveal a systematic lag, such as that of a platform that serves its sentries in turn.
+// maxUpdateSkew is an assumed bound, in nanoseconds, on how much later one sentry receives an update than another. It
+// covers a systematic lag, which the events cannot reveal, such as that of a platform that serves its sentries in turn.
 const maxUpdateSkew = 50e6
 
-// contains reports whether a candidate is in the region, whose corners are in counterclockwise order.
+// contains reports whether a candidate is in the region.
 func (r *region) contains(c candidate) bool {
 	for i, p := range r.corners {
 		q := r.corners[(i+1)%len(r.corners)]
@@ -445,14 +459,14 @@
 	return true
 }
 
-// solve estimates all clocks relative to the first, each along the path of least uncertainty (as Prim's algorithm grows
-// a tree).
+// solve estimates all clocks relative to the first. Each is reached along the path of least uncertainty: as in Prim's
+// algorithm, the next clock added is the one with the smallest total.
 func (s *clockEvidence) solve(relations []happensBefore) []Clock {
 	n := len(s.start)
 	certain := map[[2]int][]offsetBound{}
 	for _, c := range relations {
 		i, j := c.before.run, c.after.run
-		// The later record's clock is ahead of the earlier one's by at most the difference of their times.
+		// The clock of the later record is ahead of that of the earlier one by at most the difference of their times.
 		certain[[2]int{i, j}] = append(certain[[2]int{i, j}], offsetBound{c.after.at, float64(c.after.at - c.before.at), false})
 		certain[[2]int{j, i}] = append(certain[[2]int{j, i}], offsetBound{c.before.at, float64(c.before.at - c.after.at), true})
 	}
@@ -487,7 +501,7 @@
 		if best < 0 {
 			return clocks
 		}
-		// Compose the estimate relative to via's clock with via's own estimate.
+		// Compose the estimate relative to the clock via with the estimate of via itself.
 		p, via := pairs[[2]int{reference, best}], clocks[reference]
 		at := float64(p.middle) - p.best.offset // via's clock at p.middle
 		offset := p.best.offset + via.Offset + via.Drift*(at-float64(via.Middle))
--- a/trace/file.go
+++ b/trace/file.go
@@ -566,8 +566,8 @@
 	return nil, true
 }
 
-// filterContains looks up a key in an encoded filter: number of bits, number of hashes, number of bits again, and the bits,
-// all in big-endian words of eight bytes. It reads the filter in place, because the library's decoder would copy it.
+// filterContains looks up a key in an encoded filter: number of bits, number of hashes, number of bits again, and the
+// bits, all in big-endian words of eight bytes. It reads the filter in place; the library's decoder would copy it.
 func (f *File) filterContains(filter []byte, key uint64) bool {
 	if len(filter) < filterHeaderBytes+8 {
 		return true
--- a/trace/merge.go
+++ b/trace/merge.go
@@ -14,9 +14,9 @@
 // MergeResult describes a merge of several runs.
 type Merged struct {
 	Clocks  []Clock // by run
-	Records int     // written
-	Held    int     // delayed because their clock put them before a predecessor
-	Loops   int     // cycles of contradicting relations, each resolved by ignoring one relation
+	Records int     // number of merged records
+	Held    int     // number of records delayed because their clock put them before a predecessor
+	Loops   int     // number of cycles of contradicting relations, each resolved by ignoring one relation
 }
 
 // runStream yields a run's records in the order of its own clock.
@@ -26,16 +26,16 @@
 	clock      Clock
 	wallOffset int64  // the sentry's wall clock less its monotonic clock, nanoseconds
 	record     Record // the current record
-	worker     string // name of the record's worker
-	at         int64  // time of the record by the reference clock
-	minTime    int64  // time of the previous record: later ones cannot precede it
-	index      int    // of the record
-	done       bool
+	worker     string // name of its worker
+	at         int64  // its time by the reference clock
+	minTime    int64  // time of the previous record, which is the earliest possible for this one
+	index      int    // position of the record in the run
+	done       bool   // there are no more records
 	err        error
 }
 
-// orderedRecords returns a run's records in order, each with the name of its worker. It sorts the records of files that
-// hold a part of the txns, because those write a txn's records together, after its end.
+// orderedRecords returns a run's records in order of time, each with the name of its worker. It has to sort the records
+// of files that hold only a part of the txns, in which a txn's records are written together, after its end.
 func (l *Life) orderedRecords(onDamage func(string, Damage), err *error) iter.Seq2[Record, string] {
 	ordered := true
 	for _, h := range l.Headers {
@@ -53,9 +53,9 @@
 		}
 		var all []workerRecord
 		*err = l.Each(func(r *Record, names []string) bool {
-			x := *r
-			x.Body = append([]byte(nil), r.Body...)
-			all = append(all, workerRecord{x, names[r.Worker]})
+			record := *r
+			record.Body = append([]byte(nil), r.Body...)
+			all = append(all, workerRecord{record, names[r.Worker]})
 			return true
 		}, onDamage)
 		sort.SliceStable(all, func(i, j int) bool { return all[i].record.At < all[j].record.At })
@@ -79,60 +79,61 @@
 	s.minTime = s.at
 }
 
-// merger orders the records of several runs by the reference clock, and never puts a record before a predecessor.
+// merger orders the records of several runs by the reference clock, but no record before one of its predecessors.
 type merger struct {
 	result       Merged
 	streams      []*runStream
-	predecessors []map[int][]recordRef // by run and record index: the records that must come first
+	predecessors []map[int][]recordRef // by run and record index: the records that must precede that record
 }
 
-// mergeRecords calls do for each record of the runs in one order, with the index of its run and its time by the
-// reference clock. The error of a time is within its clock's Unsure.
-func mergeRecords(runs []*Life, onDamage func(string, Damage), do func(run int, at int64, r *Record, worker string) error) (*Merged, error) {
+// mergeRecords calls fn for each record of the runs in the merged order, with the index of its run and its time by the
+// reference clock. The error of a time is at most its clock's Unsure.
+func mergeRecords(runs []*Life, onDamage func(string, Damage), fn func(run int, at int64, r *Record, worker string) error) (*Merged, error) {
 	s, err := collectEvidence(runs, onDamage)
 	if err != nil {
 		return nil, err
 	}
 	clocks, relations := s.estimateClocks()
 	m := &merger{result: Merged{Clocks: clocks}}
-	// The first pass has reported all damage. A nil callback stays nil, which makes damage an error.
+	// collectEvidence has already reported all damage. A nil onDamage stays nil, because it makes damage an error.
 	ignoreDamage := func(string, Damage) {}
 	if onDamage == nil {
 		ignoreDamage = nil
 	}
 	for i, l := range runs {
-		x := &runStream{clock: clocks[i], wallOffset: l.Headers[0].Wall - l.Headers[0].Start, index: -1, minTime: -1 << 62}
-		x.next, x.stop = iter.Pull2(l.orderedRecords(ignoreDamage, &x.err))
-		defer x.stop()
-		m.streams = append(m.streams, x)
+		stream := &runStream{clock: clocks[i], wallOffset: l.Headers[0].Wall - l.Headers[0].Start, index: -1, minTime: -1 << 62}
+		stream.next, stream.stop = iter.Pull2(l.orderedRecords(ignoreDamage, &stream.err))
+		defer stream.stop()
+		m.streams = append(m.streams, stream)
 		m.predecessors = append(m.predecessors, map[int][]recordRef{})
 	}
-	// Sorting changes the indexes that collectEvidence saw, so files that are sorted take part by their clocks alone.
+	// Sorting changes the record indexes that collectEvidence saw, so files that are sorted are ordered by their clocks
+	// alone.
 	for _, c := range relations {
 		if runs[c.before.run].isWhole() && runs[c.after.run].isWhole() {
 			m.predecessors[c.after.run][c.after.index] = append(m.predecessors[c.after.run][c.after.index], c.before)
 		}
 	}
-	for _, x := range m.streams {
-		x.advance()
+	for _, stream := range m.streams {
+		stream.advance()
 	}
 	for {
 		k := m.nextStream()
 		if k < 0 {
 			break
 		}
-		x := m.streams[k]
-		if x.record.Kind != tracepb.Kind_WORKER && x.record.Kind != tracepb.Kind_BACK {
+		stream := m.streams[k]
+		if stream.record.Kind != tracepb.Kind_WORKER && stream.record.Kind != tracepb.Kind_BACK {
 			m.result.Records++
-			if err := do(k, x.at, &x.record, x.worker); err != nil {
+			if err := fn(k, stream.at, &stream.record, stream.worker); err != nil {
 				return nil, err
 			}
 		}
-		x.advance()
+		stream.advance()
 	}
-	for _, x := range m.streams {
-		if x.err != nil {
-			return nil, x.err
+	for _, stream := range m.streams {
+		if stream.err != nil {
+			return nil, stream.err
 		}
 	}
 	return &m.result, nil
@@ -141,21 +142,21 @@
 // isWhole reports whether the run's own file holds all of its records in order.
 func (l *Life) isWhole() bool { return l.Headers[0].Level == LevelWhole && l.origin == 0 }
 
-// nextStream returns the index of the stream whose record comes next, which is the earliest record without a pending
-// predecessor, or -1 at the end. If every record has one, the relations form a cycle; the earliest record breaks it.
+// nextStream returns the index of the stream with the earliest record that has no pending predecessor, or -1 at the end.
+// If every record has one, the relations form a cycle, which is broken by taking the earliest record.
 func (m *merger) nextStream() int {
 	best, blocked := -1, -1
-	for k, x := range m.streams {
-		if x.done {
+	for k, stream := range m.streams {
+		if stream.done {
 			continue
 		}
 		if !m.isReady(k) {
-			if blocked < 0 || x.at < m.streams[blocked].at {
+			if blocked < 0 || stream.at < m.streams[blocked].at {
 				blocked = k
 			}
 			continue
 		}
-		if best < 0 || x.at < m.streams[best].at {
+		if best < 0 || stream.at < m.streams[best].at {
 			best = k
 		}
 	}
@@ -166,33 +167,33 @@
 	return best
 }
 
-// isReady reports whether all predecessors of a stream's record have passed. If so, it delays the record to the time of
-// the latest one where its own clock puts it earlier.
+// isReady reports whether all predecessors of a stream's current record are merged. If so, and if the record's own clock
+// puts it before the latest of them, isReady delays it to the time of that predecessor.
 func (m *merger) isReady(k int) bool {
-	x := m.streams[k]
-	predecessors := m.predecessors[k][x.index]
+	stream := m.streams[k]
+	predecessors := m.predecessors[k][stream.index]
 	for _, c := range predecessors {
-		if y := m.streams[c.run]; !y.done && y.index <= c.index {
+		if other := m.streams[c.run]; !other.done && other.index <= c.index {
 			return false
 		}
 	}
 	if len(predecessors) == 0 {
 		return true
 	}
-	earliest := x.at
+	earliest := stream.at
 	for _, c := range predecessors {
 		earliest = max(earliest, m.streams[c.run].clock.ToReference(c.at))
 	}
-	if earliest > x.at {
+	if earliest > stream.at {
 		m.result.Held++
-		x.at, x.minTime = earliest, earliest
+		stream.at, stream.minTime = earliest, earliest
 	}
-	delete(m.predecessors[k], x.index)
+	delete(m.predecessors[k], stream.index)
 	return true
 }
 
 // Merge writes several runs to one file, ordered by the reference clock. The file is marked as partial and cannot be
-// replayed, because its times are no longer those on which the decisions were made.
+// replayed, because its times are not those at which the decisions were made.
 func Merge(runs []*Life, w io.Writer, onDamage func(path string, d Damage)) (*Merged, error) {
 	if len(runs) == 0 {
 		return nil, fmt.Errorf("trace: nothing to merge")
@@ -213,18 +214,19 @@
 	}
 	clocks, _ := s.estimateClocks()
 	for i, l := range runs {
-		x := l.Headers[0]
+		header := l.Headers[0]
 		h.Origins = append(h.Origins, &tracepb.Header_Origin{Edge: l.Edge, Sentry: l.Sentry, Life: l.ID, Offset: int64(clocks[i].Offset),
-			Drift: clocks[i].Drift, Middle: clocks[i].Middle, Unsure: clocks[i].Unsure, Settings: x.Settings, Module: x.Module, Level: x.Level, OneIn: x.OneIn})
+			Drift: clocks[i].Drift, Middle: clocks[i].Middle, Unsure: clocks[i].Unsure, Settings: header.Settings, Module: header.Module,
+			Level: header.Level, OneIn: header.OneIn})
 	}
 	fw, err := newFileWriter(w, h)
 	if err != nil {
 		return nil, err
 	}
 	result, err := mergeRecords(runs, onDamage, func(run int, at int64, r *Record, worker string) error {
-		x := *r
-		x.At, x.Origin = at, uint32(run+1)
-		return fw.writeRecord(x, worker)
+		record := *r
+		record.At, record.Origin = at, uint32(run+1)
+		return fw.writeRecord(record, worker)
 	})
 	if err != nil {
 		return nil, err
@@ -232,14 +234,14 @@
 	return result, fw.close()
 }
 
-// splitMergedFile returns the runs that a merged file was made of. Their times are by the reference clock.
+// splitMergedFile returns the runs that were merged into a file. Their times are by the reference clock.
 func splitMergedFile(path string, h *tracepb.Header) []*Life {
 	var runs []*Life
 	for i, o := range h.Origins {
-		x := proto.Clone(h).(*tracepb.Header)
-		x.Origins, x.Edge, x.Sentry, x.Life, x.Settings, x.Module = nil, o.Edge, o.Sentry, o.Life, o.Settings, o.Module
-		x.Wall, x.Start, x.OneIn = 0, 0, o.OneIn
-		runs = append(runs, &Life{ID: o.Life, Edge: o.Edge, Sentry: o.Sentry, Paths: []string{path}, Headers: []*tracepb.Header{x}, origin: uint32(i + 1),
+		header := proto.Clone(h).(*tracepb.Header)
+		header.Origins, header.Edge, header.Sentry, header.Life, header.Settings, header.Module = nil, o.Edge, o.Sentry, o.Life, o.Settings, o.Module
+		header.Wall, header.Start, header.OneIn = 0, 0, o.OneIn
+		runs = append(runs, &Life{ID: o.Life, Edge: o.Edge, Sentry: o.Sentry, Paths: []string{path}, Headers: []*tracepb.Header{header}, origin: uint32(i + 1),
 			ClockUncertainty: o.Unsure, sourceLevel: o.Level})
 	}
 	return runs
--- a/trace/store.go
+++ b/trace/store.go
@@ -16,7 +16,8 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Directory stores segments. OSDirectory implements it in the operating system's file system; tests implement failing ones.
+// Directory stores segments. OSDirectory implements it on the operating system's file system; tests use implementations
+// that fail.
 type Directory interface {
 	// Create creates a file that does not exist yet.
 	Create(name string) (io.WriteCloser, error)
