--- a/trace/follow.go
+++ b/trace/follow.go
@@ -16,15 +16,15 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Query selects txns by name (s1-4711 is sentry 1, serial 4711), by key or by trace id.
+// Query selects txns by name (s1-4711 is sentry 1, serial 4711), by trace id or by key.
 type Query struct {
-	Sentry  int // -1: any
-	Serial  uint64
-	Key     uint64
-	TraceID [2]uint64
+	Sentry  int       // -1: any
+	Serial  uint64    // 0: selected by TraceID or Key
+	Key     uint64    // hash of the key; used if both Serial and TraceID are zero
+	TraceID [2]uint64 // upper and lower half; used if Serial is 0
 }
 
-// ParseQuery parses a txn's name, a W3C traceparent or a trace id. Any other text is a key as clients send it.
+// ParseQuery parses a txn's name, a W3C traceparent or a trace id. It takes any other text as a key sent by a client.
 func ParseQuery(text string) Query {
 	q := Query{Sentry: -1}
 	if rest, found := strings.CutPrefix(text, "s"); found {
@@ -52,17 +52,17 @@
 	return q
 }
 
-// A trace id that the edge generates consists of the sentry's run id and the txn's serial, multiplied by an odd constant
-// to spread its bits. It identifies the txn by itself and is therefore not recorded.
+// A trace id that the edge generates consists of the id of the sentry's run and of the txn's serial, multiplied by an odd
+// constant to spread its bits. It can be computed from the run and the serial and is therefore not recorded.
 const (
 	mixer         = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
-	serialInverse = 0xf1de83e19937733d // the multiplicative inverse, modulo 2^64
+	serialInverse = 0xf1de83e19937733d // multiplicative inverse modulo 2^64
 )
 
 // MixSerial returns the lower half of a trace id that the edge generates.
 func MixSerial(serial uint64) uint64 { return serial * mixer }
 
-// forRun translates a trace id that the edge generated for a txn of the run into that txn's serial.
+// forRun returns the query for use with a run: a trace id that the edge generated in that run becomes a txn's serial.
 func (q Query) forRun(l *Life) Query {
 	if q.TraceID[0] == l.ID && l.ID != 0 {
 		return Query{Sentry: int(l.Sentry), Serial: q.TraceID[1] * serialInverse}
@@ -103,27 +103,27 @@
 	Product string
 	Key     uint64
 	TraceID [2]uint64
-	Wall    time.Time // when it was taken, by the edge's wall clock, approximate
-	Taken   int64     // likewise by the sentry's monotonic clock, nanoseconds
-	Expiry  int64     // the sentry's monotonic clock, nanoseconds
+	Wall    time.Time // approximate time at which it was taken, the edge's wall clock
+	Taken   int64     // time at which it was taken, the sentry's clock, nanoseconds
+	Expiry  int64     // the sentry's clock, nanoseconds
 	Steps   []Step
 	End     string        // settled, declined, voided, left, or cut if the trace ends before the txn
 	Unsure  time.Duration `json:",omitempty"` // largest error of Wall relative to other sentries; negative: unbounded
 	run     *Life
-	product int
-	id      uint64
-	pending int  // submissions without an outcome
-	done    bool // ended, and no submission is pending
+	product int    // index in the header's products
+	id      uint64 // the sentry's id of the txn
+	pending int    // number of submissions without an outcome
+	done    bool   // the txn has ended and no submission is pending
 }
 
 // Name returns the name by which a query finds the txn.
 func (h *TxnHistory) Name() string { return fmt.Sprintf("s%d-%d", h.Sentry, h.Serial) }
 
-// Step is one decision about a txn, or one event.
+// Step is one decision about a txn, or one event. Most fields are those of its Record.
 type Step struct {
-	At      int64
+	At      int64 // the sentry's clock, nanoseconds
 	Kind    Kind
-	Number  uint32
+	Number  uint32 // number of the submission, from 0
 	Worker  string
 	Build   int64
 	Trial   bool // the build was on trial at the time, as far as the sentry knew
@@ -140,8 +140,8 @@
 	logic.Skipped: "not sent", logic.Disconnected: "connection broke", logic.ErrorResponse: "error", logic.ConnectFailed: "no connection",
 	logic.MalformedResponse: "spoilt"}
 
-// Follow returns the histories of the selected txns. It reads only blocks that may hold them, skips damaged parts and
-// reports these to onDamage.
+// Follow returns the histories of the selected txns. It reads only blocks that may hold them. It skips damaged parts and
+// passes them to onDamage.
 func Follow(runs []*Life, q Query, onDamage func(path string, d Damage)) ([]*TxnHistory, error) {
 	var histories []*TxnHistory
 	for _, l := range runs {
@@ -184,7 +184,7 @@
 				case tracepb.Kind_NEWS, tracepb.Kind_STANDING:
 					if l.origin == 0 || r.Origin == l.origin {
 						release.Reset()
-						proto.Unmarshal(r.Body, &release) // an unreadable body leaves no release
+						proto.Unmarshal(r.Body, &release) // if the body is malformed, no release is assumed
 					}
 					return true
 				}
@@ -222,7 +222,7 @@
 	return histories, nil
 }
 
-// addRecord adds a record of the txn to its history. The build and whether it is on trial are those of r's worker.
+// addRecord adds a record of the txn to its history. build is that of the record's worker, trial whether it is on trial.
 func (h *TxnHistory) addRecord(r *Record, names []string, build int64, trial bool) {
 	step := Step{At: r.At, Kind: r.Kind, Number: r.Number, Worker: names[r.Worker], Ending: logic.Ending(r.Ending), Elapsed: time.Duration(r.Elapsed),
 		Token: r.Token, Span: time.Duration(r.Span)}
@@ -240,7 +240,7 @@
 	h.done = h.End != "cut" && h.pending == 0
 }
 
-// submissions returns the submissions so far, by number.
+// submissions returns the steps of the submissions so far, in the order of their numbers.
 func (h *TxnHistory) submissions() (list []*Step) {
 	for i := range h.Steps {
 		if h.Steps[i].Kind == tracepb.Kind_SUBMIT {
@@ -250,7 +250,7 @@
 	return list
 }
 
-// explain fills in a step's What and Why from the step and those before it.
+// explain sets a step's What and Why, which depend on the step and on those before it.
 func (h *TxnHistory) explain(step *Step) {
 	submissions := h.submissions()
 	workerOf := func(n uint32) string {
@@ -303,7 +303,7 @@
 	}
 }
 
-// endReason returns why a txn was declined or voided.
+// endReason returns the reason why a txn was declined or voided.
 func (h *TxnHistory) endReason() string {
 	submitted := len(h.submissions())
 	for i := len(h.Steps) - 1; i >= 0; i-- {
@@ -317,7 +317,8 @@
 	return "no worker could be sent it"
 }
 
-// endingAfter returns a txn's ending after one more of its records, which is "cut" until its end is recorded.
+// endingAfter returns a txn's ending after another of its records, given the ending before it. The ending is "cut" until
+// the txn's end is recorded.
 func endingAfter(end string, r *Record) string {
 	switch {
 	case r.Kind == tracepb.Kind_DECLINE:
@@ -332,7 +333,7 @@
 	return end
 }
 
-// printHeader writes which txn it is and how it ended.
+// printHeader writes the txn's name, product, time, ending and trace id.
 func (h *TxnHistory) printHeader(w io.Writer) {
 	fmt.Fprintf(w, "txn %s at edge %s: %s, taken about %s, patience %v, %s\n", h.Name(), h.Edge, h.Product, h.Wall.Format(time.RFC3339Nano),
 		time.Duration(h.Expiry-h.Taken).Round(time.Millisecond), map[bool]string{true: "no end recorded: the trace ends before the txn did", false: h.End}[h.End == "cut"])
--- a/trace/otel.go
+++ b/trace/otel.go
@@ -21,8 +21,8 @@
 
 // ExportSpans writes runs as OpenTelemetry TracesData (opentelemetry-proto, trace/v1). Each txn becomes a root span, with
 // the trace id that its client sent or the edge generated, a child span for each submission, and events for decisions.
-// The output is a sequence of TracesData messages without length prefixes, which protobuf's merge rule for repeated fields
-// makes a single valid TracesData. ExportSpans returns the number of spans.
+// The output is a sequence of TracesData messages without length prefixes. Because protobuf concatenates repeated fields,
+// it decodes as a single TracesData. ExportSpans returns the number of spans.
 func ExportSpans(runs []*Life, clocks []Clock, w io.Writer, onDamage func(path string, d Damage)) (int, error) {
 	out := bufio.NewWriterSize(w, 1<<20)
 	written := 0
@@ -48,16 +48,16 @@
 type spanExporter struct {
 	run         *Life
 	out         *bufio.Writer
-	open        map[uint64]*TxnHistory
-	builds      map[string]int64
-	release     *tracepb.News
-	spans       []*otlp.Span
-	toReference func(int64) int64
-	written     int
+	open        map[uint64]*TxnHistory // txns that are not done, by id
+	builds      map[string]int64       // by worker
+	release     *tracepb.News          // latest release update
+	spans       []*otlp.Span           // pending
+	toReference func(int64) int64      // converts the run's wall clock to the reference clock, nanoseconds
+	written     int                    // number of spans
 	err         error
 }
 
-// addRecord adds a record to the history of its txn, and the txn's spans to the export once it is done.
+// addRecord adds a record to the history of its txn, and exports the txn's spans once the txn is done.
 func (e *spanExporter) addRecord(r *Record, names []string) error {
 	header := e.run.Headers[0]
 	switch r.Kind {
@@ -66,7 +66,7 @@
 		return e.err
 	case tracepb.Kind_NEWS, tracepb.Kind_STANDING:
 		e.release.Reset()
-		proto.Unmarshal(r.Body, e.release) // an unreadable body leaves no release
+		proto.Unmarshal(r.Body, e.release) // if the body is malformed, no release is assumed
 		return e.err
 	case tracepb.Kind_TAKE:
 		h := &TxnHistory{Edge: e.run.Edge, Sentry: e.run.Sentry, Serial: r.Serial, Key: r.Key, TraceID: r.TraceID, Taken: r.At, Expiry: r.At + int64(r.Patience),
@@ -106,12 +106,12 @@
 	return &common.KeyValue{Key: key, Value: &common.AnyValue{Value: &common.AnyValue_IntValue{IntValue: v}}}
 }
 
-// spanID returns the id of a txn's span: the root span for 0, that of submission n for n+1.
+// spanID returns the id of span n of a txn: 0 is the root span, 1 that of submission 0, and so on.
 func (e *spanExporter) spanID(h *TxnHistory, n uint64) []byte {
 	return binary.BigEndian.AppendUint64(nil, ((h.Serial<<4|n)*mixer^e.run.ID)|1)
 }
 
-// addSpans adds the spans of a txn that is done, or that is still open at the end of the run.
+// addSpans adds the spans of a txn that is done or, at the end of the run, still open.
 func (e *spanExporter) addSpans(h *TxnHistory) {
 	traceID := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, h.TraceID[0]), h.TraceID[1])
 	end := h.Steps[len(h.Steps)-1].At
@@ -174,7 +174,7 @@
 	return err
 }
 
-// finish writes the spans of the txns that are still open, in the order in which they were taken, and flushes.
+// finish adds the spans of the txns that are still open, in the order of their serials, and flushes.
 func (e *spanExporter) finish() error {
 	var unended []*TxnHistory
 	for _, h := range e.open {
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -15,17 +15,17 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Life is the trace of one run of a sentry, from its start to its end: all its segments in order. File names and headers
-// call the id of a run its life.
+// Run is the trace of one run of a sentry, from its start to its end: all of its segments in order. In file names and
+// headers, the id of a run is called its life.
 type Life struct {
 	ID               uint64
 	Edge             string
 	Sentry           uint32
-	Paths            []string
-	Headers          []*tracepb.Header
-	ClockUncertainty int64  // of a merged file: bound in nanoseconds on the clock's error against the first run's clock; negative: unknown
-	origin           uint32 // in a merged file: position in the header's list of origins, from 1; 0: not a merged file
-	sourceLevel      uint32 // of a merged file: level of the file that this run was merged from
+	Paths            []string          // of the files, in order
+	Headers          []*tracepb.Header // by file
+	ClockUncertainty int64             // in a merged file: largest error of times relative to the first run, nanoseconds; negative: unbounded
+	origin           uint32            // in a merged file: position in the header's list of origins, from 1; 0: not a merged file
+	sourceLevel      uint32            // in a merged file: level of the file that this run was merged from
 }
 
 // Level returns the level of detail of the run's trace.
@@ -36,8 +36,8 @@
 	return l.Headers[0].Level
 }
 
-// Lives finds the segments among files and directories and groups them by run. Files that are not traces are listed in
-// the error; the runs found are returned all the same.
+// FindRuns finds the segments among files and directories and groups them by run. The error lists the files that are not
+// traces; the runs found are returned even then.
 func Lives(paths []string) ([]*Life, error) {
 	var files []string
 	var errs []error
@@ -91,8 +91,8 @@
 	return runs, errors.Join(errs...)
 }
 
-// appendTail appends the tail file, which holds what the process has not written to segments yet or, if it was killed,
-// never will.
+// appendTail appends the run's tail file, if there is one. It holds the blocks that the process has not written to
+// segments yet or that, if it was killed, it never will.
 func (l *Life) appendTail() {
 	path := tailPath(TailDir, l.ID)
 	f, _, err := readTail(path)
@@ -170,7 +170,7 @@
 	return f, func() { f.Close(); in.Close() }, nil
 }
 
-// Each calls fn for every record of the run, in order, until fn returns false. Damage is passed to onDamage, or returned
+// Each calls fn for each record of the run, in order, until fn returns false. Damage is passed to onDamage, or returned
 // as an error if onDamage is nil.
 func (l *Life) Each(fn func(r *Record, names []string) bool, onDamage func(path string, d Damage)) error {
 	return l.eachSkipping(fn, onDamage, nil)
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// eachInFile calls fn for the records of one file, except blocks with a number up to lastNumber, and reports whether the
-// caller has to go on.
+// eachInFile calls fn for the records of one file, except those in blocks with a number up to lastNumber, and reports
+// whether fn asked for more records.
 func (l *Life) eachInFile(path string, lastNumber *uint64, fn func(r *Record, names []string) bool, onDamage func(path string, d Damage),
 	skip func(f *File, i int) bool) (more bool, err error) {
 	f, done, err := OpenPath(path)
@@ -205,7 +205,7 @@
 	}
 	defer done()
 	for _, d := range f.Damages {
-		// A truncated end is normal after a crash and affects nothing before it.
+		// A truncated end of the file is normal after a crash and affects no records before it.
 		if d.Till == f.size && onDamage == nil {
 			continue
 		}
@@ -238,23 +238,23 @@
 	return true, nil
 }
 
-// Replayed is the result of a replay.
+// ReplayResult is the result of a replay.
 type Replayed struct {
-	Events, Actions int // replayed events and matching actions
-	Txns            int
+	Events, Actions int    // number of events replayed, and of actions that match the recorded ones
+	Txns            int    // number of txns replayed
 	Differs         string // first difference, "" if there is none
 	At              int64  // sentry clock at the first difference
-	OtherVersion    bool   // recorded by another version of the decision module
+	OtherVersion    bool   // the run was recorded by another version of the decision module
 }
 
-// Reasons why a run cannot be replayed, or no further.
+// Reasons why a run cannot be replayed, or only up to some record.
 var (
 	ErrGap     = errors.New("trace: records are missing here, so the decisions cannot be replayed any further")
 	ErrSampled = errors.New("trace: the trace does not hold all records of all txns, so it cannot be replayed")
 	ErrNoStart = errors.New("trace: the record of the sentry's start is missing, so the decisions cannot be replayed")
 )
 
-// action is an action of the decision module, in a form that can be compared.
+// action is an action of the decision module in a comparable form.
 type action struct {
 	kind   Kind
 	txn    uint64
@@ -279,43 +279,43 @@
 // actionCollector is the decision module's Sink in a replay. It collects the actions.
 type actionCollector struct{ actions []action }
 
-func (p *actionCollector) add(a action) { p.actions = append(p.actions, a) }
+func (c *actionCollector) add(a action) { c.actions = append(c.actions, a) }
 
 // Submit and the methods below implement logic.Sink.
-func (p *actionCollector) Submit(t logic.TxnID, w logic.WorkerID, timeout logic.Nanos) {
-	p.add(action{kind: tracepb.Kind_SUBMIT, txn: uint64(t), worker: string(w), span: uint64(timeout)})
+func (c *actionCollector) Submit(t logic.TxnID, w logic.WorkerID, timeout logic.Nanos) {
+	c.add(action{kind: tracepb.Kind_SUBMIT, txn: uint64(t), worker: string(w), span: uint64(timeout)})
 }
-func (p *actionCollector) Cancel(t logic.TxnID, number int) {
-	p.add(action{kind: tracepb.Kind_CANCEL, txn: uint64(t), number: uint32(number)})
+func (c *actionCollector) Cancel(t logic.TxnID, number int) {
+	c.add(action{kind: tracepb.Kind_CANCEL, txn: uint64(t), number: uint32(number)})
 }
-func (p *actionCollector) Decline(t logic.TxnID, after logic.Nanos) {
-	p.add(action{kind: tracepb.Kind_DECLINE, txn: uint64(t), span: uint64(after)})
+func (c *actionCollector) Decline(t logic.TxnID, after logic.Nanos) {
+	c.add(action{kind: tracepb.Kind_DECLINE, txn: uint64(t), span: uint64(after)})
 }
-func (p *actionCollector) Void(t logic.TxnID) {
-	p.add(action{kind: tracepb.Kind_VOID, txn: uint64(t)})
+func (c *actionCollector) Void(t logic.TxnID) {
+	c.add(action{kind: tracepb.Kind_VOID, txn: uint64(t)})
 }
-func (p *actionCollector) SetTimer(after logic.Nanos, token uint64) {
-	p.add(action{kind: tracepb.Kind_REMIND, token: token, span: uint64(after)})
+func (c *actionCollector) SetTimer(after logic.Nanos, token uint64) {
+	c.add(action{kind: tracepb.Kind_REMIND, token: token, span: uint64(after)})
 }
-func (p *actionCollector) Vote(v logic.Verdict, rel logic.RelID, stage int) {
-	p.add(action{kind: tracepb.Kind_VOTE, number: uint32(v), token: uint64(rel), span: uint64(stage)})
+func (c *actionCollector) Vote(v logic.Verdict, rel logic.RelID, stage int) {
+	c.add(action{kind: tracepb.Kind_VOTE, number: uint32(v), token: uint64(rel), span: uint64(stage)})
 }
-func (p *actionCollector) WatchWorkers() { p.add(action{kind: tracepb.Kind_WATCH}) }
-func (p *actionCollector) SendToPeer(to int, data []byte) {
-	p.add(action{kind: tracepb.Kind_TELL, number: uint32(to), text: string(data)})
+func (c *actionCollector) WatchWorkers() { c.add(action{kind: tracepb.Kind_WATCH}) }
+func (c *actionCollector) SendToPeer(to int, data []byte) {
+	c.add(action{kind: tracepb.Kind_TELL, number: uint32(to), text: string(data)})
 }
-func (p *actionCollector) Log(text string) { p.add(action{kind: tracepb.Kind_LOG, text: text}) }
+func (c *actionCollector) Log(text string) { c.add(action{kind: tracepb.Kind_LOG, text: text}) }
 
-// isAction reports whether a kind is that of an action of the decision module.
+// isAction reports whether records of a kind are actions of the decision module.
 func isAction(k Kind) bool { return k >= tracepb.Kind_SUBMIT && k <= tracepb.Kind_LOG }
 
 // Replay runs the decision module on the recorded events of a run and compares its actions with the recorded ones, up to
-// the first difference. The error is the reason why the run could not be replayed, or no further.
+// the first difference. The error is the reason why the run could not be replayed, or only up to some record.
 func Replay(l *Life) (*Replayed, error) {
 	return replay(l, nil)
 }
 
-// replay is Replay under other settings; nil for the recorded ones.
+// replay is like Replay under the given settings; nil stands for the recorded ones.
 func replay(l *Life, settings map[string]any) (*Replayed, error) {
 	if l.Headers[0].Level != 0 {
 		return &Replayed{}, ErrSampled
@@ -377,7 +377,7 @@
 	return res, err
 }
 
-// applyEvent passes a recorded event to the decision module; a START creates the module.
+// applyEvent passes a recorded event to the decision module. A START creates the module.
 func (res *Replayed) applyEvent(sentry **logic.Sentry, now logic.Nanos, r *Record, names []string, settings map[string]any, sink *actionCollector) error {
 	switch r.Kind {
 	case tracepb.Kind_START:
