--- a/trace/rules.go
+++ b/trace/rules.go
@@ -14,7 +14,7 @@
 	"dunegrade/trace/tracepb"
 )
 
-// RuleViolation is a violation of a rule that a trace shows.
+// RuleViolation is a violation of a rule found in a trace.
 type RuleViolation struct {
 	Rule   int
 	Sentry uint32
@@ -31,23 +31,23 @@
 	return fmt.Sprintf("rule %d, %s: %s%s", v.Rule, v.At.UTC().Format(time.RFC3339Nano), txn, v.Text)
 }
 
-// RulesOptions configures a check of the rules.
+// RulesOptions configures CheckRules.
 type RulesPlan struct {
-	Settings map[string]any // of the decision module; nil: those recorded with each run
-	Cores    float64        // of a worker of weight 1; 0: skip rule 4, because traces do not record a worker's capacity
+	Settings map[string]any // settings of the decision module; nil: those recorded with each run
+	Cores    float64        // number of cores of a worker of weight 1, which traces do not record; 0: skip rule 4
 }
 
-// RulesReport is the result of a check of the rules.
+// RulesReport is the result of CheckRules.
 type RulesReport struct {
 	Txns, Submissions int
-	Trials            int // submissions to a build on trial
-	Broken            []RuleViolation
-	Not               []string // checks that were not possible, and why
+	Trials            int             // number of submissions to a build on trial
+	Broken            []RuleViolation // the violations
+	Not               []string        // checks that were not possible, each with the reason
 	Clocks            []Clock
 }
 
-// CheckRules checks recorded runs against the five rules: each run by its own clock, and for rule 4, which concerns all
-// sentries together, in the merged order. It trusts the content and the order of a run's records, and shares no code with
+// CheckRules checks recorded runs against the five rules: each run by its own clock, and in the merged order for rule 4,
+// which concerns all sentries together. It trusts the content and the order of a run's records, and shares no code with
 // the decision module. The lab's checker verifies the same rules independently of traces, at the sockets.
 func CheckRules(runs []*Life, options RulesPlan, onDamage func(path string, d Damage)) (*RulesReport, error) {
 	report := &RulesReport{}
@@ -110,8 +110,8 @@
 type checkedSubmission struct {
 	worker  string
 	at      int64 // the sentry's clock, nanoseconds
-	pending bool  // without an outcome
-	unseen  bool  // it never reached its worker
+	pending bool  // it has no outcome yet
+	unseen  bool  // its worker never received it
 }
 
 // checkedTxn is the state of an open txn. Times are by the sentry's clock, in nanoseconds.
@@ -134,15 +134,15 @@
 	zone         int64
 	cell         int64
 	up           bool
-	downSince    int64 // when the sentry learned that the worker is not up
-	start        int64 // 0: long past
-	startKnownAt int64 // when the sentry learned of the start
+	downSince    int64 // time at which the sentry learned that the worker is not up
+	start        int64 // time of the worker's start; 0: long ago
+	startKnownAt int64 // time at which the sentry learned of the start
 }
 
 // checkedProduct holds a product's settings.
 type checkedProduct struct {
 	effect, group string
-	memory        int64 // nanoseconds
+	memory        int64 // time for which workers remember a txn, nanoseconds
 }
 
 // sentryChecker checks the rules that concern a single sentry.
@@ -151,33 +151,33 @@
 	report        *RulesReport
 	settings      map[string]any
 	products      []checkedProduct
-	open          map[uint64]*checkedTxn
-	workers       map[string]*checkedWorker
-	release       tracepb.News
+	open          map[uint64]*checkedTxn    // by id
+	workers       map[string]*checkedWorker // by name
+	release       tracepb.News              // latest release update, if releaseKnown
 	releaseKnown  bool
-	previousCap   float64
+	previousCap   float64                 // cap before the latest release update
 	capChangedAt  int64                   // the sentry's clock, nanoseconds
-	windows       map[int]*exposureWindow // by product, or -1 for all
-	answeredBy    map[uint64]int64        // by key: the build on trial or released that answered it
+	windows       map[int]*exposureWindow // by product; -1 for all products together
+	answeredBy    map[uint64]int64        // by key: the newest release's build, if it answered a txn of the key
 	at            int64                   // time of the current record by the reference clock
 	lastAt        int64                   // time of the current record by the sentry's clock
 	ended         bool                    // the run's end is recorded
-	partial       bool                    // txns are missing, so exposure cannot be checked
-	windowTrials  int                     // submissions in the window of the latest submission to a build on trial
-	windowAllowed float64                 // submissions allowed in that window
+	partial       bool                    // txns are missing from the trace, so exposure cannot be checked
+	windowTrials  int                     // number of trial submissions in the window that ends at the latest one
+	windowAllowed float64                 // number of submissions allowed in that window
 }
 
-// exposureWindow holds what counts for the exposure of one product or of all.
+// exposureWindow holds the txns and submissions that count for the exposure of one product, or of all products together.
 type exposureWindow struct {
 	takes  []takenTxn
-	trials map[int64][]int64 // times of submissions by build on trial
+	trials map[int64][]int64 // by build on trial: times of submissions, the sentry's clock, nanoseconds
 }
 
 // takenTxn is a txn in an exposure window.
 type takenTxn struct {
-	at    int64
-	cap   float64 // in force when the txn was taken
-	build int64   // to which the cap applied
+	at    int64   // the sentry's clock, nanoseconds
+	cap   float64 // cap in force when the txn was taken
+	build int64   // build to which the cap applied
 }
 
 func newSentryChecker(l *Life, options RulesPlan, report *RulesReport) (*sentryChecker, error) {
@@ -186,7 +186,7 @@
 	if s.settings == nil {
 		s.settings = map[string]any{}
 		if err := json.Unmarshal(l.Headers[0].Settings, &s.settings); err != nil {
-			return nil, fmt.Errorf("trace: the header's settings: %w", err)
+			return nil, fmt.Errorf("trace: decoding the header's settings: %w", err)
 		}
 	}
 	for i := 0; i < int(s.number("products.count")); i++ {
@@ -204,7 +204,7 @@
 func (s *sentryChecker) text(name string) string    { v, _ := s.settings[name].(string); return v }
 func (s *sentryChecker) flag(name string) bool      { v, _ := s.settings[name].(bool); return v }
 
-// addViolation reports a violation. The txn may be nil.
+// addViolation adds a violation to the report. txn is nil if the violation concerns none.
 func (s *sentryChecker) addViolation(rule int, txn *checkedTxn, format string, args ...any) {
 	v := RuleViolation{Rule: rule, Sentry: s.run.Sentry, At: time.Unix(0, s.at), Text: fmt.Sprintf(format, args...)}
 	if txn != nil {
@@ -213,12 +213,12 @@
 	s.report.Broken = append(s.report.Broken, v)
 }
 
-// checkRecord updates the state by one record of the run, and checks it.
+// checkRecord checks one record of the run and updates the state.
 func (s *sentryChecker) checkRecord(r *Record, worker string) {
 	s.lastAt = r.At
 	switch r.Kind {
 	case tracepb.Kind_GAP:
-		// Open txns may have gone on without a record.
+		// Records of the open txns may be missing.
 		clear(s.open)
 		s.report.Not = append(s.report.Not, fmt.Sprintf("sentry %d: %d txns were not recorded; those open at the time are not checked", s.run.Sentry, r.Token))
 		s.partial = true
@@ -268,7 +268,7 @@
 	return checkedProduct{effect: "once-only"}
 }
 
-// updateWorkers applies a worker list, whole or of changes.
+// updateWorkers applies a worker list, either a whole one or changes.
 func (s *sentryChecker) updateWorkers(r *Record) {
 	var list tracepb.List
 	if proto.Unmarshal(r.Body, &list) != nil || logic.ListMode(r.Number) == logic.ListUnavailable {
@@ -340,7 +340,7 @@
 	return s.windows[product]
 }
 
-// checkAnswer checks that a txn is answered once and in time (rule 1).
+// checkAnswer checks rule 1: a txn is answered only once, and in time.
 func (s *sentryChecker) checkAnswer(txn *checkedTxn, at int64) {
 	txn.answers++
 	if txn.answers > 1 {
@@ -414,13 +414,13 @@
 	}
 }
 
-// checkExposure checks a submission to a build on trial against the cap and the guarded stages (rule 5).
+// checkExposure checks rule 5 for a submission to a build on trial: the cap and the guarded stages.
 func (s *sentryChecker) checkExposure(txn *checkedTxn, r *Record, build int64) {
 	if build < s.release.Build || build == s.release.Build && s.release.Phase == int64(logic.Released) {
 		return
 	}
 	s.report.Trials++
-	// A rise of the cap applies at once, a fall only after the drain grace.
+	// An increase of the cap applies at once, a decrease only after the drain grace.
 	exposureCap, stage := s.release.Cap, s.release.Stage
 	if build > s.release.Build {
 		exposureCap, stage = s.number("release.caps.0"), 0
@@ -463,10 +463,11 @@
 	}
 }
 
-// endRecordSlack is added to the expiry and the answer slack before a missing end counts as a violation.
+// endRecordSlack is the time after a txn's expiry and the answer slack from which a missing end is a violation.
 const endRecordSlack = 100 * time.Millisecond
 
-// finish checks the txns that are still open at the end of the run (rule 1).
+// finish reports txns without a recorded end (rule 1): all that are open at the recorded end of the run, or, if the trace
+// ends before the run does, those whose time is over.
 func (s *sentryChecker) finish() {
 	slack := int64(s.number("rules.answer-slack")) + int64(endRecordSlack)
 	for _, txn := range s.open {
@@ -476,30 +477,30 @@
 	}
 }
 
-// fallWindow is the time after an overload within which a lost connection counts as its effect.
+// fallWindow is the time after an overload within which a lost connection is attributed to it.
 const fallWindow = 500 * time.Millisecond
 
-// coldStartChecker checks what all sentries together send to a worker that has just started (rule 4).
+// coldStartChecker checks rule 4: the work that all sentries together send to a worker that has just started.
 type coldStartChecker struct {
 	options RulesPlan
 	report  *RulesReport
-	workers map[string]*coldWorker
+	workers map[string]*coldWorker // by name
 }
 
 // coldWorker is a worker that has just started. Times are by the reference clock, in nanoseconds.
 type coldWorker struct {
 	start        int64
-	recent       []sentWork // within the last rules.fall-after
-	overloadedAt int64      // 0: never
-	startKnown   bool       // two thirds of the work came from sentries that knew of the start
+	recent       []sentWork // work sent within the last rules.fall-after
+	overloadedAt int64      // time of the first overload; 0: none
+	startKnown   bool       // unused
 	reason       string     // text of the violation
-	reported     bool
+	reported     bool       // the violation is in the report
 }
 
-// sentWork is the estimated cost of a submission, in nanoseconds, and its time.
+// sentWork is the time of a submission by the reference clock and its estimated cost, both in nanoseconds.
 type sentWork struct{ at, cost int64 }
 
-// checkRecord sums up the work sent to cold workers, and reports a worker whose connections are lost after an overload.
+// checkRecord sums the work sent to cold workers, and reports a worker that loses a connection after an overload.
 func (c *coldStartChecker) checkRecord(s *sentryChecker, at int64, r *Record, worker string) {
 	switch r.Kind {
 	case tracepb.Kind_SUBMIT:
@@ -536,8 +537,8 @@
 				time.Duration(capacity).Round(time.Millisecond))
 		}
 	case tracepb.Kind_OUTCOME:
-		// Costs are estimates, so too much work is no violation by itself. A worker that fails from overload loses its
-		// connections.
+		// Costs are estimates, so an overload alone is no violation. A worker that fails from overload loses its
+		// connections, and only then is the overload reported.
 		txn := s.open[r.Txn]
 		if txn == nil || int(r.Number) >= len(txn.submissions) || logic.Ending(r.Ending) != logic.Disconnected {
 			return
--- a/trace/sampler.go
+++ b/trace/sampler.go
@@ -8,20 +8,20 @@
 // Levels of detail of a file. Only files with LevelWhole can be replayed.
 const (
 	LevelWhole     = 0 // every record
-	LevelPart      = 1 // txns that were cut out of another file
-	LevelSampled   = 2 // all txns that failed or were left by their client, and a share of the others chosen by key
-	LevelDecisions = 3 // decisions without outcomes
+	LevelPart      = 1 // a selection of another file's txns, or several files merged
+	LevelSampled   = 2 // all txns that failed or whose client left, and a fraction of the others, chosen by key
+	LevelDecisions = 3 // all decisions, without outcomes
 )
 
-// InSample reports whether a sample of one in n includes the txns of a key. All sentries choose the same keys.
+// InSample reports whether a sample of one in n keys includes a key. All sentries choose the same keys.
 func InSample(key uint64, n uint32) bool {
-	// The hash is mixed once more because the lowest bit of every key is set.
+	// The key, though a hash, is mixed once more because its lowest bit is always set.
 	return n <= 1 || (key*mixer)>>32%uint64(n) == 0
 }
 
-// heldRecord is a record of a txn in progress, in a form that takes little memory.
+// heldRecord is a record of a txn in progress in a compact form.
 type heldRecord struct {
-	at, span     int64 // nanoseconds; span is the elapsed time of an outcome
+	at, span     int64 // nanoseconds; span holds Elapsed in the case of an outcome
 	worker       logic.WorkerID
 	load         logic.Load
 	token        uint32
@@ -37,19 +37,19 @@
 	serial   uint64
 	txn      logic.Txn
 	traceID  [2]uint64
-	takenAt  int64
+	takenAt  int64        // sentry clock, nanoseconds
 	records  []heldRecord // its memory is reused by the next txn of the slot
-	failed   bool
-	answered bool // the client was answered with a status below 500, or its answer has begun
+	failed   bool         // it was declined, voided, left by its client or answered with a status of 500 or above
+	answered bool         // the client was answered with a status below 500, or an answer is being streamed
 }
 
 // sampler holds the records of each txn until its end, which decides whether they are written.
 type sampler struct {
 	level     uint32
-	oneIn     uint32
-	txns      []heldTxn // indexed by slotMask bits of the txn's id
-	omitted   uint64    // txns left out since the last LEFT_OUT record
-	omittedAt int64     // sentry clock of that record
+	oneIn     uint32    // one in this number of keys is in the sample
+	txns      []heldTxn // by slot, see slotMask
+	omitted   uint64    // number of txns left out since the last LEFT_OUT record
+	omittedAt int64     // sentry clock at that record, nanoseconds
 }
 
 // slotMask selects the lower 20 bits of a txn's id, which are its slot in the edge's table of txns in progress.
@@ -69,7 +69,7 @@
 	return &s.txns[slot]
 }
 
-// take begins to hold a txn.
+// take begins to hold the records of a txn.
 func (s *sampler) take(now logic.Nanos, t *logic.Txn, serial, high, low uint64) {
 	slot := int(t.ID & slotMask)
 	for slot >= len(s.txns) {
@@ -107,11 +107,12 @@
 	held.records = append(held.records, rec)
 }
 
-// event holds a record of numbers only if it belongs to a txn, and reports whether the caller has to write it at once.
+// event holds the record of an event or action if it belongs to a txn. It reports whether the caller has to write the
+// record at once instead.
 func (s *sampler) event(now logic.Nanos, kind Kind, t logic.TxnID, number int, token, span uint64) bool {
 	switch kind {
 	case tracepb.Kind_TIMER, tracepb.Kind_REMIND:
-		return false // only a replay needs them
+		return false // only a replay needs these, and sampled traces cannot be replayed
 	}
 	if t == 0 {
 		return true
@@ -130,7 +131,7 @@
 	return false
 }
 
-// finish ends a txn: it writes its records or leaves them out.
+// finish ends a txn. It writes the txn's records or leaves them out.
 func (s *sampler) finish(r *Recorder, now logic.Nanos, t logic.TxnID) {
 	held := s.lookup(t)
 	if held == nil {
@@ -148,7 +149,7 @@
 	s.writeTxn(r, now, held, uint64(t))
 }
 
-// writeTxn writes all records of a txn, after a BACK record if it began before the last record written.
+// writeTxn writes all records of a txn, after a BACK record if the txn was taken before the time of the last record.
 func (s *sampler) writeTxn(r *Recorder, now logic.Nanos, held *heldTxn, id uint64) {
 	if r.freeBuffers() < reservedBuffers || !r.prepare(now) {
 		if r.skippedTxns == 0 && r.skippedSince == 0 {
@@ -192,7 +193,7 @@
 	}
 }
 
-// putOmitted writes the number of txns left out, at most every flushAgeNanos, so that totals can be computed from the
+// putOmitted records the number of txns left out, at most once per flushAgeNanos, so that totals can be computed from the
 // trace.
 func (s *sampler) putOmitted(r *Recorder, now logic.Nanos) {
 	if s.omitted == 0 || int64(now)-s.omittedAt < flushAgeNanos || !r.prepare(now) {
--- a/trace/sequence.go
+++ b/trace/sequence.go
@@ -21,14 +21,14 @@
 	titleTextStyle = "font-family:sans-serif;font-size:13px;font-weight:bold"
 )
 
-// sequenceDiagram draws a timeline.
+// sequenceDiagram draws a timeline. A lane is the vertical line of a participant.
 type sequenceDiagram struct {
 	canvas    *svg.SVG
-	lanes     []string
-	laneIndex map[string]int
+	lanes     []string       // names, from left to right
+	laneIndex map[string]int // by name
 }
 
-// laneCenter returns the x coordinate of a lane's center. An unknown name gets the next lane.
+// laneCenter returns the x coordinate of the center of a lane. It adds a lane for a name that has none yet.
 func (d *sequenceDiagram) laneCenter(name string) int {
 	index, known := d.laneIndex[name]
 	if !known {
@@ -48,8 +48,8 @@
 		d.laneCenter(sentryLane(h))
 	}
 	for _, entry := range t.Entries {
-		if center := t.Histories[entry.History].Steps[entry.Step]; center.Worker != "" {
-			d.laneCenter(center.Worker)
+		if step := t.Histories[entry.History].Steps[entry.Step]; step.Worker != "" {
+			d.laneCenter(step.Worker)
 		}
 	}
 	ew := &errorKeepingWriter{w: w}
@@ -124,7 +124,7 @@
 	d.canvas.Text(min(from, to)+8, y-5, label, smallTextStyle+";fill:"+color)
 }
 
-// errorKeepingWriter keeps the first error, because the drawing library returns none.
+// errorKeepingWriter keeps the first write error, because the drawing library ignores errors.
 type errorKeepingWriter struct {
 	w   io.Writer
 	err error
