--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -55,7 +55,7 @@
 	pending     pendingTake
 	lastRelease []byte        // last release update with ending OK, as an encoded tracepb.News
 	sampler     *sampler      // nil: every record is written at once
-	spare       []*block      // free buffers owned by the event loop; the last one was used last and may still be in the CPU cache
+	spare       []*block      // free buffers; the last one was used last and may still be in the CPU cache
 	tail        *tailFile     // nil: none
 	blockCount  uint64        // blocks begun so far
 	freed       chan *block   // buffers that the writer has finished with
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -23,8 +23,8 @@
 	Sentry           uint32
 	Paths            []string          // of the files, in order
 	Headers          []*tracepb.Header // by file
-	ClockUncertainty int64             // in a merged file: largest error of times relative to the first run, nanoseconds; negative: unbounded
-	origin           uint32            // in a merged file: position in the header's list of origins, from 1; 0: not a merged file
+	ClockUncertainty int64             // in a merged file: largest error of its times, nanoseconds; negative: unbounded
+	origin           uint32            // in a merged file: position in the header's origins, from 1; otherwise 0
 	sourceLevel      uint32            // in a merged file: level of the file that this run was merged from
 }
 
--- a/trace/summary.go
+++ b/trace/summary.go
@@ -20,20 +20,20 @@
 type Summary struct {
 	Lives    int // number of runs
 	Records  int
-	Missing  uint64 // txns that were not recorded
+	Missing  uint64 // number of txns that were not recorded
 	First    time.Time
 	Last     time.Time
 	Products []*ProductStats
 	Workers  []*SubmissionStats
 	Builds   []*SubmissionStats
-	Votes    map[string]int
-	LeftOut  uint64 `json:",omitempty"` // settled txns of all products that sampling left out
-	Series   []Bucket
+	Votes    map[string]int // number of votes by verdict
+	LeftOut  uint64         `json:",omitempty"` // number of settled txns, of all products, that sampling left out
+	Series   []Bucket       // by second
 	Tests    []VerdictTest
 	Exposure []*Exposure
 }
 
-// Bucket holds the counts of one second.
+// Bucket holds the statistics of one second.
 type Bucket struct {
 	At         time.Time
 	Taken      int
@@ -41,13 +41,13 @@
 	Declined   int
 	Voided     int
 	Left       int
-	Trial      int     // submissions that ended, at the build on trial
-	TrialBad   int     // of these, not OK
-	Others     int     // submissions that ended, at other builds
-	OthersBad  int     // of these, not OK
-	TrialTime  float64 // mean duration of OK submissions at the build on trial, ms
-	OthersTime float64 // mean duration of OK submissions at other builds, ms
-	Cap        float64 // largest cap in force at a sentry
+	Trial      int     // ended submissions to the build on trial
+	TrialBad   int     // those of Trial that did not end in OK
+	Others     int     // ended submissions to other builds
+	OthersBad  int     // those of Others that did not end in OK
+	TrialTime  float64 // mean duration of OK submissions to the build on trial, ms
+	OthersTime float64 // mean duration of OK submissions to other builds, ms
+	Cap        float64 // largest cap in force at any sentry
 }
 
 // VerdictTest is the result of a sentry's statistical test at the time of a verdict.
@@ -56,20 +56,21 @@
 	Sentry  uint32
 	Verdict string
 	Build   int
-	Pairs   float64
-	Against float64
-	For     float64
+	Pairs   float64 // number of pairs compared, weighted by their age
+	Against float64 // those of Pairs that the build lost
+	For     float64 // those of Pairs that the build won
 	P       float64 // p-value
-	Spread  float64
+	Spread  float64 // p-value without the worst workers of either side
 }
 
-// Exposure describes how much of its allowance for a build on trial a sentry used, in the window of highest use.
+// Exposure describes which part of its allowance for a build on trial a sentry used, in the exposure window in which that
+// part was largest.
 type Exposure struct {
 	Sentry      uint32
 	Build       int64
-	Submissions int       // in the whole run
-	Most        int       // submissions in the window
-	Allowed     float64   // submissions allowed in the window
+	Submissions int       // number of submissions in the whole run
+	Most        int       // number of submissions in the window
+	Allowed     float64   // number of submissions allowed in the window
 	At          time.Time // end of the window
 }
 
@@ -81,27 +82,30 @@
 	Declined    int
 	Voided      int
 	Left        int
-	Open        int // without a recorded end
+	Open        int // number of txns without a recorded end
 	Submissions int
-	P50, P99    float64 // ms from taken to settled
-	times       *hdrhistogram.Histogram
+	P50, P99    float64                 // time from taking to settling a txn, ms
+	times       *hdrhistogram.Histogram // likewise, µs
 }
 
 // SubmissionStats holds statistics on the submissions to a worker or a build.
 type SubmissionStats struct {
 	Name        string
 	Submissions int
-	Endings     map[string]int
-	P50, P99    float64 // ms, of OK submissions
-	times       *hdrhistogram.Histogram
+	Endings     map[string]int          // number of submissions by ending
+	P50, P99    float64                 // duration of OK submissions, ms
+	times       *hdrhistogram.Histogram // likewise, µs
 }
 
+// maxSummarisedSends limits the submissions of a txn whose outcomes count for a worker and a build.
+const maxSummarisedSends = 16
+
 // openTxn is a txn that has not ended or has submissions without an outcome.
 type openTxn struct {
 	taken       int64 // the sentry's clock, nanoseconds
 	product     int
-	pending     int        // submissions without an outcome
-	workers     [16]string // by submission
+	pending     int                        // number of submissions without an outcome
+	workers     [maxSummarisedSends]string // names, by submission
 	submissions int
 	ended       bool
 }
@@ -111,24 +115,24 @@
 	summary      *Summary
 	workers      map[string]*SubmissionStats
 	builds       map[string]*SubmissionStats
-	workerBuilds map[string]int64 // build by worker, from the worker list
-	open         map[uint64]*openTxn
-	products     []string
-	wallOffset   int64 // wall clock less the sentry's clock, nanoseconds
-	release      tracepb.News
+	workerBuilds map[string]int64    // build by worker, from the worker list
+	open         map[uint64]*openTxn // by id
+	products     []string            // names, by index
+	wallOffset   int64               // wall clock less the sentry's clock, nanoseconds
+	release      tracepb.News        // latest release update
 	buckets      map[int64]*Bucket   // by second since 1970
-	rules        *sentryChecker      // counts exposure as the rule check does
+	rules        *sentryChecker      // computes exposure as CheckRules does
 	exposure     map[int64]*Exposure // by build
 	sentry       uint32
 }
 
-// maxDurationMicros is the largest duration that the histograms resolve, in µs. Longer ones count as one hour.
+// maxDurationMicros is the largest duration in the histograms, one hour in µs. Longer durations count as one hour.
 const maxDurationMicros = 3_600_000_000
 
-// verdictTexts names a recorded verdict.
+// verdictTexts names the verdicts by their number in a VOTE record.
 var verdictTexts = map[uint32]string{0: "none", 1: "on", 2: "hold", 3: "back"}
 
-// Summarise computes statistics over the runs. It skips damaged parts and reports them to onDamage.
+// Summarise computes statistics over the runs. It skips damaged parts and passes them to onDamage.
 func Summarise(runs []*Life, onDamage func(path string, d Damage)) (*Summary, error) {
 	s := &summariser{buckets: map[int64]*Bucket{}, summary: &Summary{Lives: len(runs), Votes: map[string]int{}},
 		workers: map[string]*SubmissionStats{}, builds: map[string]*SubmissionStats{}}
@@ -206,7 +210,7 @@
 	return list
 }
 
-// statsFor returns the statistics of a worker or build, which it creates if need be.
+// statsFor returns the statistics of a worker or build, and creates them if there are none.
 func statsFor(byName map[string]*SubmissionStats, name string) *SubmissionStats {
 	if byName[name] == nil {
 		byName[name] = &SubmissionStats{Name: name, Endings: map[string]int{}, times: hdrhistogram.New(1, maxDurationMicros, 3)}
@@ -222,7 +226,7 @@
 	switch r.Kind {
 	case tracepb.Kind_NEWS, tracepb.Kind_STANDING:
 		s.release.Reset()
-		proto.Unmarshal(r.Body, &s.release) // an unreadable body leaves no release
+		proto.Unmarshal(r.Body, &s.release) // if the body is malformed, no release is assumed
 		return
 	case tracepb.Kind_LEFT_OUT:
 		s.summary.LeftOut += r.Token
@@ -321,7 +325,7 @@
 	return bucket
 }
 
-// countOutcome counts the end of a submission for the build on trial or for the others.
+// countOutcome counts the end of a submission, either for the build on trial or for the other builds.
 func (s *summariser) countOutcome(bucket *Bucket, r *Record, build int64) {
 	ending := logic.Ending(r.Ending)
 	if ending == logic.Cancelled || ending == logic.Skipped {
@@ -339,7 +343,7 @@
 	}
 }
 
-// updateExposure keeps, for each build on trial, the window that came nearest to its allowance.
+// updateExposure keeps, for each build on trial, the exposure window that came nearest to its allowance.
 func (s *summariser) updateExposure(r *Record, names []string) {
 	rules := s.rules
 	if rules.partial {
--- a/trace/tail.go
+++ b/trace/tail.go
@@ -17,13 +17,12 @@
 	"dunegrade/trace/tracepb"
 )
 
-// A tail file holds the blocks of a sentry that are not written to a segment yet, in shared memory: it is mapped from a
-// file system in memory. What a process had recorded until it was killed is read from there, and no event loop has to
-// wait for a disk to make that possible.
+// A tail file holds the blocks of a sentry that are not written to a segment yet. It is a shared memory mapping of a file
+// on a file system in memory. The records of a killed process survive there, and no event loop has to wait for a disk.
 //
-// The file begins with a page that holds the marker, the length of a Header and that Header. Then follow the slots, one
-// for each buffer, each with a header of 64 bytes: the number of the block in its run (0: the slot is free), its first
-// time, and the size of the records that follow, all little-endian.
+// The file begins with a page that holds the marker, the length of a Header and that Header. The slots follow, one for
+// each buffer. Each begins with a header of 64 bytes: the number of the block in its run (0: the slot is free), the time
+// of its first record, and the size of its records, all little-endian. The records follow.
 
 // TailSuffix is the file name suffix of tail files.
 const TailSuffix = ".tail"
@@ -35,7 +34,7 @@
 	// tailHeaderBytes is the size of the page at the start of a tail file.
 	tailHeaderBytes = 4096
 
-	// tailLengthOffset is the offset of the Header's length in that page, behind the marker.
+	// tailLengthOffset is the offset of the Header's length in that page, after the marker.
 	tailLengthOffset = 8
 
 	// tailMessageOffset is the offset of the Header in that page.
@@ -44,12 +43,14 @@
 	// slotHeaderBytes is the size of a slot's header.
 	slotHeaderBytes = 64
 
-	// slotFirstOffset and slotSizeOffset are the offsets of the block's first time and of the size of its records in a
-	// slot's header; the block's number is at offset 0.
+	// slotFirstOffset is the offset of the block's first time in a slot's header. The block's number is at offset 0.
 	slotFirstOffset = 8
-	slotSizeOffset  = 16
 
-	// slotBytes is the size of a slot. Records go a quarter over blockBytes at most, except for very long worker lists.
+	// slotSizeOffset is the offset of the size of the block's records in a slot's header.
+	slotSizeOffset = 16
+
+	// slotBytes is the size of a slot. A block's records exceed blockBytes by at most a quarter, except after a very long
+	// worker list.
 	slotBytes = slotHeaderBytes + blockBytes + blockBytes/4
 )
 
@@ -67,7 +68,7 @@
 	return filepath.Join(dir, fmt.Sprintf("dunegrade-%016x%s", runID, TailSuffix))
 }
 
-// createTail creates, maps and locks a tail file. A locked tail file belongs to a running process.
+// createTail creates, locks and maps a tail file. The lock shows that its process is running.
 func createTail(dir string, h *tracepb.Header) (t *tailFile, err error) {
 	head, err := proto.Marshal(h)
 	if err != nil {
@@ -91,7 +92,7 @@
 	if err := unix.Flock(fd, unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return nil, err
 	}
-	// Reserve the memory now: if the file system ran out of memory later, a write to the mapping would raise SIGBUS and
+	// Reserve the memory now. If the file system ran out of memory later, a write to the mapping would raise SIGBUS and
 	// terminate the process.
 	if err := unix.Fallocate(fd, 0, 0, int64(size)); err != nil {
 		return nil, err
@@ -112,7 +113,7 @@
 	return t.mem[start : start+slotBytes : start+slotBytes]
 }
 
-// close unmaps and removes the tail file, once all blocks are in segments.
+// close unmaps and removes the tail file. It is called once all blocks are in segments.
 func (t *tailFile) close() {
 	unix.Munmap(t.mem)
 	os.Remove(t.path)
@@ -134,7 +135,7 @@
 func (b *block) updateSlot() {
 	if b.slot != nil {
 		n := uint64(len(b.records))
-		if n > slotBytes-slotHeaderBytes { // the records were reallocated outside the slot, for a very long worker list
+		if n > slotBytes-slotHeaderBytes { // a very long worker list made append move the records out of the slot
 			n = 0
 		}
 		binary.LittleEndian.PutUint64(b.slot[slotSizeOffset:], n)
@@ -148,7 +149,7 @@
 	}
 }
 
-// readTail reads a tail file as a trace file with an index, and reports whether its process is running.
+// readTail reads a tail file and converts it to a trace file with an index. It reports whether its process is running.
 func readTail(path string) (*File, bool, error) {
 	in, err := os.Open(path)
 	if err != nil {
@@ -198,7 +199,7 @@
 			return nil, running, fmt.Errorf("%s: %w", path, err)
 		}
 		info.Number = u.number
-		// The frame is encoded again, so that it holds the number.
+		// Encode the frame again, with the block's number.
 		if frame, info, err = w.enc.encodeBlockWithInfo(info, w.enc.keys, u.records); err != nil {
 			return nil, running, err
 		}
@@ -215,19 +216,19 @@
 }
 
 const (
-	// lockReleaseWait is the time for which the lock of a killed process may outlive it: the kernel closes the files after
-	// wait(2) has returned for the process, tens of milliseconds later on a busy machine.
+	// lockReleaseWait is the time for which the lock of a killed process can outlive it. The kernel closes the process's
+	// files after wait(2) has returned for it, tens of milliseconds later on a busy machine.
 	lockReleaseWait = 250 * time.Millisecond
 
-	// lockRetryInterval is the time between two attempts on such a lock.
+	// lockRetryInterval is the time between two attempts to get such a lock.
 	lockRetryInterval = 5 * time.Millisecond
 )
 
 // recoverTails writes the blocks that terminated processes left in tail files to segments of their runs and removes the
-// tail files. It skips those of running processes and those of other trace directories. header is that of the new run.
-func recoverTails(dir Directory, tails string, header *tracepb.Header) error {
+// tail files. It skips tail files of running processes and of other trace directories. header is that of the new run.
+func recoverTails(dir Directory, tailDir string, header *tracepb.Header) error {
 	disk, isDisk := dir.(Disk)
-	paths, err := filepath.Glob(filepath.Join(tails, "dunegrade-*"+TailSuffix))
+	paths, err := filepath.Glob(filepath.Join(tailDir, "dunegrade-*"+TailSuffix))
 	if err != nil || !isDisk {
 		return err
 	}
@@ -238,12 +239,12 @@
 	var errs []error
 	deadline := time.Now().Add(lockReleaseWait)
 	for _, path := range paths {
-		if path == tailPath(tails, header.Life) {
+		if path == tailPath(tailDir, header.Life) {
 			continue
 		}
 		f, running, err := readTail(path)
-		// The lock of this sentry's previous run may be held for a moment longer. Without the wait, an edge that is restarted at
-		// once would take that run for a running process, and its last records would be missing until the next start.
+		// The lock of this sentry's previous run may be held for a moment longer. Without the wait, an edge that is restarted
+		// at once would take that run's process for a running one and leave its last records out until the next start.
 		for running && err == nil && f.Header.Folder == ownDir && f.Header.Edge == header.Edge && f.Header.Sentry == header.Sentry &&
 			time.Now().Before(deadline) {
 			f.Close()
@@ -251,7 +252,7 @@
 			f, running, err = readTail(path)
 		}
 		if err != nil {
-			continue // unreadable: it is left alone, as it may belong to another program
+			continue // unreadable: keep the file, as it may belong to another program
 		}
 		if !running && f.Header.Folder == ownDir {
 			errs = append(errs, recoverTail(disk, path, f))
@@ -261,7 +262,7 @@
 	return errors.Join(errs...)
 }
 
-// recoverTail writes the blocks of a tail file that are in no segment yet to a new segment and removes the tail file.
+// recoverTail writes those blocks of a tail file that are in no segment yet to a new segment, and removes the tail file.
 func recoverTail(dir Disk, path string, f *File) error {
 	segments, err := dir.List()
 	if err != nil {
@@ -275,7 +276,7 @@
 		}
 		old, done, err := OpenPath(filepath.Join(string(dir), seg.Name))
 		if err != nil {
-			continue // without a readable header it holds no blocks
+			continue // the segment has no readable header, so it has no readable blocks
 		}
 		nextSegment = max(nextSegment, old.Header.Segment+1)
 		for _, b := range old.Blocks {
