--- a/trace/anonymise.go
+++ b/trace/anonymise.go
@@ -16,14 +16,14 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Secret is the key of the pseudonyms. The same text under the same secret gets the same pseudonym, so anonymised files
-// can be joined; without the secret, nobody can recover the text or verify a guess.
+// Secret is the key from which pseudonyms are derived. A text has the same pseudonym in all files anonymised with the
+// same secret, so these files can be joined. Without the secret, nobody can recover the text or verify a guess.
 type Secret []byte
 
 // minSecretBytes is the smallest size of a secret, in bytes. A shorter one could be found by brute force.
 const minSecretBytes = 16
 
-// ReadSecret reads a secret from a file, which only its owner may be able to read.
+// ReadSecret reads a secret from a file. It refuses a file that others than its owner can read.
 func ReadSecret(path string) (Secret, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -42,8 +42,8 @@
 	return data, nil
 }
 
-// keyedHash returns the HMAC-SHA256 of a text. The use separates domains, so that equal texts of different uses get
-// different hashes.
+// keyedHash returns the HMAC-SHA256 of a text. use separates domains: equal texts with different uses get different
+// hashes.
 func (s Secret) keyedHash(use, text string) []byte {
 	mac := hmac.New(sha256.New, s)
 	mac.Write([]byte(use))
@@ -68,12 +68,12 @@
 	return binary.LittleEndian.Uint64(s.keyedHash(use, string(uint64Bytes(v)))) | 1
 }
 
-// settingWords are the values that settings keep, all of them keywords of the program.
+// settingWords holds the text values that anonymised settings keep. All of them are keywords of the program.
 var settingWords = map[string]bool{"inquiry-like": true, "referenced": true, "once-only": true, "all": true, "zone": true, "cell": true, "push": true,
 	"ask": true, "single": true, "majority": true, "clocked": true, "in-place": true, "beside": true, "product": true}
 
-// anonymiseSettings keeps numbers, booleans and the program's keywords. It drops settings whose names the program could
-// not have chosen.
+// anonymiseSettings keeps numbers, booleans and the program's keywords, and drops other values. It also drops settings
+// whose names cannot be the program's own.
 func (s Secret) anonymiseSettings(data []byte) ([]byte, error) {
 	var original map[string]any
 	if err := json.Unmarshal(data, &original); err != nil {
@@ -96,14 +96,17 @@
 	return json.Marshal(kept)
 }
 
-// isSettingName reports whether a name consists of lower-case letters, digits, dots and dashes, with no more digits in a
-// row than a list index has: a longer number could be personal, such as that of a phone.
+// maxIndexDigits is the largest number of digits in a row in a setting's name, enough for a list index.
+const maxIndexDigits = 4
+
+// isSettingName reports whether a name consists of lower-case letters, digits, dots and dashes, with at most
+// maxIndexDigits digits in a row: a longer number could be personal, such as a phone number.
 func isSettingName(name string) bool {
 	digits := 0
 	for _, c := range name {
 		switch {
 		case c >= '0' && c <= '9':
-			if digits++; digits > 4 {
+			if digits++; digits > maxIndexDigits {
 				return false
 			}
 		case c >= 'a' && c <= 'z' || c == '.' || c == '-':
@@ -115,9 +118,9 @@
 	return true
 }
 
-// Anonymise writes a run without anything that could identify a person. It drops texts or replaces them by keyed hashes,
-// and likewise keys and the trace ids that clients sent. Times, numbers and decisions stay. Unknown fields and records
-// are dropped.
+// Anonymise writes a run without data that could identify a person. It drops texts, or replaces them by keyed hashes, and
+// replaces keys and the trace ids that clients sent by keyed hashes. Times, numbers and decisions stay. It drops unknown
+// fields and records.
 func Anonymise(run *Life, s Secret, w io.Writer, onDamage func(path string, d Damage)) error {
 	in := run.Headers[0]
 	if run.origin != 0 {
@@ -155,7 +158,7 @@
 		}
 		switch r.Kind {
 		case tracepb.Kind_WORKER, tracepb.Kind_BACK, tracepb.Kind_TELL, tracepb.Kind_TOLD, tracepb.Kind_LOG:
-			return true // the writer names the workers; messages and log lines can hold anything
+			return true // fileWriter writes its own WORKER and BACK records; messages and log lines can hold any text
 		case tracepb.Kind_LIST:
 			if anonymised.Body, recordErr = s.anonymiseList(r.Body); recordErr != nil {
 				return false
@@ -193,7 +196,7 @@
 	return proto.Marshal(&anonymised)
 }
 
-// discardUnknown drops a body's unknown fields, which could hold anything. Its known fields are numbers.
+// discardUnknown drops a body's unknown fields, which could hold any data. Its known fields are all numbers.
 func discardUnknown(kind Kind, body []byte) ([]byte, error) {
 	var message proto.Message = &tracepb.News{}
 	if kind == tracepb.Kind_TALLY {
--- a/trace/compare.go
+++ b/trace/compare.go
@@ -16,7 +16,7 @@
 
 // Change compares one figure in two summaries.
 type Change struct {
-	What          string
+	What          string // name of the figure
 	Before, After float64
 	Unsure        float64 // half the width of the difference's 95% confidence interval
 	Differs       bool    // the confidence interval excludes zero
@@ -26,7 +26,7 @@
 var z95 = distuv.UnitNormal.Quantile(0.975)
 
 // Compare compares two summaries: the proportions of outcomes and the durations, by product and by build. It treats txns
-// as independent, but a fault affects many at once, so small differences may be due to chance more often than stated.
+// as independent. Since a fault affects many txns at once, small differences can be due to chance more often than stated.
 func Compare(before, after *Summary) []Change {
 	var changes []Change
 	share := func(what string, a, n, b, m int) {
@@ -79,12 +79,16 @@
 	return p.Endings["error"] + p.Endings["connection broke"] + p.Endings["timed out"] + p.Endings["no connection"]
 }
 
-// quantileWithError returns a quantile in ms and half the width of its 95% confidence interval. The interval is
-// distribution-free: the number of values below the quantile is binomial. It returns false if there are too few values.
+// minBinomialVariance is the smallest variance at which quantileWithError approximates the binomial distribution by the
+// normal distribution.
+const minBinomialVariance = 3
+
+// quantileWithError returns a quantile in ms and half the width of its 95% confidence interval. The interval assumes no
+// distribution of the values, as the number of values below the quantile is binomial. ok is false if there are too few.
 func quantileWithError(h *hdrhistogram.Histogram, q float64) (ms, margin float64, ok bool) {
 	n := float64(h.TotalCount())
 	p := q / 100
-	if n*p*(1-p) < 3 {
+	if n*p*(1-p) < minBinomialVariance {
 		return 0, 0, false
 	}
 	d := z95 * math.Sqrt(p*(1-p)/n) * 100
--- a/trace/tail_test.go
+++ b/trace/tail_test.go
@@ -191,7 +191,7 @@
 }
 
 // The tail file of a running process must survive the start of another process, and be readable while its owner runs.
-func TestTailOfALivingProcess(t *testing.T) {
+func TestTailOfRunningProcess(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	parent := t.TempDir()
 	defaultDir := TailDir
--- a/trace/timeline.go
+++ b/trace/timeline.go
@@ -14,7 +14,7 @@
 	"dunegrade/trace/tracepb"
 )
 
-// Timeline holds the histories of several txns in one order, such as the attempts of a client at several sentries.
+// Timeline combines the histories of several txns in one order, such as those of a client's attempts at several sentries.
 type Timeline struct {
 	Histories []*TxnHistory
 	Entries   []TimelineEntry
@@ -28,8 +28,8 @@
 	Unsure  time.Duration // largest error of At relative to other sentries; negative: unbounded
 }
 
-// NewTimeline puts histories into one order. Clocks are those of the runs, in the same order. If they are nil, the runs'
-// own wall clocks count, as for a merged file.
+// NewTimeline puts the steps of histories into one order. clocks holds the clock of each run, or is nil to use the runs'
+// own wall clocks, as for a merged file.
 func Join(histories []*TxnHistory, runs []*Life, clocks []Clock) *Timeline {
 	t := &Timeline{Histories: histories}
 	for i, h := range histories {
@@ -70,8 +70,8 @@
 	return sum
 }
 
-// orderUncertain reports whether the clocks leave open the order of entry i and the one before it. Entries of the same
-// run are always in order.
+// orderUncertain reports whether the clocks are too inaccurate to order entry i and the one before it. The order of
+// entries of the same run is always certain.
 func (t *Timeline) orderUncertain(i int) bool {
 	if i == 0 || t.Histories[t.Entries[i].History].run == t.Histories[t.Entries[i-1].History].run {
 		return false
@@ -106,7 +106,7 @@
 }
 
 // ExplainLastDecision replays a run up to the last recorded decision on a txn, and returns the state of each worker as
-// the decision module saw it, with the module's own reason against choosing it. The run must be recorded from its start.
+// the decision module saw it, with the module's reason not to choose the worker. The run must be recorded from its start.
 func Why(h *TxnHistory) ([]logic.WorkerStatus, error) {
 	run := h.run
 	if run.Level() != LevelWhole || run.origin != 0 {
@@ -114,7 +114,7 @@
 	}
 	settings := map[string]any{}
 	if err := json.Unmarshal(run.Headers[0].Settings, &settings); err != nil {
-		return nil, fmt.Errorf("trace: the header's settings: %w", err)
+		return nil, fmt.Errorf("trace: decoding the header's settings: %w", err)
 	}
 	var decidedAt int64
 	submissions := 0
@@ -134,7 +134,7 @@
 	err := run.Each(func(r *Record, names []string) bool {
 		switch {
 		case isAction(r.Kind):
-			// Replay stops at the decision's own action, when the module's state is that right after the event.
+			// Stop at the action of the decision: the state of the module is still that right after the event.
 			decided = decided || r.At == decidedAt && r.Txn == h.id && (r.Kind == tracepb.Kind_DECLINE || r.Kind == tracepb.Kind_VOID || r.Kind == tracepb.Kind_SUBMIT)
 			return !decided
 		case r.Kind == tracepb.Kind_WORKER, r.Kind == tracepb.Kind_END, r.Kind == tracepb.Kind_STANDING:
--- a/trace/whatif.go
+++ b/trace/whatif.go
@@ -10,31 +10,31 @@
 
 // WhatIfResult compares the decisions under other settings with those under the recorded settings, on the same events.
 type WhatIfResult struct {
-	Txns     int
-	Differ   int               // txns with another number of submissions, or declined or voided under one of the two only
-	Sums     map[string][2]int // actions by kind: under the recorded settings, and under the other ones
+	Txns     int               // number of txns decided on
+	Differ   int               // number of txns with another number of submissions, or declined or voided in one case only
+	Sums     map[string][2]int // number of actions by kind: under the recorded settings, and under the other ones
 	Examples []string          // names of the first txns that differ, with both decisions
-	First    int64             // sentry clock at the first action that differs; 0: none does
+	First    int64             // sentry clock at the first action that differs; 0: all are equal
 }
 
 const (
 	// maxExamples limits WhatIfResult.Examples.
 	maxExamples = 10
 
-	// maxSerial ends the search for txns in the order of their serials.
+	// maxSerial is the largest serial considered when txns are compared in the order of their serials.
 	maxSerial = 1 << 40
 )
 
-// txnDecision is what was decided on a txn, without the workers chosen: these are picked at random, and the random
-// sequence is used differently after the first difference.
+// txnDecision holds the decisions on a txn, except for the choice of workers: that is random, and the two cases use the
+// random sequence differently after their first difference.
 type txnDecision struct {
 	submissions      int
 	declined, voided bool
 }
 
-// WhatIf runs the decision module on the recorded events of a run under other settings. The events are those recorded, as
-// the outcome of a submission that was never made is unknown. So the result is meaningful for limits and rules, and the
-// less so the more the decisions have diverged.
+// WhatIf runs the decision module on the recorded events of a run under other settings. The events stay as recorded,
+// because the outcome of a submission that was never made is unknown. The result is therefore meaningful for limits and
+// rules, and becomes less so as the decisions diverge.
 func WhatIf(l *Life, settings map[string]any) (*WhatIfResult, error) {
 	if l.Headers[0].Level != 0 {
 		return nil, ErrSampled
