--- a/trace/anonymise_test.go
+++ b/trace/anonymise_test.go
@@ -17,14 +17,14 @@
 	"dunegrade/trace/tracepb"
 )
 
-// phoneSpellings returns spellings of a phone number that may occur in a text.
+// phoneSpellings returns ways to write a phone number in a text.
 func phoneSpellings(n string) []string {
 	return []string{n, "+47" + n, "+47 " + n[:2] + " " + n[2:4] + " " + n[4:6] + " " + n[6:], "0047" + n, url.QueryEscape("+47 " + n),
 		base64.StdEncoding.EncodeToString([]byte(n)), n[:4] + "/" + n[4:], n[:3] + " " + n[3:5] + " " + n[5:]}
 }
 
-// fileWithNumbers returns a file with phone numbers, in all spellings, in every field that can hold text or a key,
-// including unknown protobuf fields and an unknown record kind.
+// fileWithNumbers returns a file with the phone numbers, in all spellings, in each field that can hold text or a key,
+// including unknown protobuf fields and a record of an unknown kind.
 func fileWithNumbers(t *testing.T, numbers []string) []byte {
 	rng := rand.New(rand.NewSource(3))
 	randomSpelling := func() string { s := phoneSpellings(numbers[rng.Intn(len(numbers))]); return s[rng.Intn(len(s))] }
@@ -72,7 +72,7 @@
 	return buf.Bytes()
 }
 
-// unpackedFile returns a file's bytes with its header and its decompressed blocks, and the keys of its txns.
+// unpackedFile returns a file's bytes together with its header and its decompressed blocks, and the keys of its txns.
 func unpackedFile(t *testing.T, path string) (all []byte, keys []uint64) {
 	f, closeFile, err := OpenPath(path)
 	if err != nil {
@@ -97,8 +97,8 @@
 	return all, keys
 }
 
-// No spelling of a phone number in a file, nor the hash that is its key, may be in the anonymised file. The same secret
-// must give the same keys, another secret other keys.
+// An anonymised file must contain no spelling of a phone number of the original file, nor its hash, which is the key. The
+// same secret must give the same keys, and another secret other keys.
 func TestAnonymisedFileHoldsNoNumber(t *testing.T) {
 	rng := rand.New(rand.NewSource(8))
 	var numbers []string
@@ -140,15 +140,15 @@
 				found++
 			}
 			if bytes.Contains(out, []byte(s)) {
-				t.Fatalf("%q is in the output", s)
+				t.Fatalf("%q is in the anonymised file", s)
 			}
 		}
 	}
 	if found < 4000 {
-		t.Errorf("only %d spellings are in the input", found)
+		t.Errorf("only %d spellings are in the original file, so the test proves nothing", found)
 	}
 	if len(keys) != len(numbers) {
-		t.Fatalf("%d of %d txns are left", len(keys), len(numbers))
+		t.Fatalf("%d of %d txns are in the anonymised file", len(keys), len(numbers))
 	}
 	for i := range keys {
 		if keys[i] != again[i] || keys[i] == otherKeys[i] || keys[i] == keysIn[i] {
--- a/trace/cost_test.go
+++ b/trace/cost_test.go
@@ -11,15 +11,15 @@
 	"dunegrade/trace/tracepb"
 )
 
-// BenchmarkTxn measures recording an ordinary txn: the time of the event loop and, as CPU time, that of the writer too.
+// BenchmarkTxn measures recording an ordinary txn: the time on the event loop, and, in the CPU time, that of the writer.
 func BenchmarkTxn(b *testing.B) { benchmarkTxn(b, "") }
 
 // BenchmarkTailedTxn is BenchmarkTxn with a tail file.
 func BenchmarkTailedTxn(b *testing.B) { benchmarkTxn(b, DefaultTailDir) }
 
-func benchmarkTxn(b *testing.B, tails string) {
+func benchmarkTxn(b *testing.B, tailDir string) {
 	dir := b.TempDir()
-	rec, err := NewTailed(Disk(dir), tails, Keep{SegmentBytes: 64 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30},
+	rec, err := NewTailed(Disk(dir), tailDir, Keep{SegmentBytes: 64 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30},
 		&tracepb.Header{Edge: "e", Life: 7, Products: []string{"ask"}}, testSettings, zap.NewNop())
 	if err != nil {
 		b.Fatal(err)
--- a/trace/internal/gen/main.go
+++ b/trace/internal/gen/main.go
@@ -27,6 +27,7 @@
 	}
 }
 
+// run compiles the schema dir/name and writes the generated code, or, with check, compares it with the existing files.
 func run(dir, name string, check bool) error {
 	compiler := protocompile.Compiler{Resolver: &protocompile.SourceResolver{ImportPaths: []string{dir}}, SourceInfoMode: protocompile.SourceInfoStandard}
 	files, err := compiler.Compile(context.Background(), name)
--- a/trace/merge_test.go
+++ b/trace/merge_test.go
@@ -17,23 +17,25 @@
 	"dunegrade/trace/tracepb"
 )
 
-// simulation holds the records of several sentries in true time, and the error of each sentry's clock.
+// simulation holds the records of several sentries by true time, and the error of each sentry's clock.
 type simulation struct {
 	rng     *rand.Rand
 	offset  []float64  // nanoseconds
 	drift   []float64  // nanoseconds per nanosecond
-	records [][]Record // by sentry, in true time
-	serial  []uint64   // last one by sentry
+	records [][]Record // by sentry; times are true times
+	serial  []uint64   // by sentry: serial of the last txn
 }
 
 // began is the start of the recorded runs, nanoseconds since 1970.
 const began = int64(1.8e18)
 
-func newSimulation(seed int64, n int, maxOffset float64, ppm float64) *simulation {
+// newSimulation returns a simulation of n sentries. Clocks are off by up to maxOffset
+// nanoseconds and drift by up to maxPPM parts per million.
+func newSimulation(seed int64, n int, maxOffset float64, maxPPM float64) *simulation {
 	sim := &simulation{rng: rand.New(rand.NewSource(seed)), records: make([][]Record, n), serial: make([]uint64, n)}
 	for i := 0; i < n; i++ {
 		sim.offset = append(sim.offset, (2*sim.rng.Float64()-1)*maxOffset)
-		sim.drift = append(sim.drift, (2*sim.rng.Float64()-1)*ppm*1e-6)
+		sim.drift = append(sim.drift, (2*sim.rng.Float64()-1)*maxPPM*1e-6)
 	}
 	return sim
 }
@@ -49,7 +51,7 @@
 	return at + int64(sim.offset[i]+sim.drift[i]*float64(at-began))
 }
 
-// simulate generates release and worker updates that reach all sentries, each with a chance of 1 in 10 to be late at a
+// simulate generates release and worker updates that reach all sentries, and with a probability of 1 in 10 are late at a
 // sentry; messages between sentries; and txns that are declined and that clients then send to another sentry.
 func (sim *simulation) simulate(span time.Duration, maxDelay time.Duration, messages bool) {
 	n := len(sim.records)
@@ -131,8 +133,8 @@
 	return runs
 }
 
-// countOrderErrors counts the effects that an order puts before their causes: a message before it was sent, or a repeat
-// before the end of the first attempt.
+// countOrderErrors counts the effects that are placed before their causes: a message received before it was sent, or a
+// repeat before the end of the first attempt. The records are given by their causalMark.
 func countOrderErrors(order []string) int {
 	at := map[string]int{}
 	for i, k := range order {
@@ -169,18 +171,18 @@
 	return "-"
 }
 
-// Merges runs of simulated sentries whose clocks are seconds apart and drift, and whose updates may be late. No effect
-// may precede its cause, and each estimate must be accurate and within its stated uncertainty. Raw clock times must show
-// order errors, or the test would prove nothing.
+// Merges runs of simulated sentries whose clocks are seconds apart and drift, and whose updates can be late. No effect
+// may precede its cause, and each estimate must be accurate and within its stated uncertainty. The order by raw clock
+// times must have errors, or the test would prove nothing.
 func TestClocksThatDisagree(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		sentries int
-		off      float64 // nanoseconds
-		ppm      float64
-		late     time.Duration
-		messages bool
-		within   time.Duration // largest error allowed
+		name      string
+		sentries  int
+		maxOffset float64 // nanoseconds
+		maxPPM    float64
+		maxDelay  time.Duration // of late updates
+		messages  bool          // sentries send each other messages
+		maxError  time.Duration // largest error allowed
 	}{
 		{"clocks that agree", 3, 0, 0, 0, true, 20 * time.Millisecond},
 		{"5 s off", 4, 5e9, 0, 0, true, 20 * time.Millisecond},
@@ -193,10 +195,10 @@
 			if testing.Short() && c.sentries > 4 {
 				t.Skip("slow with the race detector")
 			}
-			sim := newSimulation(11, c.sentries, c.off, c.ppm)
-			sim.simulate(5*time.Minute, c.late, c.messages)
+			sim := newSimulation(11, c.sentries, c.maxOffset, c.maxPPM)
+			sim.simulate(5*time.Minute, c.maxDelay, c.messages)
 			runs := sim.writeRuns(t, t.TempDir())
-			var raw, merged []string
+			var raw, merged []string // causal marks, in order
 			type markedRecord struct {
 				at   int64
 				mark string
@@ -232,10 +234,10 @@
 					}
 				}
 			}
-			t.Logf("worst error %v, of clocks up to %v apart; effects before their causes: %d by raw time, %d merged; %d held",
-				time.Duration(worst), time.Duration(2*c.off), countOrderErrors(raw), countOrderErrors(merged), m.Held)
-			if worst > float64(c.within) || countOrderErrors(merged) > 0 || c.off > 0 && countOrderErrors(raw) == 0 || len(merged) != len(raw) || m.Loops > 0 {
-				t.Errorf("worst error %v, %d of %d records, %d effects before their causes (%d by raw time), %d loops", time.Duration(worst), len(merged),
+			t.Logf("worst error %v, of clocks up to %v apart; effects before their causes: %d by raw time, %d merged; %d records delayed",
+				time.Duration(worst), time.Duration(2*c.maxOffset), countOrderErrors(raw), countOrderErrors(merged), m.Held)
+			if worst > float64(c.maxError) || countOrderErrors(merged) > 0 || c.maxOffset > 0 && countOrderErrors(raw) == 0 || len(merged) != len(raw) || m.Loops > 0 {
+				t.Errorf("worst error %v, %d of %d records, %d effects before their causes (%d by raw time), %d cycles", time.Duration(worst), len(merged),
 					len(raw), countOrderErrors(merged), countOrderErrors(raw), m.Loops)
 			}
 		})
@@ -283,7 +285,7 @@
 		}
 		n += index
 		if _, err := Replay(l); err != ErrSampled {
-			t.Errorf("a merged file replays: %v", err)
+			t.Errorf("replaying a merged file: %v", err)
 		}
 	}
 	if n != m.Records {
@@ -294,7 +296,7 @@
 	}
 }
 
-// A run that shares no event with the others must be reported as unbounded rather than get an arbitrary offset.
+// The clock of a run that shares no event with the others must be reported as unbounded, not get an arbitrary offset.
 func TestUnrelatedClockIsUnbounded(t *testing.T) {
 	sim := newSimulation(5, 2, 5e9, 200)
 	sim.simulate(time.Minute, 0, false)
@@ -305,7 +307,7 @@
 	}
 }
 
-// One relation contradicts all others, as when a message is matched to the wrong one. It must be ignored and counted.
+// A relation that contradicts all others must be ignored and counted. Here a message is received 10 s before it is sent.
 func TestContradictingBoundsAreIgnored(t *testing.T) {
 	sim := newSimulation(5, 2, 5e9, 100)
 	sim.simulate(time.Minute, 0, true)
--- a/trace/tail_test.go
+++ b/trace/tail_test.go
@@ -23,7 +23,7 @@
 	"dunegrade/trace/tracepb"
 )
 
-// TestMain runs the process that TestKilledAtFullSpeed kills if the environment asks for it, and the tests otherwise.
+// TestMain runs the tests or, if TRACE_KILLED is set, the process that TestKilledAtFullSpeed kills.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("TRACE_KILLED"); dir != "" {
 		rec, err := NewTailed(Disk(dir), filepath.Dir(dir), testRetention, &tracepb.Header{Edge: "e", Life: 77, Products: []string{"ask", "pay"}, Wall: began,
@@ -38,7 +38,7 @@
 	os.Exit(m.Run())
 }
 
-// recordForever records txns and writes the serial of each to the standard output once the recorder has it.
+// recordForever records txns and writes the serial of each to standard output once the txn is recorded.
 func recordForever(rec *Recorder) {
 	now := logic.Nanos(1e12)
 	rec.Start(now, 1)
@@ -46,7 +46,7 @@
 		now += 1000 * logic.Nanos(i%7)
 		txn := logic.Txn{ID: logic.TxnID(i), Key: logic.KeyID(i | 1), Expiry: now + logic.Second}
 		for rec.freeBuffers() <= reservedBuffers {
-			time.Sleep(time.Millisecond) // the writer lags behind
+			time.Sleep(time.Millisecond) // wait for the writer
 		}
 		rec.Take(now, &txn, i, 0, 0)
 		rec.Settle()
@@ -54,8 +54,8 @@
 	}
 }
 
-// A process killed while recording at full speed must lose no txn that it passed to the recorder: all of them are found by
-// a reader of the tail file, and again after the next edge on the same directory has recovered it.
+// A process killed while recording at full speed must lose no txn that it passed to the recorder. A reader of the tail
+// file must find all of them, and so must a reader after the next start on the same directory has recovered the file.
 func TestKilledAtFullSpeed(t *testing.T) {
 	for try := 0; try < 3; try++ {
 		parent := t.TempDir()
@@ -90,7 +90,7 @@
 		readSerials := func() (serials []uint64) {
 			var paths []string
 			if found, _ := filepath.Glob(filepath.Join(dir, "*"+Suffix)); len(found) == 0 {
-				paths, _ = filepath.Glob(filepath.Join(parent, "*"+TailSuffix)) // no segment was begun: all records are in the tail file
+				paths, _ = filepath.Glob(filepath.Join(parent, "*"+TailSuffix)) // no segment yet: all records are in the tail file
 			} else {
 				paths = []string{dir}
 			}
@@ -116,7 +116,7 @@
 		}
 		before := readSerials()
 		if uint64(len(before)) < acknowledged || before[len(before)-1] != uint64(len(before)) {
-			t.Errorf("%d txns were recorded, %d are found", acknowledged, len(before))
+			t.Errorf("%d txns were recorded, %d were found", acknowledged, len(before))
 		}
 		rec, err := NewTailed(Disk(dir), parent, testRetention, &tracepb.Header{Edge: "e", Life: 78}, testSettings, zap.NewNop())
 		if err != nil {
@@ -133,8 +133,9 @@
 	}
 }
 
-// The lock of a killed process outlives it for a moment. A sentry restarted at once must wait for the lock of its previous
-// run, or that run's last second of records would not be recovered; it must not wait for those of other sentries or edges.
+// The lock of a killed process outlives it for a moment. A sentry restarted at once must wait for the lock of its
+// previous run, or that run's last second of records would not be recovered. It must not wait for the locks of other
+// sentries or edges.
 func TestLockThatOutlivesItsProcess(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
@@ -157,8 +158,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			// Close removes the tail file. The state after a kill is restored: the file, locked as if by the killed process, and
-			// no segments.
+			// Close removes the tail file. Restore the state after a kill: no segments, and the file locked as if by the killed
+			// process.
 			first.Close(4e9)
 			os.RemoveAll(dir)
 			if err := os.WriteFile(path, tail, 0o600); err != nil {
@@ -180,7 +181,7 @@
 			unlockTimer.Stop()
 			locked.Close()
 			if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) != tc.recovered {
-				t.Errorf("tail file: %v, want it removed: %t", err, tc.recovered)
+				t.Errorf("stat of the tail file: %v, want it removed: %t", err, tc.recovered)
 			}
 			segments, err := filepath.Glob(filepath.Join(dir, fmt.Sprintf("*%016x*", 77)))
 			if err != nil || (len(segments) > 0) != tc.recovered {
@@ -190,7 +191,7 @@
 	}
 }
 
-// The tail file of a running process must survive the start of another process, and be readable while its owner runs.
+// The tail file of a running process must survive the start of another process, and be readable while the process runs.
 func TestTailOfRunningProcess(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	parent := t.TempDir()
@@ -227,21 +228,21 @@
 	}
 }
 
-// A malformed file among the tail files must be rejected without large allocations, and neither be recovered nor removed.
+// A malformed tail file must be rejected without large allocations, and neither be recovered nor removed.
 func TestMalformedTailFiles(t *testing.T) {
 	empty := make([]byte, tailHeaderBytes+bufferCount*slotBytes)
 	copy(empty, tailMarker[:])
 	hugeSlot := append([]byte(nil), empty...)
 	binary.LittleEndian.PutUint64(hugeSlot[tailHeaderBytes:], 1)
-	binary.LittleEndian.PutUint64(hugeSlot[tailHeaderBytes+16:], 1<<62)
+	binary.LittleEndian.PutUint64(hugeSlot[tailHeaderBytes+slotSizeOffset:], 1<<62)
 	badRecords := append([]byte(nil), empty...)
 	binary.LittleEndian.PutUint64(badRecords[tailHeaderBytes:], 1)
-	binary.LittleEndian.PutUint64(badRecords[tailHeaderBytes+16:], 100)
+	binary.LittleEndian.PutUint64(badRecords[tailHeaderBytes+slotSizeOffset:], 100)
 	for i := range 100 {
 		badRecords[tailHeaderBytes+slotHeaderBytes+i] = 0xff
 	}
 	hugeHeader := append([]byte(nil), empty...)
-	binary.LittleEndian.PutUint32(hugeHeader[8:], 1<<31)
+	binary.LittleEndian.PutUint32(hugeHeader[tailLengthOffset:], 1<<31)
 	for _, tc := range []struct {
 		name string
 		data []byte
--- a/trace/tools_test.go
+++ b/trace/tools_test.go
@@ -22,7 +22,8 @@
 	"dunegrade/trace/tracepb"
 )
 
-// writeRun writes a file with the given records, each with the name of its worker, and returns the run that it holds.
+// writeRun writes a file with the given records and returns the run that it holds. workers holds the name of each
+// record's worker; "" or a missing name stands for none.
 func writeRun(t *testing.T, header *tracepb.Header, records []Record, workers []string) *Life {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), fmt.Sprintf("s%d%s", header.Sentry, Suffix))
@@ -109,7 +110,7 @@
 	s.release(0, &tracepb.News{Build: 2, Stage: stage, Cap: exposureCap})
 }
 
-// Each script violates one rule or none. The checker must report exactly that rule, and nothing for a valid script.
+// Each script violates one rule or none. The checker must report that rule first, and nothing for a valid script.
 func TestRulesInTraces(t *testing.T) {
 	addTxns := func(s *recordScript, from, n int, worker string) {
 		for i := 0; i < n; i++ {
@@ -204,7 +205,7 @@
 		}},
 		{"cold worker overloaded", 4, "after its start", func(s *recordScript) {
 			s.list(0, true, &tracepb.List_Worker{Id: "a", Build: 1, Start: began})
-			for i := 0; i < 120; i++ { // 2.4 s of work within 0.3 s, for one core at a third of its speed
+			for i := 0; i < 120; i++ { // 2.4 s of work within 0.3 s, for one core at 0.3 of its speed
 				s.take(100+2*i, uint64(i+1), 0)
 				s.submit(100+2*i, uint64(i+1), "a")
 			}
@@ -253,7 +254,7 @@
 	}
 }
 
-// The attempts of a client at two sentries form one timeline in true order, although one clock is 4 s behind.
+// The attempts of a client at two sentries must form one timeline in true order, although one clock is 4 s behind.
 func TestTimelineOverTwoSentries(t *testing.T) {
 	header := func(i uint32, wall int64) *tracepb.Header {
 		return &tracepb.Header{Edge: fmt.Sprint("edge-", i), Sentry: i, Life: uint64(i + 1), Wall: wall, Start: began, Products: []string{"ask"}}
@@ -273,7 +274,8 @@
 	second.add(2600, "", Record{Kind: tracepb.Kind_TAKE, Txn: 9, Serial: 2, Key: 11, TraceID: id, Patience: 1e9})
 	second.submit(2601, 9, "x")
 	second.outcome(2650, 9, 0, logic.OK, 200)
-	runs := []*Life{writeRun(t, header(0, began), first.records, first.workers), writeRun(t, header(1, began-4e9), second.records, second.workers)} // 4 s behind
+	runs := []*Life{writeRun(t, header(0, began), first.records, first.workers),
+		writeRun(t, header(1, began-4e9), second.records, second.workers)} // 4 s behind
 	histories, err := Follow(runs, Query{Sentry: -1, TraceID: id}, nil)
 	if err != nil || len(histories) != 2 || len(LivesOf(histories)) != 2 {
 		t.Fatalf("%d histories, %v", len(histories), err)
@@ -288,16 +290,16 @@
 		names = append(names, histories[entry.History].Name())
 	}
 	if got := strings.Join(names, " "); got != "s0-4 s0-4 s1-2 s1-2 s1-2" {
-		t.Errorf("the order is %s; clocks %v", got, clocks)
+		t.Errorf("txns in the order %s, clocks %v", got, clocks)
 	}
 	if raw := Join(histories, runs, nil); histories[raw.Entries[0].History].Sentry != 1 {
-		t.Error("the raw times are in true order, so the test proves nothing")
+		t.Error("the raw times are already in true order, so the test proves nothing")
 	}
 	timeline = Join(histories, runs, clocks)
 	var text, svg bytes.Buffer
 	timeline.Print(&text)
 	if !strings.Contains(text.String(), "no end recorded") || !strings.Contains(text.String(), "answered with 200") || strings.Contains(text.String(), "?") {
-		t.Errorf("the timeline:\n%s", text.String())
+		t.Errorf("unexpected timeline:\n%s", text.String())
 	}
 	if err := timeline.SVG(&svg); err != nil {
 		t.Fatal(err)
@@ -353,7 +355,7 @@
 			for _, span := range s.Spans {
 				count++
 				if len(span.TraceId) != 16 || len(span.SpanId) != 8 || ids[string(span.SpanId)] || span.EndTimeUnixNano < span.StartTimeUnixNano {
-					t.Fatalf("a span %v", span)
+					t.Fatalf("malformed span: %v", span)
 				}
 				ids[string(span.SpanId)] = true
 				if len(span.ParentSpanId) == 0 {
@@ -366,25 +368,25 @@
 	}
 	for _, p := range parents {
 		if !ids[p] {
-			t.Fatal("a span whose parent is missing")
+			t.Fatal("the parent of a span is missing")
 		}
 	}
 	if count != n || roots != 3000 || len(parents) < 3000 {
-		t.Errorf("%d of %d spans, %d of 3000 txns, %d submissions", count, n, roots, len(parents))
+		t.Errorf("%d of %d spans, %d root spans of 3000 txns, %d submissions", count, n, roots, len(parents))
 	}
 	if _, err := ExportSpans(runs, nil, failingWriter{}, nil); err == nil {
 		t.Error("exporting to a failing writer succeeded")
 	}
 }
 
-// A sampled trace must hold all txns that ended badly and the configured share of the others, and count those that it
-// leaves out. A trace of decisions must hold all txns.
+// A sampled trace must hold all txns that failed and the configured fraction of the others, and the number of those that
+// it leaves out. A trace of decisions must hold all txns.
 func TestSampledLevels(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		level uint32
 		oneIn uint32
-	}{{"one in 10", LevelSampled, 10}, {"all that ended badly", LevelSampled, 1 << 30}, {"decisions", LevelDecisions, 0}} {
+	}{{"one in 10", LevelSampled, 10}, {"failed txns only", LevelSampled, 1 << 30}, {"decisions", LevelDecisions, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			rec, err := NewRecorder(Disk(dir), testRetention, &tracepb.Header{Edge: "e", Life: 7, Level: c.level, OneIn: c.oneIn,
@@ -396,7 +398,7 @@
 			rec.Start(now, 1)
 			rec.News(now, logic.ReleaseUpdate{Rel: 2, Cap: 0.1})
 			rng := rand.New(rand.NewSource(1))
-			bad, sampled := 0, 0
+			failed, sampled := 0, 0
 			const n = 5000
 			for i := 1; i <= n; i++ {
 				now += logic.Millisecond
@@ -410,10 +412,10 @@
 				endedAt := now + 30*logic.Millisecond
 				switch {
 				case i%50 == 0:
-					bad++
+					failed++
 					rec.Event(endedAt, tracepb.Kind_VOID, txn.ID, 0, 0, 0)
 				case i%50 == 1:
-					bad++
+					failed++
 					rec.Outcome(endedAt, &logic.Outcome{Txn: txn.ID, Ending: logic.ErrorResponse, Final: true}, 503)
 				default:
 					if InSample(uint64(txn.Key), c.oneIn) {
@@ -437,28 +439,28 @@
 				t.Fatal(err)
 			}
 			product := s.Products[0]
-			want := bad + sampled
+			want := failed + sampled
 			if c.level == LevelDecisions {
 				want = n
 			}
 			if product.Taken != want || c.level == LevelSampled && (product.Settled != sampled || int(s.LeftOut) != n-want) || product.Voided != n/50 {
-				t.Errorf("%d taken, %d settled, %d voided, %d left out; %d bad and %d chosen of %d", product.Taken, product.Settled,
-					product.Voided, s.LeftOut, bad, sampled, n)
+				t.Errorf("%d taken, %d settled, %d voided, %d left out; %d failed and %d sampled of %d", product.Taken, product.Settled,
+					product.Voided, s.LeftOut, failed, sampled, n)
 			}
 			histories, err := Follow(runs, Query{Sentry: -1, Serial: 50}, nil)
 			if err != nil || len(histories) != 1 || histories[0].End != "voided" || histories[0].Steps[1].Worker != "w" ||
 				histories[0].Steps[2].At-histories[0].Taken != int64(30*logic.Millisecond) {
-				t.Errorf("the history of a voided txn: %+v, %v", histories, err)
+				t.Errorf("wrong history of a voided txn: %+v, %v", histories, err)
 			}
-			// All sentries sample the same keys, and about the requested share.
+			// About the requested fraction of the keys must be sampled.
 			if c.oneIn == 10 && (sampled < n/15 || sampled > n/7) {
-				t.Errorf("%d of %d are kept, at one in 10", sampled, n)
+				t.Errorf("%d of %d txns sampled, at one in 10", sampled, n)
 			}
 		})
 	}
 }
 
-// Two samples of 4000 txns with equal rates must not differ; with rates of 3% and 5% they must.
+// Two runs of 4000 txns with equal failure rates must not differ significantly; with rates of 3% and 5% they must.
 func TestCompareFindsChanges(t *testing.T) {
 	summarise := func(seed int64, failurePercent int) *Summary {
 		rng := rand.New(rand.NewSource(seed))
@@ -488,17 +490,17 @@
 		}
 		return n
 	}
-	same, other := Compare(summarise(1, 3), summarise(2, 3)), Compare(summarise(1, 3), summarise(2, 5))
-	if len(same) == 0 || countDifferences(same) > 0 || countDifferences(other) != 1 {
-		t.Errorf("the same: %v; another: %v", same, other)
+	equalRates, differentRates := Compare(summarise(1, 3), summarise(2, 3)), Compare(summarise(1, 3), summarise(2, 5))
+	if len(equalRates) == 0 || countDifferences(equalRates) > 0 || countDifferences(differentRates) != 1 {
+		t.Errorf("equal rates: %v; different rates: %v", equalRates, differentRates)
 	}
 	page, err := summarise(1, 3).Page("a page")
 	if err != nil || strings.Count(page, "<svg") < 2 || !strings.Contains(page, "ask") {
-		t.Errorf("a page of %d bytes, %v", len(page), err)
+		t.Errorf("page of %d bytes without the charts or the product, %v", len(page), err)
 	}
 }
 
-// crashingDir simulates a process that dies after a number of operations: later ones do not reach the disk.
+// crashingDir simulates a process that crashes after a number of operations: later ones do not reach the disk.
 type crashingDir struct {
 	Disk
 	stepsLeft *int
@@ -506,7 +508,7 @@
 
 func (c crashingDir) step() error {
 	if *c.stepsLeft--; *c.stepsLeft < 0 {
-		return errors.New("the process is dead")
+		return errors.New("the process has crashed")
 	}
 	return nil
 }
@@ -550,7 +552,8 @@
 	return f.WriteCloser.Write(b)
 }
 
-// A crash between any two writes must leave a folder that can be read up to there, and that the next process can use.
+// A crash between any two writes must leave a directory that can be read up to the crash, and that the next process can
+// use.
 func TestCrashBetweenAnyTwoWrites(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	retention := Keep{SegmentBytes: 8 << 10, SegmentAge: time.Hour, TotalBytes: 24 << 10}
@@ -582,18 +585,18 @@
 		}
 		recordTxns(t, rec, 500, true)
 		if data, err := os.ReadFile(filepath.Join(dir, manifestName)); err != nil || !bytes.Contains(data, []byte("0000000000000008")) {
-			t.Fatalf("after %d steps the manifest is %q, %v", steps, data, err)
+			t.Fatalf("after %d steps: manifest %q lacks the new run, %v", steps, data, err)
 		}
 		if survived {
 			if steps < 10 {
-				t.Fatalf("only %d steps", steps)
+				t.Fatalf("the recorder made only %d steps", steps)
 			}
 			return
 		}
 	}
 }
 
-// The oldest segments must be deleted to keep the total size bounded, and a run without its start cannot be replayed.
+// The oldest segments must be deleted to keep the total size bounded. A run whose start was deleted cannot be replayed.
 func TestRetention(t *testing.T) {
 	dir := t.TempDir()
 	recordRun(t, dir, Keep{SegmentBytes: 20 << 10, SegmentAge: time.Hour, TotalBytes: 60 << 10}, 30000)
@@ -653,22 +656,22 @@
 		t.Run(c.name, func(t *testing.T) {
 			n, err := Cut(run, c.f, io.Discard, nil)
 			if err != nil || n != c.want {
-				t.Errorf("%d txns of %d, %v", n, c.want, err)
+				t.Errorf("found %d txns, want %d, %v", n, c.want, err)
 			}
-			q, opened, all := Query{}, 0, 0
+			q, read, total := Query{}, 0, 0
 			if c.f.Query != nil {
 				q = *c.f.Query
 			}
 			err = run.eachSkipping(func(*Record, []string) bool { return true }, nil, func(f *File, i int) bool {
-				all++
+				total++
 				mayMatch := c.f.mayMatch(run, q, f, i)
 				if mayMatch {
-					opened++
+					read++
 				}
 				return !mayMatch
 			})
-			if err != nil || opened == 0 || 2*opened > all {
-				t.Errorf("%d of %d blocks are opened, %v", opened, all, err)
+			if err != nil || read == 0 || 2*read > total {
+				t.Errorf("%d of %d blocks are read, %v", read, total, err)
 			}
 		})
 	}
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -22,13 +22,13 @@
 	"dunegrade/trace/tracepb"
 )
 
-// memoryDir is a Directory in memory whose writes fail or stall on demand.
+// memoryDir is a Directory in memory whose writes can be made to fail or to block.
 type memoryDir struct {
 	mu        sync.Mutex
 	files     map[string]*bytes.Buffer
 	writeErr  error         // returned by Create and Write, if set
 	capacity  int           // bytes per file until the disk is full; 0: unlimited
-	writeGate chan struct{} // writes block until it is closed; nil: they do not
+	writeGate chan struct{} // writes block until it is closed; nil: they never block
 }
 
 func newMemoryDir() *memoryDir { return &memoryDir{files: map[string]*bytes.Buffer{}} }
@@ -80,21 +80,21 @@
 	"release.votes": "single", "release.caps.0": 0.1, "release.free": 3.0, "release.window": 4e9, "release.bake": 1e9,
 	"rules.cold": 3e9, "rules.cold-from": 0.3, "rules.fall-multiple": 2.0, "rules.fall-after": 1e9}
 
-// recordedSentry is the Sink of a sentry that is recorded as the edge records it. The test answers its submissions with
+// recordedSentry is the Sink of a sentry, and records its actions as the edge does. The test answers its submissions with
 // random outcomes.
 type recordedSentry struct {
 	*actionCollector // for the methods of logic.Sink that are not overridden
 	rec              *Recorder
 	now              logic.Nanos
-	submissions      []action
-	timers           []logic.Nanos
-	tokens           []uint64
+	submissions      []action             // not answered yet
+	timers           []logic.Nanos        // times at which the pending timers fire
+	tokens           []uint64             // of the pending timers
 	recorded         map[logic.TxnID]bool // txns in progress that are recorded
 }
 
-func (h *recordedSentry) Submit(t logic.TxnID, w logic.WorkerID, to logic.Nanos) {
+func (h *recordedSentry) Submit(t logic.TxnID, w logic.WorkerID, timeout logic.Nanos) {
 	if h.recorded[t] {
-		h.rec.Submit(h.now, t, w, to)
+		h.rec.Submit(h.now, t, w, timeout)
 	}
 	h.submissions = append(h.submissions, action{txn: uint64(t), worker: string(w)})
 }
@@ -117,8 +117,8 @@
 	h.timers, h.tokens = append(h.timers, h.now+after), append(h.tokens, token)
 }
 
-// recordTxns records n txns of a sentry with a failing build on trial and returns the number of txns recorded. With pace it
-// waits for the writer, as txns arrive faster here than at any edge.
+// recordTxns runs a sentry with a failing build on trial on n txns and returns the number of txns recorded. With pace it
+// waits for the writer, because txns arrive faster here than at any edge.
 func recordTxns(t *testing.T, rec *Recorder, n int, pace bool) int {
 	rng := rand.New(rand.NewSource(5))
 	sink := &recordedSentry{actionCollector: &actionCollector{}, rec: rec, now: 1e12, recorded: map[logic.TxnID]bool{}}
@@ -190,7 +190,7 @@
 	return paths
 }
 
-// The hand-written encoding must agree with the generated code and with Decode, also for a record whose length needs more
+// The hand-written encoding must agree with the generated code and with Decode, also for a record whose length takes more
 // than two bytes.
 func TestRecordEncodingMatchesSchema(t *testing.T) {
 	r := Record{Kind: tracepb.Kind_OUTCOME, At: 1500, Txn: 1 << 40, Serial: 9, Number: 2, Worker: 3, Product: 1, Customer: 4, Ending: 5, Key: 77,
@@ -215,8 +215,8 @@
 	}
 }
 
-// A replay must repeat every recorded action under the recorded settings, differ under other ones, and refuse a run whose
-// first segment is missing.
+// A replay must repeat each recorded action under the recorded settings, and differ under other ones. A run whose first
+// segment is missing must be refused.
 func TestReplayMatchesAndDetectsChangedSettings(t *testing.T) {
 	recordRun(t, t.TempDir(), testRetention, 10)
 	dir := t.TempDir()
@@ -238,8 +238,8 @@
 	if err != nil || r.Differs == "" {
 		t.Errorf("replay under another setting does not differ: %+v, %v", r, err)
 	}
-	// With fewer submissions allowed, txns that failed at the bad build are voided or declined; with the same, nothing
-	// differs.
+	// Under the same settings nothing differs. With one submission allowed, more txns that failed at the bad build are
+	// voided or declined.
 	if d, err := WhatIf(runs[0], testSettings); err != nil || d.Differ != 0 || d.Txns != 20000 || d.First != 0 {
 		t.Errorf("what-if under the same settings differs: %+v, %v", d, err)
 	}
@@ -253,8 +253,8 @@
 	}
 }
 
-// countRecords reads a file and returns the number of readable records, the time of the last one and the number of
-// damages.
+// countRecords reads a file and returns the number of readable records, the time of the last of them and the number of
+// damaged parts.
 func countRecords(data []byte) (n int, last int64, damages int, err error) {
 	f, err := Open(bytes.NewReader(data), int64(len(data)))
 	if err != nil {
@@ -327,28 +327,29 @@
 	}
 }
 
-// A flipped byte must be detected by a checksum, and cost the records of its own block only. A damaged index costs none.
+// A changed byte must be detected by a checksum, and only the records of its own block may be lost. A damaged index must
+// cost no records.
 func TestFlippedByteIsDetectedAndOtherBlocksRead(t *testing.T) {
 	data, ends, _ := encodeSmallFile(t)
-	for at := ends[0]; at < len(data); at++ {
+	for offset := ends[0]; offset < len(data); offset++ {
 		for _, withIndex := range []bool{true, false} {
 			damaged := append([]byte(nil), data...)
 			if !withIndex {
 				damaged = damaged[:ends[len(ends)-1]]
-				if at >= len(damaged) {
+				if offset >= len(damaged) {
 					continue
 				}
 			}
-			damaged[at] ^= 0x40
+			damaged[offset] ^= 0x40
 			n, _, damages, err := countRecords(damaged)
-			if at >= ends[len(ends)-1] { // in the index, which is rebuilt from the blocks
+			if offset >= ends[len(ends)-1] { // in the index, which is rebuilt from the blocks
 				if err != nil || n != 80 {
-					t.Fatalf("index flipped at %d: %d records, %v", at, n, err)
+					t.Fatalf("index changed at %d: %d records, %v", offset, n, err)
 				}
 				continue
 			}
 			if err != nil || n != 60 || damages == 0 {
-				t.Fatalf("flipped at %d: %d records, %d damages, %v", at, n, damages, err)
+				t.Fatalf("changed at %d: %d records, %d damaged parts, %v", offset, n, damages, err)
 			}
 		}
 	}
@@ -369,11 +370,11 @@
 	}
 	n, _, damages, err := countRecords(data)
 	if err != nil || n == 0 || damages > 0 {
-		t.Errorf("%d records, %d damages, %v", n, damages, err)
+		t.Errorf("%d records, %d damaged parts, %v", n, damages, err)
 	}
 }
 
-// Follow must find a txn by its name, by the trace context that the client sent or the edge gave, and by its key.
+// Follow must find a txn by its name, by the trace id that the client sent or the edge generated, and by its key.
 func TestFollowFindsTxnsByNameKeyAndTraceID(t *testing.T) {
 	dir := t.TempDir()
 	recordRun(t, dir, testRetention, 3000)
@@ -382,22 +383,22 @@
 		t.Fatal(err)
 	}
 	onDamage := func(path string, d Damage) { t.Errorf("%s: %v", path, d) }
-	given := fmt.Sprintf("00-%016x%016x-0000000000000001-01", 77, MixSerial(1234))
-	for query, want := range map[string]uint64{"s1-1234": 1234, given: 1234, "00-00000000000004d30000000000000007-0000000000000001-01": 1235} {
+	generated := fmt.Sprintf("00-%016x%016x-0000000000000001-01", 77, MixSerial(1234))
+	for query, want := range map[string]uint64{"s1-1234": 1234, generated: 1234, "00-00000000000004d30000000000000007-0000000000000001-01": 1235} {
 		got, err := Follow(runs, ParseQuery(query), onDamage)
 		if err != nil || len(got) != 1 || got[0].Serial != want || got[0].End == "cut" || len(got[0].Steps) < 2 {
 			t.Errorf("%s: %+v, %v", query, got, err)
 		}
 	}
 	if got, _ := Follow(runs, Query{Sentry: -1, Key: 7}, onDamage); len(got) < 20 {
-		t.Errorf("%d txns of a key that about 60 txns have", len(got))
+		t.Errorf("found %d txns of a key that about 60 txns have", len(got))
 	}
 	if got, _ := Follow(runs, ParseQuery("no such key"), onDamage); len(got) != 0 {
 		t.Errorf("found %v", got)
 	}
 }
 
-// Each txn must be counted with one ending, and each submission with one outcome, by build and by worker.
+// Each txn must be counted with one ending, and each submission with one outcome.
 func TestSummaryCountsEveryTxnOnce(t *testing.T) {
 	dir := t.TempDir()
 	recordRun(t, dir, testRetention, 3000)
@@ -483,8 +484,8 @@
 	}
 }
 
-// A full disk must cost traces only: recording goes on and ends without a leaked goroutine, and what was written is
-// readable.
+// A full disk must affect nothing but traces: recording goes on and ends without a leaked goroutine, and the files that
+// were written are readable.
 func TestFailingDisk(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	dir := newMemoryDir()
@@ -505,9 +506,9 @@
 	goleak.VerifyNone(t, before)
 }
 
-// While a disk stalls, the recorder must skip whole txns, without records of them left over, and record how many it
+// While writes to the disk block, the recorder must skip whole txns, without any record of them, and record how many it
 // skipped.
-func TestStallingDiskLeavesOutWholeTxns(t *testing.T) {
+func TestStalledDiskSkipsWholeTxns(t *testing.T) {
 	dir := newMemoryDir()
 	dir.writeGate = make(chan struct{})
 	rec, err := NewRecorder(dir, testRetention, &tracepb.Header{Edge: "e", Life: 5}, testSettings, zap.NewNop())
@@ -521,12 +522,12 @@
 		close(dir.writeGate)
 	}()
 	const n = 120000
-	got := recordTxns(t, rec, n, false)
-	if got == n {
+	recorded := recordTxns(t, rec, n, false)
+	if recorded == n {
 		t.Fatal("no txn was skipped")
 	}
-	gaps, taken, orphans := uint64(0), 0, 0
-	live := map[uint64]bool{}
+	skipped, taken, orphans := uint64(0), 0, 0
+	takenIDs := map[uint64]bool{}
 	for _, f := range dir.files {
 		file, err := Open(bytes.NewReader(f.Bytes()), int64(f.Len()))
 		if err != nil {
@@ -536,11 +537,11 @@
 			if err := file.Read(i, func(r *Record, _ []string) bool {
 				switch {
 				case r.Kind == tracepb.Kind_GAP:
-					gaps += r.Token
+					skipped += r.Token
 				case r.Kind == tracepb.Kind_TAKE:
 					taken++
-					live[r.Txn] = true
-				case r.Txn != 0 && !live[r.Txn]:
+					takenIDs[r.Txn] = true
+				case r.Txn != 0 && !takenIDs[r.Txn]:
 					orphans++
 				}
 				return true
@@ -550,12 +551,12 @@
 		}
 		file.Close()
 	}
-	if taken != got || orphans > 0 || gaps+uint64(taken) > n || gaps == 0 {
-		t.Errorf("%d TAKE records of %d recorded txns, %d txns in gaps, %d records of skipped txns", taken, got, gaps, orphans)
+	if taken != recorded || orphans > 0 || skipped+uint64(taken) > n || skipped == 0 {
+		t.Errorf("%d TAKE records of %d recorded txns, %d txns in GAP records, %d records of skipped txns", taken, recorded, skipped, orphans)
 	}
 }
 
-// Recording an ordinary txn must not allocate on the event loop.
+// Recording an ordinary txn must not allocate memory, because it happens on the event loop.
 func TestRecordingAllocatesNothing(t *testing.T) {
 	rec, err := NewRecorder(newMemoryDir(), testRetention, &tracepb.Header{}, testSettings, zap.NewNop())
 	if err != nil {
