--- a/trace/compare.go
+++ b/trace/compare.go
@@ -84,7 +84,7 @@
 const minBinomialVariance = 3
 
 // quantileWithError returns a quantile in ms and half the width of its 95% confidence interval. The interval assumes no
-// distribution of the values, as the number of values below the quantile is binomial. ok is false if there are too few.
+// distribution of the values, as the number of values below the quantile is binomial. ok is false for too few values.
 func quantileWithError(h *hdrhistogram.Histogram, q float64) (ms, margin float64, ok bool) {
 	n := float64(h.TotalCount())
 	p := q / 100
--- a/trace/file.go
+++ b/trace/file.go
@@ -246,6 +246,7 @@
 	Why        string
 }
 
+// String returns the damaged range and the reason as text.
 func (d Damage) String() string { return fmt.Sprintf("bytes %d to %d: %s", d.From, d.Till, d.Why) }
 
 // File is an open trace file.
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -265,6 +265,7 @@
 	text   string
 }
 
+// String returns the action as shown in ReplayResult.Differs.
 func (a action) String() string {
 	s := a.kind.String()
 	if a.txn != 0 {
--- a/trace/rules.go
+++ b/trace/rules.go
@@ -23,6 +23,7 @@
 	Text   string
 }
 
+// String returns the violation as a line of text.
 func (v RuleViolation) String() string {
 	txn := ""
 	if v.Txn != "" {
@@ -180,6 +181,7 @@
 	build int64   // build to which the cap applied
 }
 
+// newSentryChecker returns a checker of a run, and reports which checks the run's trace does not permit.
 func newSentryChecker(l *Life, options RulesPlan, report *RulesReport) (*sentryChecker, error) {
 	s := &sentryChecker{run: l, report: report, settings: options.Settings, open: map[uint64]*checkedTxn{}, workers: map[string]*checkedWorker{},
 		windows: map[int]*exposureWindow{}, answeredBy: map[uint64]int64{}}
@@ -200,6 +202,7 @@
 	return s, nil
 }
 
+// number, text and flag return a setting, or a zero value if the setting is missing or has another type.
 func (s *sentryChecker) number(name string) float64 { v, _ := s.settings[name].(float64); return v }
 func (s *sentryChecker) text(name string) string    { v, _ := s.settings[name].(string); return v }
 func (s *sentryChecker) flag(name string) bool      { v, _ := s.settings[name].(bool); return v }
@@ -297,6 +300,7 @@
 	}
 }
 
+// setState sets whether a worker is up, and notes the time at which it went down.
 func (s *sentryChecker) setState(worker *checkedWorker, up bool, at int64) {
 	if worker.up && !up {
 		worker.downSince = at
@@ -318,6 +322,7 @@
 	s.releaseKnown = true
 }
 
+// addTxn adds a txn to the open ones and to its exposure window.
 func (s *sentryChecker) addTxn(r *Record) {
 	s.report.Txns++
 	s.open[r.Txn] = &checkedTxn{serial: r.Serial, product: int(r.Product), key: r.Key, cost: int64(r.Cost), taken: r.At, expiry: r.At + int64(r.Patience)}
@@ -354,6 +359,7 @@
 	}
 }
 
+// checkOutcome ends a submission, and checks the answer if the client got one from it.
 func (s *sentryChecker) checkOutcome(txn *checkedTxn, r *Record) {
 	if int(r.Number) >= len(txn.submissions) {
 		return
--- a/trace/summary.go
+++ b/trace/summary.go
@@ -85,7 +85,7 @@
 	Open        int // number of txns without a recorded end
 	Submissions int
 	P50, P99    float64                 // time from taking to settling a txn, ms
-	times       *hdrhistogram.Histogram // likewise, µs
+	times       *hdrhistogram.Histogram // the same times, µs
 }
 
 // SubmissionStats holds statistics on the submissions to a worker or a build.
@@ -94,7 +94,7 @@
 	Submissions int
 	Endings     map[string]int          // number of submissions by ending
 	P50, P99    float64                 // duration of OK submissions, ms
-	times       *hdrhistogram.Histogram // likewise, µs
+	times       *hdrhistogram.Histogram // the same times, µs
 }
 
 // maxSummarisedSends limits the submissions of a txn whose outcomes count for a worker and a build.
--- a/trace/tools_test.go
+++ b/trace/tools_test.go
@@ -55,6 +55,7 @@
 	return runs[0]
 }
 
+// ruleSettings holds the settings under which the scripts of TestRulesInTraces are checked.
 const ruleSettings = `{"products.count": 3, "products.0.effect": "inquiry-like", "products.1.effect": "once-only", "products.2.effect": "referenced",
  "products.2.group": "all", "products.2.memory": 2e9, "rules.drain-grace": 5e8, "rules.cold": 3e9, "rules.cold-from": 0.3, "rules.fall-multiple": 2,
  "rules.fall-after": 1e9, "release.free": 2, "release.window": 3e9, "release.caps.0": 0.1, "release.one-way": true, "release.guarded-stages": 1,
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -73,8 +73,10 @@
 func (m *memoryDir) List() ([]Segment, error)               { return nil, nil }
 func (m *memoryDir) Replace(name string, data []byte) error { return nil }
 
+// testRetention is the retention of recorded runs unless a test sets its own.
 var testRetention = Keep{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}
 
+// testSettings are the decision module's settings in recorded runs.
 var testSettings = map[string]any{"products.count": 2.0, "products.0.effect": "inquiry-like", "products.1.effect": "once-only",
 	"products.0.sla": 3e8, "products.1.sla": 3e8, "allow.submissions": 4.0, "allow.copies": true, "allow.cancel": true, "sentries": 1.0,
 	"release.votes": "single", "release.caps.0": 0.1, "release.free": 3.0, "release.window": 4e9, "release.bake": 1e9,
