--- a/trace/tail_test.go
+++ b/trace/tail_test.go
@@ -234,15 +234,15 @@
 	copy(empty, tailMarker[:])
 	hugeSlot := append([]byte(nil), empty...)
 	binary.LittleEndian.PutUint64(hugeSlot[tailHeaderBytes:], 1)
-	binary.LittleEndian.PutUint64(hugeSlot[tailHeaderBytes+slotSizeOffset:], 1<<62)
+	binary.LittleEndian.PutUint64(hugeSlot[tailHeaderBytes+16:], 1<<62)
 	badRecords := append([]byte(nil), empty...)
 	binary.LittleEndian.PutUint64(badRecords[tailHeaderBytes:], 1)
-	binary.LittleEndian.PutUint64(badRecords[tailHeaderBytes+slotSizeOffset:], 100)
+	binary.LittleEndian.PutUint64(badRecords[tailHeaderBytes+16:], 100)
 	for i := range 100 {
 		badRecords[tailHeaderBytes+slotHeaderBytes+i] = 0xff
 	}
 	hugeHeader := append([]byte(nil), empty...)
-	binary.LittleEndian.PutUint32(hugeHeader[tailLengthOffset:], 1<<31)
+	binary.LittleEndian.PutUint32(hugeHeader[8:], 1<<31)
 	for _, tc := range []struct {
 		name string
 		data []byte
