--- a/logic/emit.go
+++ b/logic/emit.go
@@ -1,7 +1,7 @@
 package logic
 
-// emit turns the difference between what is wanted and the present state into actions. Submissions still have to pass the
-// rules of logic.go; nothing else is decided here.
+// emit issues the wanted actions that are still to be taken. Each submission has to pass the rules in logic.go once more;
+// nothing else is decided here.
 func (s *Sentry) emit() {
 	for i := 0; i < len(s.dirty); i++ {
 		slot := s.dirty[i]
@@ -32,12 +32,12 @@
 		}
 	}
 	s.dirty = s.dirty[:0]
-	if s.wantWatch && s.now >= s.nextWatchAt {
+	if s.needsWatch && s.now >= s.nextWatchAt {
 		s.nextWatchAt = s.now + s.nanos("rules.ask-within", 10*Second)
 		s.sink.WatchWorkers()
 	}
-	for _, target := range s.evidenceTargets {
-		s.sink.SendToPeer(target, s.ownEvidence.encode(s.trial))
+	for _, peer := range s.evidenceTargets {
+		s.sink.SendToPeer(peer, s.ownEvidence.encode(s.trial))
 	}
 	s.evidenceTargets = s.evidenceTargets[:0]
 	if s.wantVote != VerdictNone && s.mayVote {
@@ -50,7 +50,7 @@
 	}
 }
 
-// finish cancels, once, the pending submissions of a txn that is resolved, and frees its slot when none is pending.
+// finish ends a txn that is resolved: it cancels the pending submissions, once, and frees the slot when none is pending.
 func (s *Sentry) finish(slot int32) {
 	t := &s.slab[slot]
 	pending := false
@@ -69,11 +69,11 @@
 	}
 }
 
-// submit sends t to the worker that is wanted and records the submission.
+// submit sends t to its wanted target and records the submission.
 func (s *Sentry) submit(t *txn) {
 	w := t.want.target
 	w.inFlight++
-	s.open++
+	s.totalInFlight++
 	if s.ramp(w) < 1 {
 		w.coldBudget--
 	}
--- a/logic/explain.go
+++ b/logic/explain.go
@@ -1,8 +1,8 @@
 package logic
 
-// Explain reports for each worker the reason why a txn of a product is not sent to it now, or "" where there is none. It
-// helps to find out why a txn was declined, on a replay that has stopped at that moment. It changes nothing and decides
-// nothing. tried is the number of submissions that the txn has had.
+// Explain returns for each worker the reason why a txn with the given product and key would not be sent to it now. tried
+// is the number of earlier submissions of the txn. Explain is used on a replay that has stopped at a decision, to find out
+// why a txn was declined. It does not change the state.
 func (s *Sentry) Explain(p ProductID, k KeyID, tried int) []WorkerStatus {
 	var statuses []WorkerStatus
 	if int(p) >= len(s.products) {
@@ -39,13 +39,13 @@
 	return statuses
 }
 
-// WorkerStatus is how a sentry regards a worker.
+// WorkerStatus is the state of a worker in the view of a sentry.
 type WorkerStatus struct {
 	Worker   WorkerID
 	Rel      RelID
 	Trial    bool    // the exposure of its build is capped
 	Open     int     // submissions of this sentry in flight
-	Limit    float64 // on Open
-	Slowdown float64 // response time, in expected times
-	Reason   string  // why no txn is sent to it, "" if one may be
+	Limit    float64 // maximum of Open
+	Slowdown float64 // ratio of its response times to the expected ones
+	Reason   string  // why no txn is sent to it; "" if txns may be sent
 }
--- a/logic/helper.go
+++ b/logic/helper.go
@@ -11,22 +11,22 @@
 // signTest returns the one-sided p-value of the sign test: the probability that a fair coin gives at least this many losses
 // in losses+wins throws.
 func signTest(losses, wins float64) float64 {
-	a := int(math.Round(losses))
-	n := a + int(math.Round(max(0, wins)))
+	lossCount := int(math.Round(losses))
+	n := lossCount + int(math.Round(max(0, wins)))
 	if n == 0 {
 		return 1
 	}
-	p, ln := 0.0, float64(n)*math.Ln2
-	top, _ := math.Lgamma(float64(n + 1))
-	for k := a; k <= n; k++ {
-		x, _ := math.Lgamma(float64(k + 1))
-		y, _ := math.Lgamma(float64(n - k + 1))
-		p += math.Exp(top - x - y - ln)
+	p, logOutcomes := 0.0, float64(n)*math.Ln2
+	logFactorialN, _ := math.Lgamma(float64(n + 1))
+	for k := lossCount; k <= n; k++ {
+		logFactorialK, _ := math.Lgamma(float64(k + 1))
+		logFactorialRest, _ := math.Lgamma(float64(n - k + 1))
+		p += math.Exp(logFactorialN - logFactorialK - logFactorialRest - logOutcomes)
 	}
 	return min(p, 1)
 }
 
-// addWorker adds a worker to the map and, in the order of ids, to sortedWorkers; it replaces one with the same id.
+// addWorker adds a worker to the map and, by id, to sortedWorkers. It replaces a worker with the same id.
 func (s *Sentry) addWorker(w *worker) *worker {
 	previous, known := s.workers[w.ID]
 	if known {
@@ -45,7 +45,7 @@
 	return w
 }
 
-// rebuildSamplers fills the samplers with the workers as they are partitioned, and lists the unhealthy ones.
+// rebuildSamplers fills the samplers from trialWorkers, baselineWorkers and otherWorkers, and lists the unhealthy workers.
 func (s *Sentry) rebuildSamplers() {
 	s.unhealthy = s.unhealthy[:0]
 	for _, w := range s.sortedWorkers {
@@ -71,16 +71,16 @@
 	}
 }
 
-// overrideWeight gives a worker another weight until restoreWeights.
+// overrideWeight changes the weight of a worker until restoreWeights is called.
 func (s *Sentry) overrideWeight(w *worker, weight float64) {
 	w.sampler.updateWeight(w, weight)
 	s.reweighted = append(s.reweighted, w)
 }
 
 // restoreWeights resets the weights that were overridden.
-func (s *Sentry) restoreWeights(from *weightedSampler) {
+func (s *Sentry) restoreWeights(sampler *weightedSampler) {
 	for _, w := range s.reweighted {
-		from.updateWeight(w, s.weight(w))
+		sampler.updateWeight(w, s.weight(w))
 	}
 	s.reweighted = s.reweighted[:0]
 }
@@ -88,11 +88,13 @@
 // moments accumulates values for their mean and variance.
 type moments struct {
 	n, sum, sumSquares float64
-	workers            int // whose values were pooled
+	workers            int // number of workers whose values poolTimes merged
 }
 
+// add adds a value.
 func (v *moments) add(x float64) { v.merge(moments{n: 1, sum: x, sumSquares: x * x}, 1) }
 
+// merge adds the values of o with the given weight.
 func (v *moments) merge(o moments, weight float64) {
 	v.n += weight * o.n
 	v.sum += weight * o.sum
@@ -102,14 +104,14 @@
 func (v *moments) mean() float64     { return v.sum / v.n }
 func (v *moments) variance() float64 { return max(0, v.sumSquares/v.n-v.mean()*v.mean()) }
 
-// zScore returns by how many standard errors the mean exceeds x. The variance is a mean of the observed and the prior one,
-// which has the weight of priorWeight values; deviation is the standard deviation between the pooled workers.
+// zScore returns by how many standard errors the mean exceeds x. The variance is a weighted mean of the observed one and
+// priorVariance, which counts as priorWeight values; deviation is the standard deviation between the pooled workers.
 func (v *moments) zScore(x, priorVariance, priorWeight, deviation float64) float64 {
 	variance := (v.n*v.variance() + priorWeight*priorVariance) / (v.n + priorWeight)
 	return (v.mean() - x) / math.Sqrt(variance/v.n+deviation*deviation*(1/float64(v.workers)+0.2))
 }
 
-// poolTimes sums the workers' relative times, without those of the slowest ones.
+// poolTimes merges the relative times of the workers without the trimmed slowest ones. It sorts timed, the slowest first.
 func poolTimes(timed []*worker, trimmed int) moments {
 	slices.SortStableFunc(timed, func(a, b *worker) int {
 		return cmp.Compare(b.relativeTime.mean(), a.relativeTime.mean())
@@ -122,7 +124,7 @@
 	return all
 }
 
-// poissonTail returns the probability of count or more events where mean are expected.
+// poissonTail returns the probability that a Poisson distribution with the given mean yields count or more events.
 func poissonTail(count, mean float64) float64 {
 	p, term := 1.0, math.Exp(-mean)
 	for k := 0; k < int(math.Round(count)); k++ {
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -741,7 +741,7 @@
 		h.endSubmission(id, 0, OK, 90*Second)
 		h.advance(90 * Second)
 		want(t, "kept after its end", len(h.sortedWorkers), 0)
-		want(t, "held", h.open, 0)
+		want(t, "held", h.totalInFlight, 0)
 	})
 }
 
--- a/logic/sampler.go
+++ b/logic/sampler.go
@@ -6,15 +6,19 @@
 // sums of the weights below them, so that both a draw and a change of a weight take logarithmic time.
 type weightedSampler struct {
 	workers []*worker
-	sums    []float64 // 1 is the root, the children of i are 2i and 2i+1
+	sums    []float64 // sums[1] is the root, the children of node i are 2i and 2i+1
 	leaves  int       // index of the first leaf; 0 if the workers have no weights
 }
 
-// Bounds of a weight: an infinite one would hide all others, and a worker with none would never be drawn.
-const minWeight, maxWeight = 1e-290, 1e290
+// Bounds of a weight. With an infinite weight all other workers would never be drawn, and with a weight of zero the worker
+// itself would never be drawn.
+const (
+	minWeight = 1e-290
+	maxWeight = 1e290
+)
 
-// fill puts workers into the sampler, which no other sampler holds. Up to maxScanned workers get no weights, as they are
-// scanned instead.
+// fill replaces the workers of the sampler. A worker belongs to at most one sampler. Up to maxScanned workers get no
+// weights, as the caller scans them instead of drawing.
 func (d *weightedSampler) fill(workers []*worker, maxScanned int, weight func(*worker) float64) {
 	d.workers, d.leaves = append(d.workers[:0], workers...), 0
 	for i, w := range workers {
@@ -43,7 +47,8 @@
 // weighted reports whether the workers have weights.
 func (d *weightedSampler) weighted() bool { return d.leaves > 0 }
 
-// updateWeight changes the weight of a worker. It recomputes the sums above, as adding differences would accumulate errors.
+// updateWeight changes the weight of a worker. It recomputes the sums above it, as adding the difference would accumulate
+// rounding errors.
 func (d *weightedSampler) updateWeight(w *worker, weight float64) {
 	i := d.leaves + w.samplerIndex
 	d.sums[i] = weight
@@ -52,7 +57,7 @@
 	}
 }
 
-// pick returns the worker at a fraction of the total weight, from 0 to below 1, or nil where the total is 0.
+// pick returns the worker at a fraction of the total weight, from 0 to below 1, or nil if the total is 0.
 func (d *weightedSampler) pick(fraction float64) *worker {
 	if d.sums[1] <= 0 {
 		return nil
@@ -68,9 +73,9 @@
 	return d.workers[i-d.leaves]
 }
 
-// raceWeight returns the weight with which a worker is drawn as often as it would have the least delay*e^noise, where e is
-// drawn from an exponential distribution for each worker. The least of several e/rate belongs to a worker with a
-// probability in proportion to its rate, and here the rate is delay^(-1/noise).
+// raceWeight returns the weight with which a worker is drawn as often as it would have the smallest delay*e^noise, if an e
+// were drawn from an exponential distribution for each worker. Of several values e/rate, each is the smallest with a
+// probability in proportion to its rate; here the rate is delay^(-1/noise).
 func raceWeight(delay, noise float64) float64 {
 	return min(max(math.Pow(delay, -1/noise), minWeight), maxWeight)
 }
--- a/logic/state.go
+++ b/logic/state.go
@@ -11,7 +11,7 @@
 
 // This file holds the state of a sentry and its bookkeeping. It makes no decisions.
 
-// arm is the part that a submission has in the comparison of builds.
+// arm is the side of the comparison of builds to which a submission belongs.
 type arm uint8
 
 const (
@@ -27,53 +27,56 @@
 	unresolved resolution = iota
 	declined
 	voided
-	settled // or its client has left
+	settled // settled, or abandoned by its client
 )
 
 // product is a product's settings and state.
 type product struct {
 	sla                     Nanos
-	dedupWindow             Nanos // how long a worker group remembers a referenced txn, and drops repeats of it
+	dedupWindow             Nanos // how long a worker group remembers a referenced txn and drops repeats of it
 	inquiryLike, referenced bool
-	dedupAnywhere           bool          // all workers drop repeats
-	dedupByZone             bool          // the workers of a zone drop repeats; if neither is set, those of a cell
+	dedupAnywhere           bool          // a repeat is dropped by any worker
+	dedupByZone             bool          // a repeat is dropped within a zone; if neither flag is set, within a cell
 	typicalTime             float64       // smoothed response time in ns, per ns of expected work where that is known
-	typicalSamples          int           // responses that went into typicalTime
+	typicalSamples          int           // responses counted in typicalTime
 	toTrial                 bool          // the toggle: the last txn of the pair was assigned to the trial
-	unpaired                []observation // trial outcomes that no baseline outcome has been paired with yet
+	unpaired                []observation // trial outcomes that are not paired with a baseline outcome yet
 }
 
-// observation is one side of a pair.
+// maxUnpaired is the maximum number of trial outcomes per product that wait for a baseline outcome.
+const maxUnpaired = 64
+
+// observation is one side of a pair: the outcome of a trial or baseline submission.
 type observation struct {
-	success bool
-	worker  *worker
-	at      Nanos
+	success    bool
+	worker     *worker
+	observedAt Nanos
 }
 
-// worker is the state of a worker process, as far as this sentry knows it.
+// worker is the state of a worker process as this sentry has observed it.
 type worker struct {
 	Worker
 	cohort             *cohort
 	inFlight           int              // submissions of this sentry
-	slowdown           float64          // smoothed response time, in expected times
+	slowdown           float64          // smoothed ratio of its response times to the expected ones
 	faultRate          float64          // smoothed share of faults
-	limit              float64          // submissions of this sentry that it may hold
-	lastResponseAt     Nanos            // when it last answered anything
-	nextProbeAt        Nanos            // while unhealthy: when the next probe is due
-	lastLossAt         Nanos            // when a lost pair was last counted
-	errors             float64          // errors here while its build is on trial, decayed
-	lastErrorAt        Nanos            // when the last of them came
+	limit              float64          // maximum of inFlight, before Sentry.limitFactor
+	lastResponseAt     Nanos            // time of its last response of any kind
+	nextProbeAt        Nanos            // while unhealthy: earliest time of the next probe
+	lastLossAt         Nanos            // time at which a lost pair was last counted
+	errors             float64          // error responses while its build is on trial, decayed
+	lastErrorAt        Nanos            // time of the last of these errors
 	losses             float64          // discordant pairs that it lost, decayed
-	silent             bool             // it has stopped answering
-	inRotation         bool             // rotationCredit is set
-	bucket             int              // index into evidence.bucketLosses, the same at all sentries
-	relativeTime       moments          // of the log response time over that of the cohort's earlier builds
-	rotationCredit     float64          // for the weighted round robin of its arm
+	silent             bool             // it has stopped responding
+	inRotation         bool             // rotationCredit has been initialized
+	bucket             int              // index in evidence.bucketLosses, the same at all sentries
+	relativeTime       moments          // log ratios of its response times to those of earlier builds in its cohort
+	rotationCredit     float64          // credit in the weighted round robin of its arm
 	coldBudget         float64          // submissions that it may get while cold
-	coldRefilledAt     Nanos            // when coldBudget was last refilled
-	coldAvailableSince Nanos            // since when coldBudget has been one or more
-	zoneFactor         float64          // by which its response time counts more if it is in another zone
-	sampler            *weightedSampler // that holds it, or nil
+	coldRefilledAt     Nanos            // time at which coldBudget was last refilled
+	coldAvailableSince Nanos            // time since which coldBudget has been one or more
+	zoneFactor         float64          // factor on its response time, above 1 for another zone
+	sampler            *weightedSampler // sampler that holds the worker, or nil
 	samplerIndex       int              // index in sampler.workers
 	unhealthy          bool             // listed in Sentry.unhealthy
 }
@@ -86,11 +89,12 @@
 
 // cohort holds the response times of the workers in a zone on machines of one kind.
 type cohort struct {
-	slowdown  float64 // smoothed response time, in expected times
-	logTime   float64 // smoothed log of the same, of earlier builds
-	updatedAt Nanos   // when a response of an earlier build last went into logTime
+	slowdown  float64 // smoothed ratio of response times to the expected ones
+	logTime   float64 // smoothed log of this ratio for earlier builds only
+	updatedAt Nanos   // time of the last response counted in logTime
 }
 
+// cohortOf returns the cohort of a worker, and creates it if there is none.
 func (s *Sentry) cohortOf(w Worker) *cohort {
 	key := cohortKey{w.Zone, w.Kind}
 	if s.cohorts[key] == nil {
@@ -103,28 +107,28 @@
 type submission struct {
 	target      *worker
 	sentAt      Nanos
-	rel         RelID // build of the target when it was sent
-	pending     bool  // it has not ended
+	rel         RelID // build of the target at the time of sending
+	pending     bool  // its outcome is not known yet
 	mayHaveRun  bool
 	arm         arm
 	isEvidence  bool // its outcome counts in the comparison of builds
 	reservesKey bool // its key counts as answered while it is pending
 }
 
-// txn is an open txn. want holds the actions that emit is to take for it.
+// txn is an open txn. want holds the actions that emit will issue for it.
 type txn struct {
 	Txn
-	generation  uint32 // of the slot, so that a timer for an earlier txn in it is recognized
+	generation  uint32 // incremented when the slot is reused, so that a timer of its previous txn is recognized
 	submissions [8]submission
-	n           int // submissions made
+	n           int // number of submissions made
 	state       resolution
 	stream      int // number of the submission whose response is streamed, plus one; 0 for none
 	want        struct {
-		target     *worker // of the next submission, nil for none
+		target     *worker // target of the next submission, nil for none
 		arm        arm
 		resolution resolution
 		wakeAt     Nanos // when to consider a second copy
-		retryAfter Nanos // sent with a decline
+		retryAfter Nanos // delay suggested with a decline
 	}
 	dirty      bool // listed in Sentry.dirty
 	cancelSent bool // pending submissions have been cancelled
@@ -133,7 +137,7 @@
 // Sentry is one instance of the decision module.
 type Sentry struct {
 	config        map[string]any
-	cachedSetting [64]cachedSetting
+	settingsCache [64]cachedSetting
 	rng           *rand.Rand
 	sink          Sink
 	now           Nanos
@@ -142,29 +146,29 @@
 	txnSlots  map[TxnID]int32 // index in slab
 	slab      []txn
 	freeSlots []int32
-	dirty     []int32 // slots that emit is to look at
+	dirty     []int32 // slots that the next emit processes
 
 	workers         map[WorkerID]*worker
 	sortedWorkers   []*worker // by id
 	trialWorkers    []*worker
 	baselineWorkers []*worker
-	otherWorkers    []*worker
+	otherWorkers    []*worker       // those of earlier builds that are not in the baseline
 	trialSampler    weightedSampler // of trialWorkers
 	baselineSampler weightedSampler // of baselineWorkers
 	otherSampler    weightedSampler // of otherWorkers
 	unhealthy       []*worker
-	reweighted      []*worker // whose weights a pick has overridden
-	coldWorkers     []*worker // that are cold, or were on the last tick
-	trialKinds      []KindID  // of the trial's machines
-	maxSubmissions  int       // of a txn
-	trialShare      float64   // of all txns, for the trial
-	baselineShare   float64   // of all txns, for the baseline
+	reweighted      []*worker // workers whose weight the current pick has overridden
+	coldWorkers     []*worker // workers that were cold at the last partition
+	trialKinds      []KindID  // kinds of the trial's machines
+	maxSubmissions  int       // per txn
+	trialShare      float64   // share of all txns for the trial
+	baselineShare   float64   // share of all txns for the baseline
 	pairCredit      float64   // txns that the pair may take now
-	trialCredit     float64   // of these, the trial
-	baselineCredit  float64   // of these, the baseline
-	usualWorkers    float64   // smoothed number of workers that carry the load
+	trialCredit     float64   // txns that the trial may take as part of the pair
+	baselineCredit  float64   // txns that the baseline may take as part of the pair
+	usualWorkers    float64   // smoothed number of workers that share the load
 	settledRate     float64   // submissions settled per second
-	ticks           float64   // since the start
+	ticks           float64   // ticks since the start
 	demand          float64   // txns per second, less those given up
 	preTrialDemand  float64   // demand before the trial
 	tickTaken       int       // txns taken since the last tick
@@ -172,77 +176,85 @@
 	tickSettled     int       // submissions settled since the last tick
 	hedgeBudget     float64   // second copies that may be sent
 	retryBudget     float64   // resubmissions that may be sent
-	contactInterval float64   // seconds between submissions to the same worker, where there are many sentries
-	localSlowdown   float64   // of the slowest cohort in the sentry's own zone
-	noise           float64   // weight of chance in the pick of a worker
+	contactInterval float64   // seconds between submissions to the same worker; 0 where there are few sentries
+	localSlowdown   float64   // slowdown of the slowest cohort in the sentry's own zone
+	noise           float64   // exponent of the random factor in the choice of a worker
 	cohorts         map[cohortKey]*cohort
-	logSentryRatio  float64 // log of the number of sentries per vote that 'back' needs, over fewSentries; at least 0
-	sentryShare     float64 // share of the limits of few sentries that this one has
-	limitFactor     float64 // factor on all limits
-	totalLimit      float64 // submissions that may be in flight at all workers
-	open            int     // submissions in flight at all workers
+	logSentryRatio  float64 // log of (sentries / 'back' votes needed / fewSentries), at least 0
+	sentryShare     float64 // this sentry's share of the full limits: 1 up to fewSentries
+	limitFactor     float64 // factor on the limits of all workers
+	totalLimit      float64 // submissions that may be in flight at all workers together
+	totalInFlight   int     // submissions in flight at all workers together
 
-	announced    ReleaseUpdate // the last one that was accepted
+	announced    ReleaseUpdate // the last update that was accepted
 	announcedAt  Nanos
-	capLoweredAt Nanos           // when the cap last fell
+	capLoweredAt Nanos           // time at which the cap last fell
 	lastOnTrial  RelID           // the newest build that was seen on trial
 	trial        RelID           // the newest build that an update or a worker names
 	exposure     []float64       // submissions that the trial may get, by exposureIndex
-	refilledAt   Nanos           // when the budgets were last refilled
+	refilledAt   Nanos           // time at which the budgets were last refilled
 	boundKeys    map[KeyID]RelID // the newest build that has answered a key
-	reservedKeys map[KeyID]int   // pending submissions to the newest build that may have been answered unnoticed
+	reservedKeys map[KeyID]int   // number of pending submissions to the newest build, by key
 
 	ownEvidence      evidence
-	peerEvidence     []evidence   // by the number of the sentry
-	logTime          float64      // smoothed log of response times over the expected ones
-	logSLA           float64      // smoothed log of SLA times over the expected response times
-	lastNormalAt     Nanos        // when the fleet was last not slowed down
-	logTimeSamples   float64      // outcomes that went into logTime
-	preTrialTicks    float64      // ticks that went into preTrialLogTime
-	preTrialLogTime  float64      // logTime before the trial
-	fleetSlowdown    float64      // rise of logTime since
-	capacityMissing  bool         // too few workers are usable
-	logTimeWeight    float64      // weight of a txn in logTime
-	steadyLogTime    float64      // logTime when last no capacity was missing
-	stageLogTime     float64      // steadyLogTime at the start of the stage
-	errorRates       [256]float64 // smoothed, by customer from 0 and by hash of the key from 16 on
-	earlierErrorRate float64      // smoothed error rate of earlier builds
-	watching         bool         // for a slowdown of the fleet: a build is on trial or has just been released
-	usualFaultRate   float64      // mean of the workers' fault rates, each up to maxFaultRate
-	baselineBias     moments      // of the log response time of the baseline arm over that of its cohorts
-	logTimeVariance  float64      // of the log response time of earlier builds around that of their cohort
-	slowStages       int          // stages of the trial in which logTime rose
-	lastSlowStage    int          // the last of them, -1 for none since the last change of stage
+	peerEvidence     []evidence // by the number of the sentry
+	logTime          float64    // smoothed log ratio of response times to the expected ones
+	logSLA           float64    // smoothed log ratio of SLA times to the expected response times
+	lastNormalAt     Nanos      // last time at which no slowdown of the fleet was detected
+	logTimeSamples   float64    // outcomes counted in logTime
+	preTrialTicks    float64    // ticks counted in preTrialLogTime
+	preTrialLogTime  float64    // logTime before the trial
+	fleetSlowdown    float64    // rise of logTime above preTrialLogTime
+	capacityMissing  bool       // too few workers are usable
+	logTimeWeight    float64    // weight of a txn in logTime; 0 while capacity is missing
+	steadyLogTime    float64    // the last logTime that neither missing capacity nor a surge of demand affected
+	stageLogTime     float64    // steadyLogTime at the start of the stage
+	errorRates       [customerErrorRates + keyErrorRates]float64
+	earlierErrorRate float64 // smoothed error rate of earlier builds
+	watching         bool    // the fleet is watched for a slowdown: a build is on trial or has just been released
+	usualFaultRate   float64 // mean of the workers' fault rates, each counted up to maxFaultRate
+	baselineBias     moments // log ratios of the baseline arm's response times to those of its cohorts
+	logTimeVariance  float64 // variance of log response times of earlier builds around their cohort's mean
+	slowStages       int     // number of stages of the trial in which logTime rose
+	lastSlowStage    int     // the last of these stages, -1 for none since the last change of stage
 	scratch          [3][]float64
-	timedWorkers     []*worker
+	timedWorkers     []*worker // scratch space of collectTimed
 
 	wantVote        Verdict
 	evidenceTargets []int // sentries to send the evidence to
-	mayVote         bool  // the random moment to vote has come
-	nextVoteAt      Nanos // when mayVote is drawn again
-	wantWatch       bool  // the worker list has to be watched
+	mayVote         bool  // the random draw allows a vote now
+	nextVoteAt      Nanos // time of the next draw of mayVote
+	needsWatch      bool  // the worker list has to be watched
 	nextWatchAt     Nanos
 	watchBackoff    Nanos
 	nextTickAt      Nanos
-	voteKey         int // build and verdict that were last logged
+	lastLoggedVote  int // build and verdict of the last vote that was logged
 }
 
-// cachedSetting is a setting that was looked up. Settings never change, and most names are constants of the program, so a
-// name at the same address as the cached one, which the cache keeps alive, is the same name and needs no hashing.
+// Smoothed error rates in Sentry.errorRates: the first are by customer, those that follow by hash of the key.
+const (
+	customerErrorRates = 16
+	keyErrorRates      = 240
+)
+
+// cachedSetting is the cached result of a lookup. Settings never change, and most names are string constants. The cache
+// keeps its names alive, so a string of the same address and length is the same name, and a lookup needs no hashing.
 type cachedSetting struct {
 	name  string
 	value any
 }
 
+// setting returns the value of a setting, or nil.
 func (s *Sentry) setting(name string) any {
 	address := unsafe.StringData(name)
-	entry := &s.cachedSetting[uintptr(unsafe.Pointer(address))>>3%uintptr(len(s.cachedSetting))]
+	entry := &s.settingsCache[uintptr(unsafe.Pointer(address))>>3%uintptr(len(s.settingsCache))]
 	if unsafe.StringData(entry.name) != address || len(entry.name) != len(name) {
 		*entry = cachedSetting{name, s.config[name]}
 	}
 	return entry.value
 }
 
+// num returns a numeric setting, or fallback where it is missing.
 func (s *Sentry) num(name string, fallback float64) float64 {
 	if v, ok := s.setting(name).(float64); ok {
 		return v
@@ -250,13 +262,18 @@
 	return fallback
 }
 
+// nanos returns a duration, or fallback where it is missing.
 func (s *Sentry) nanos(name string, fallback Nanos) Nanos {
 	return Nanos(s.num(name, float64(fallback)))
 }
-func (s *Sentry) flag(name string) bool   { v, _ := s.setting(name).(bool); return v }
+
+// flag returns a boolean setting, or false where it is missing.
+func (s *Sentry) flag(name string) bool { v, _ := s.setting(name).(bool); return v }
+
+// text returns a string setting, or "" where it is missing.
 func (s *Sentry) text(name string) string { v, _ := s.setting(name).(string); return v }
 
-// readProducts reads the products from the settings, and allocates the exposure buckets and the evidence of other sentries.
+// readProducts reads the products from the settings, and allocates the exposure buckets and the table of peer evidence.
 func (s *Sentry) readProducts() {
 	n := int(s.num("products.count", 0))
 	for i := 0; i < n; i++ {
@@ -273,7 +290,7 @@
 	}
 }
 
-// exposureIndex returns the index in s.exposure of the bucket that a product draws on.
+// exposureIndex returns the index in s.exposure of the bucket that a product uses.
 func (s *Sentry) exposureIndex(p ProductID) int {
 	if len(s.exposure) > 1 {
 		return int(p)
@@ -281,7 +298,7 @@
 	return 0
 }
 
-// expected returns the time in ns that t should take at an ordinary worker.
+// expected returns the expected response time of t in ns.
 func (s *Sentry) expected(t *txn) float64 {
 	p := &s.products[t.Product]
 	if p.typicalSamples == 0 {
@@ -290,7 +307,7 @@
 	return p.typicalTime * float64(max(t.Cost, 1))
 }
 
-// addTxn puts a txn into a free slot of the slab, and returns the slot.
+// addTxn stores a txn in a free slot of the slab, and returns the slot.
 func (s *Sentry) addTxn(in Txn) int32 {
 	if len(s.freeSlots) == 0 {
 		s.slab = append(s.slab, txn{})
@@ -303,7 +320,7 @@
 	return slot
 }
 
-// endTxn marks a txn as settled for the sentry. If stream is not 0, submission stream-1 goes on, as its response is
+// endTxn marks a txn as settled. If stream is not 0, submission stream-1 is not cancelled, as its response is being
 // streamed.
 func (s *Sentry) endTxn(now Nanos, id TxnID, stream int) {
 	s.now = now
@@ -314,7 +331,7 @@
 	s.emit()
 }
 
-// markDirty has emit look at the txn in a slot.
+// markDirty adds the txn in a slot to those that the next emit processes.
 func (s *Sentry) markDirty(slot int32) {
 	if !s.slab[slot].dirty {
 		s.slab[slot].dirty = true
@@ -332,20 +349,21 @@
 	return false
 }
 
-// evidence is a sentry's decayed counts of outcomes of the build on trial.
+// evidence holds a sentry's counts of outcomes of the build on trial. All but trialOutcomes decay.
 type evidence struct {
-	rel            RelID      // of received evidence: the build
-	receivedAt     Nanos      // of received evidence
-	pairs          float64    // trial and baseline outcomes that were paired
+	rel            RelID      // build, set only in evidence received from a peer
+	receivedAt     Nanos      // set only in evidence received from a peer
+	pairs          float64    // pairs of a trial and a baseline outcome
 	losses         float64    // discordant pairs against the trial
 	wins           float64    // discordant pairs in favour of the trial
-	trimmedLosses  float64    // losses without the workers with the most
-	trimmedWins    float64    // wins without the workers with the most
-	trialOutcomes  float64    // trial outcomes, paired or not; these do not decay
+	trimmedLosses  float64    // losses without those of the trial workers that lost most
+	trimmedWins    float64    // wins without those against the baseline workers that lost most
+	trialOutcomes  float64    // trial outcomes, paired or not
 	bucketLosses   [4]float64 // losses by bucket of workers
-	trialResponses float64    // successes and errors of the trial; not sent to other sentries
+	trialResponses float64    // successes and errors of the trial; not sent to peers
 }
 
+// decay multiplies the counts by factor.
 func (e *evidence) decay(factor float64) {
 	e.pairs, e.losses, e.wins, e.trialResponses = e.pairs*factor, e.losses*factor, e.wins*factor, e.trialResponses*factor
 	for i := range e.bucketLosses {
@@ -353,6 +371,7 @@
 	}
 }
 
+// add adds the counts of other evidence.
 func (e *evidence) add(o *evidence) {
 	e.pairs, e.losses, e.wins = e.pairs+o.pairs, e.losses+o.losses, e.wins+o.wins
 	for i := range e.bucketLosses {
@@ -362,14 +381,15 @@
 		e.trialOutcomes+o.trialOutcomes
 }
 
-// fields returns the values of a message, in their order.
+// fields returns the values that a message carries, in their order.
 func (e *evidence) fields() [10]*float64 {
 	g := &e.bucketLosses
 	return [10]*float64{&e.pairs, &e.losses, &e.wins, &e.trimmedLosses, &e.trimmedWins, &e.trialOutcomes,
 		&g[0], &g[1], &g[2], &g[3]}
 }
 
-// encode returns a message with the evidence on a build: 16-bit numbers, the build first and then the values in tenths.
+// encode returns a message with the evidence on a build. It consists of big-endian 16-bit numbers: the build, and then the
+// fields in tenths.
 func (e *evidence) encode(rel RelID) []byte {
 	data := binary.BigEndian.AppendUint16(nil, uint16(rel))
 	for _, v := range e.fields() {
@@ -378,7 +398,7 @@
 	return data
 }
 
-// decode reads a message, or clears the evidence if it is not one.
+// decode sets the evidence from a message, or clears it if the length of the message is wrong.
 func (e *evidence) decode(data []byte) {
 	*e = evidence{}
 	fields := e.fields()
@@ -391,9 +411,9 @@
 	}
 }
 
-// updateTrial determines the newest build that an update or a worker names, and resets the evidence if it has changed.
-// Nothing of a former newest build is kept, so an erroneous entry with a far higher build hides the real one only until it
-// is corrected.
+// updateTrial determines the newest build that an update or a worker names, and resets the evidence if it has changed. The
+// previous value is not considered, so an erroneous entry with a far higher build number hides the real newest build only
+// until the entry is corrected.
 func (s *Sentry) updateTrial() {
 	rel := max(0, s.announced.Rel)
 	for _, w := range s.sortedWorkers { // including workers that are gone: updates may still name their build
@@ -411,8 +431,8 @@
 	}
 }
 
-// dropGone removes workers that are gone, hold no submissions and have not answered for the given time. Where every start
-// of a worker has an id of its own, the list of workers and the time of a tick would otherwise grow without bound.
+// dropGone removes workers that are gone, have no submissions in flight and have not responded for the given time. Where
+// each process start has a new worker id, the worker list and the duration of a tick would otherwise grow without bound.
 func (s *Sentry) dropGone(after Nanos) {
 	s.sortedWorkers = slices.DeleteFunc(s.sortedWorkers, func(w *worker) bool {
 		drop := w.State == Gone && w.inFlight == 0 && s.now-w.lastResponseAt > after
@@ -423,15 +443,16 @@
 	})
 }
 
-// sameProcess reports whether an entry of the worker list is about this process, and not a successor with the same id.
+// sameProcess reports whether an entry of the worker list describes this process and not a successor with the same id.
 func (w *worker) sameProcess(entry Worker) bool {
 	entry.State, entry.Weight = w.State, w.Weight
 	return w.Worker == entry
 }
 
-// rollingBack reports whether the build goes back or is withdrawn.
-func (n *ReleaseUpdate) rollingBack() bool { return n.Phase == GoingBack || n.Phase == Withdrawn }
+// rollingBack reports whether the build is going back or withdrawn.
+func (u *ReleaseUpdate) rollingBack() bool { return u.Phase == GoingBack || u.Phase == Withdrawn }
 
+// markAllGone sets the state of all workers to Gone.
 func (s *Sentry) markAllGone() {
 	for _, w := range s.sortedWorkers {
 		w.State = Gone
@@ -444,7 +465,8 @@
 	return slot, int(slot) < len(s.slab) && s.slab[slot].generation == uint32(token>>32) && s.slab[slot].state == unresolved
 }
 
-// onTrial reports whether a build's exposure is capped.
+// onTrial reports whether a build's exposure is capped: it is newer than the announced build, or it is the announced build
+// and not released.
 func (s *Sentry) onTrial(rel RelID) bool {
 	return rel > s.announced.Rel || rel == s.announced.Rel && s.announced.Phase != Released
 }
@@ -457,7 +479,7 @@
 	return s.announced.Cap
 }
 
-// minRel returns the earliest build that t may be sent to: the newest one that has answered its key, or may have.
+// minRel returns the earliest build that t may be sent to: the newest build that has, or may have, answered its key.
 func (s *Sentry) minRel(t *txn) RelID {
 	if t.Key == 0 || len(s.boundKeys)+len(s.reservedKeys) == 0 {
 		return 0
@@ -468,13 +490,13 @@
 	return s.boundKeys[t.Key]
 }
 
-// reserveKey counts the pending submissions of a key to the newest build, where a response counts once it is written. A
-// response on a connection that has stalled has been given, though it is not known here.
-func (s *Sentry) reserveKey(t *txn, sub *submission, by int) {
+// reserveKey adds delta to the number of pending submissions of a key to the newest build. It applies where a response
+// counts once it is written: the worker may have written one that is stuck on a stalled connection.
+func (s *Sentry) reserveKey(t *txn, sub *submission, delta int) {
 	if !sub.reservesKey {
 		return
 	}
-	if s.reservedKeys[t.Key] += by; s.reservedKeys[t.Key] <= 0 {
+	if s.reservedKeys[t.Key] += delta; s.reservedKeys[t.Key] <= 0 {
 		delete(s.reservedKeys, t.Key)
 	}
 }
@@ -488,7 +510,7 @@
 	}
 }
 
-// ramp returns the share of its full capacity that a worker has by now: less than 1 while it is cold.
+// ramp returns the present capacity of a worker as a share of its full capacity; it is below 1 while the worker is cold.
 func (s *Sentry) ramp(w *worker) float64 {
 	if w.Start <= 0 {
 		return 1
@@ -502,36 +524,36 @@
 }
 
 // countPair counts a pair of a trial and a baseline outcome (step 4).
-func (s *Sentry) countPair(trial, baseline observation) {
+func (s *Sentry) countPair(trialOutcome, baselineOutcome observation) {
 	s.ownEvidence.pairs++
-	if trial.success && !baseline.success {
-		s.countLoss(baseline.worker, &s.ownEvidence.wins, 1)
-	} else if baseline.success && !trial.success {
-		s.countLoss(trial.worker, &s.ownEvidence.losses, 1)
+	if trialOutcome.success && !baselineOutcome.success {
+		s.countLoss(baselineOutcome.worker, &s.ownEvidence.wins, 1)
+	} else if baselineOutcome.success && !trialOutcome.success {
+		s.countLoss(trialOutcome.worker, &s.ownEvidence.losses, 1)
 	}
 }
 
 // StreamStarted handles the start of a streamed response, after which no other submission can answer the client.
 func (s *Sentry) StreamStarted(now Nanos, id TxnID, number int) { s.endTxn(now, id, number+1) }
 
-// ClientLeft handles a client that has left without an answer.
+// ClientLeft handles a client that has disconnected before its txn was answered.
 func (s *Sentry) ClientLeft(now Nanos, id TxnID) { s.endTxn(now, id, 0) }
 
-// trackErrors counts an ending, with the given weights, in the smoothed error rates of t's customer and key, and returns
-// these and the lowest rate of a customer.
+// trackErrors counts an ending, with the given weights, in the smoothed error rates of t's customer and key. It returns
+// both rates and the lowest rate of any customer.
 func (s *Sentry) trackErrors(t *txn, e Ending, customer, key float64) (byCustomer, byKey, least float64) {
-	c, k := &s.errorRates[int(t.Customer)%16], &s.errorRates[16+t.Key%240]
+	c, k := &s.errorRates[int(t.Customer)%customerErrorRates], &s.errorRates[customerErrorRates+t.Key%keyErrorRates]
 	if e == OK || e == ErrorResponse {
 		*c += customer * (indicator(e == ErrorResponse) - *c)
 		*k += key * (indicator(e == ErrorResponse) - *k)
 	}
-	if others := s.errorRates[1:min(16, 1+int(s.num("customers.count", 0)))]; len(others) > 1 {
-		return *c, *k, slices.Min(others)
+	if rates := s.errorRates[1:min(customerErrorRates, 1+int(s.num("customers.count", 0)))]; len(rates) > 1 {
+		return *c, *k, slices.Min(rates)
 	}
 	return 0, *k, 0
 }
 
-// collectTimed collects the workers of the newest build that have response times.
+// collectTimed sets timedWorkers to the workers of the newest build that have response times.
 func (s *Sentry) collectTimed() {
 	s.timedWorkers = s.timedWorkers[:0]
 	for _, w := range s.sortedWorkers {
@@ -541,7 +563,7 @@
 	}
 }
 
-// collectTrialKinds collects the kinds of the given workers' machines.
+// collectTrialKinds sets trialKinds to the kinds of the given workers' machines.
 func (s *Sentry) collectTrialKinds(workers []*worker) {
 	s.trialKinds = s.trialKinds[:0]
 	for _, w := range workers {
@@ -551,7 +573,7 @@
 	}
 }
 
-// updateLocalSlowdown finds the slowest cohort in the sentry's own zone.
+// updateLocalSlowdown sets localSlowdown to the slowdown of the slowest cohort in the sentry's own zone.
 func (s *Sentry) updateLocalSlowdown() {
 	s.localSlowdown = 0
 	for key, c := range s.cohorts {
@@ -561,28 +583,28 @@
 	}
 }
 
-// record drops unpaired trial outcomes from before since, keeps o if it is a trial outcome, and reports whether o is a
-// baseline outcome for which there is one to pair it with.
-func (p *product) record(side arm, o observation, since Nanos) bool {
-	for len(p.unpaired) > 0 && p.unpaired[0].at < since {
+// record drops unpaired trial outcomes from before since and stores o if it is a trial outcome. It reports whether o is a
+// baseline outcome that can be paired with a stored one.
+func (p *product) record(submissionArm arm, o observation, since Nanos) bool {
+	for len(p.unpaired) > 0 && p.unpaired[0].observedAt < since {
 		p.unpaired = slices.Delete(p.unpaired, 0, 1)
 	}
-	if side == trialArm && len(p.unpaired) < 64 {
+	if submissionArm == trialArm && len(p.unpaired) < maxUnpaired {
 		p.unpaired = append(p.unpaired, o)
 	}
-	return side == baselineArm && len(p.unpaired) > 0
+	return submissionArm == baselineArm && len(p.unpaired) > 0
 }
 
-// bindKey records that the newest build has answered t's key, unless that build goes back. A late update may still be about
-// the build before: if that one goes back, it frees no key that the newest build answers.
+// bindKey records that the newest build has answered t's key, unless that build is going back. A late update may still
+// concern the build before: if that one goes back, keys that the newest build answers stay bound all the same.
 func (s *Sentry) bindKey(t *txn) {
 	if t.Key != 0 && s.flag("release.one-way") && !(s.announced.rollingBack() && s.announced.Rel == s.trial) {
 		s.boundKeys[t.Key] = s.trial
 	}
 }
 
-// decayLosses decays the counts of all workers, and returns the pairs that each worker that is up has lost, of the trial
-// and of the others, and the errors of each worker of the trial.
+// decayLosses decays the counts of all workers. It returns the losses of each trial worker that is up, those of each other
+// worker that is up, and the errors of each trial worker that is up.
 func (s *Sentry) decayLosses(factor float64) (trialLosses, baselineLosses, errors []float64) {
 	trialLosses, baselineLosses, errors = s.scratch[0][:0], s.scratch[1][:0], s.scratch[2][:0]
 	for _, w := range s.sortedWorkers {
@@ -598,13 +620,13 @@
 	return trialLosses, baselineLosses, errors
 }
 
-// pooledEvidence returns the sum of this sentry's evidence and of that received from others within the given time.
+// pooledEvidence returns the sum of this sentry's evidence and of that received from its peers within the last ttl.
 func (s *Sentry) pooledEvidence(ttl Nanos) evidence {
-	all := s.ownEvidence
+	pooled := s.ownEvidence
 	for i := range s.peerEvidence {
 		if e := &s.peerEvidence[i]; e.rel == s.trial && s.now-e.receivedAt < ttl {
-			all.add(e)
+			pooled.add(e)
 		}
 	}
-	return all
+	return pooled
 }
--- a/logic/types.go
+++ b/logic/types.go
@@ -1,8 +1,8 @@
-// Package logic is the decision module of a sentry. This file declares its interface with the host: ids, events and the
-// sink for actions. All decisions are made in logic.go.
+// Package logic is the decision module of a sentry. This file declares its interface with the host: identifiers, events and
+// the sink for actions. All decisions are made in logic.go.
 package logic
 
-// Nanos is a time of the host's clock, or a duration, in nanoseconds.
+// Nanos is a time on the host's clock, or a duration, in nanoseconds.
 type Nanos int64
 
 // Units of a duration.
@@ -11,16 +11,16 @@
 	Second      Nanos = 1_000_000_000
 )
 
-// Ids, one type for each kind.
+// Identifiers.
 type (
 	TxnID      uint64
 	WorkerID   string
-	KeyID      uint64 // identifies what a txn is about; 0 for none
-	ProductID  int
-	CustomerID int // index in the settings' list plus one; 0 for none
+	KeyID      uint64 // hash of a txn's key; 0 for none
+	ProductID  int    // index in the settings' list
+	CustomerID int    // index in the settings' list plus one; 0 for none
 	ZoneID     int
-	KindID     int // of a machine
-	RelID      int // number of a build; a later build has a higher one
+	KindID     int // kind of machine
+	RelID      int // number of a build; a later build has a higher number
 )
 
 // State is a worker's state in the worker list.
@@ -42,18 +42,18 @@
 	State  State
 	Weight float64
 	Rel    RelID
-	Start  Nanos // when it last started; 0 if long ago
+	Start  Nanos // when the process started; 0 if long ago
 }
 
-// ListMode is how an update of the worker list relates to the list held so far.
+// ListMode is how an update of the worker list relates to the current list.
 type ListMode int
 
 // Modes of a list update.
 const (
 	Changes         ListMode = iota // changed entries only
 	Whole                           // the complete list
-	Restored                        // the complete list as held before a restart
-	ListUnavailable                 // a call for the list failed
+	Restored                        // the complete list from before a restart
+	ListUnavailable                 // a request for the list failed
 )
 
 // Txn is a txn that a client hands to the sentry.
@@ -63,8 +63,8 @@
 	Customer CustomerID
 	Key      KeyID
 	Cost     Nanos // expected work, 0 if unknown
-	Repeat   bool  // the client marked it as a repeat of its own
-	Expiry   Nanos // clock time at which the client gives up
+	Repeat   bool  // the client marked it as a retry of an earlier txn
+	Expiry   Nanos // time at which the client gives up
 }
 
 // Ending is how a submission, a probe or a vote ended.
@@ -76,14 +76,14 @@
 	Cancelled
 	TimedOut
 	Rejected          // the worker rejected it without running it
-	Skipped           // it was not sent; a vote: it no longer applied
+	Skipped           // it was not sent; for a vote: it no longer applied
 	Disconnected      // the connection broke
 	ErrorResponse     // the response was an error
 	ConnectFailed     // no connection could be established
-	MalformedResponse // the response could not be parsed: the submission has run
+	MalformedResponse // the response could not be parsed; the submission has run
 )
 
-// Load is a worker's load report. A negative value was not reported.
+// Load is a worker's load report. A value that was not reported is negative.
 type Load struct {
 	Util  float64 // share of its cores that are busy
 	Queue float64 // txns waiting
@@ -97,7 +97,7 @@
 	Ending        Ending
 	Elapsed       Nanos
 	Final         bool // the txn has its final answer
-	MaybeAnswered bool // if it did not end well: the worker may have sent a response that was not received
+	MaybeAnswered bool // Ending is not OK, but the worker may have sent a response that was not received
 	Load          *Load
 }
 
@@ -117,18 +117,19 @@
 	Stage     int
 	VoteReply bool // received in reply to a vote
 	Rel       RelID
-	Cap       float64
+	Cap       float64 // submissions to the build per txn, at most
 	Phase     Phase
-	Age       Nanos // time since it entered this state
-	Ending    Ending
+	Age       Nanos  // time since the release entered this state
+	Ending    Ending // of the vote, for a reply to one
 }
 
 // Tally holds the platform's counts for one build and product.
 type Tally struct {
-	Rel       RelID
-	Product   ProductID
-	Many, Bad int
-	Mean      Nanos
+	Rel     RelID
+	Product ProductID
+	Many    int   // submissions
+	Bad     int   // submissions that did not settle
+	Mean    Nanos // mean response time of those that settled
 }
 
 // Verdict is a vote on a build.
@@ -142,7 +143,7 @@
 	VerdictBack
 )
 
-// Sink performs the actions of one sentry, in order, at the time of the event being handled.
+// Sink performs the actions of one sentry. The module calls it in order while it handles an event.
 type Sink interface {
 	Submit(t TxnID, w WorkerID, timeout Nanos) // timeout 0: until the client gives up
 	Cancel(t TxnID, number int)
@@ -151,6 +152,6 @@
 	SetTimer(after Nanos, token uint64)
 	Vote(v Verdict, rel RelID, stage int)
 	WatchWorkers()                  // request changes of the worker list from now on
-	SendToPeer(to int, data []byte) // to the sentry with that number, at most 256 bytes
+	SendToPeer(to int, data []byte) // send at most 256 bytes to the sentry with number to
 	Log(text string)
 }
