--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,4 @@
-// Command wirehost serves many isolated sentries over standard input and output.
+// Command wirehost hosts many isolated sentries and exchanges their events and actions over standard input and output.
 package main
 
 import (
--- a/wire/init_settings.go
+++ b/wire/init_settings.go
@@ -2,17 +2,19 @@
 
 import "dunegrade/logic"
 
-// InitSettings holds the contents of an init message: the module's settings, and the numbers of the names that it lists.
+// InitSettings holds the contents of an init message: the module's settings, and the numbers assigned to the names in its
+// lists.
 type InitSettings struct {
-	Values     map[string]any // a flat map of names to values, as the module reads it
+	Values     map[string]any // the module's settings, a flat map of names to values
 	Products   map[string]int
 	Customers  map[string]int // numbered from 1
 	Zones      map[string]int
-	Kinds      map[string]int
-	LoadFields []string // names on the wire of the values of a load report
+	Kinds      map[string]int // kinds of machines
+	LoadFields []string       // wire names of the values in a load report, in their order
 }
 
-// DecodeInit decodes the parameters of an init message. Both the host here and a sentry in service use it.
+// DecodeInit decodes the parameters of an init message. It serves both the host in this package and package platform, whose
+// start document contains the same parameters.
 func DecodeInit(params map[string]any) *InitSettings {
 	settings := &InitSettings{Values: map[string]any{}, Products: numberNames(params["classes"], 0),
 		Customers: numberNames(params["realms"], 1), Zones: numberNames(params["localities"], 0),
@@ -34,7 +36,7 @@
 	return settings
 }
 
-// numberNames numbers the entries of a list of names, or of objects with a name, from first on.
+// numberNames numbers the names in a list of strings, or of objects with a field "name". The first entry gets number first.
 func numberNames(list any, first int) map[string]int {
 	numbers := map[string]int{}
 	entries, _ := list.([]any)
@@ -49,8 +51,7 @@
 	return numbers
 }
 
-// SetLoad sets the value of a load report that has the given name on the wire. Values that the module does not read are
-// ignored.
+// SetLoad sets the value of a load report that has the given wire name. Names that the module does not read are ignored.
 func SetLoad(l *logic.Load, field string, value float64) {
 	switch field {
 	case "cpu_share":
--- a/wire/settings.go
+++ b/wire/settings.go
@@ -6,7 +6,7 @@
 	"dunegrade/logic"
 )
 
-// unit is the conversion that the value of a setting needs.
+// unit is the unit of a setting's value on the wire, which determines its conversion.
 type unit int
 
 const (
@@ -14,14 +14,14 @@
 	microseconds
 )
 
-// setting is the module's name of a setting, and the unit of its value on the wire.
+// setting is the module's name of a setting and the unit of its value on the wire.
 type setting struct {
 	name string
 	unit unit
 }
 
-// settingNames gives the module's name for each setting on the wire, by its path without the indexes of lists. A setting
-// that is not listed keeps its name and value, so that new ones do no harm.
+// settingNames maps the path of a setting on the wire, without list indexes, to its name in the module. A setting that is
+// not listed keeps its name and value, so that new settings do no harm.
 var settingNames = map[string]setting{
 	"balancers":                {"sentries", unchanged},
 	"index":                    {"index", unchanged},
@@ -74,29 +74,33 @@
 	"worthBy":                  {"revenue-by", unchanged},
 }
 
-// valueNames gives the module's names for values that are names on the wire.
+// valueNames maps string values on the wire to those of the module.
 var valueNames = map[string]string{
 	"idempotent": "inquiry-like", "deduplicated": "referenced", "at_most_once": "once-only",
 	"per_lane": "product", "side_by_side": "beside", "rolling": "in-place",
 }
 
+// endings maps the codes of endings on the wire.
 var endings = map[int]logic.Ending{
 	0: logic.OK, 1: logic.Cancelled, 4: logic.TimedOut, 8: logic.Rejected, 9: logic.Skipped, 10: logic.Disconnected,
 	13: logic.ErrorResponse, 14: logic.ConnectFailed,
 }
 
+// states maps the names of worker states on the wire.
 var states = map[string]logic.State{"up": logic.Up, "draining": logic.Draining, "removed": logic.Gone}
 
+// modes maps the names of list modes on the wire.
 var modes = map[string]logic.ListMode{
 	"update": logic.Changes, "replace": logic.Whole, "restored": logic.Restored, "unavailable": logic.ListUnavailable,
 }
 
-// flatten adds a value of the wire, at the given path, to a flat map of the module's names to values: numbers as float64,
-// with times in nanoseconds, and booleans and texts as they are. A list becomes name.N for each entry, and name.count.
-func flatten(into map[string]any, name, path string, value any) {
-	u := unchanged
+// flatten adds a value at the given path on the wire to a flat map of the module's settings, under the given name. Numbers
+// are float64, with durations in nanoseconds; booleans and strings are copied. A list becomes name.N for each entry N, and
+// name.count.
+func flatten(settings map[string]any, name, path string, value any) {
+	valueUnit := unchanged
 	if w, ok := settingNames[path]; ok {
-		u = w.unit
+		valueUnit = w.unit
 	}
 	switch v := value.(type) {
 	case map[string]any:
@@ -109,31 +113,32 @@
 					entryName = join(name, w.name)
 				}
 			}
-			flatten(into, entryName, entryPath, entry)
+			flatten(settings, entryName, entryPath, entry)
 		}
 	case []any:
-		into[name+".count"] = float64(len(v))
+		settings[name+".count"] = float64(len(v))
 		for i, entry := range v {
-			flatten(into, name+"."+strconv.Itoa(i), path, entry)
+			flatten(settings, name+"."+strconv.Itoa(i), path, entry)
 		}
 	case float64:
-		if u == microseconds {
-			v *= 1000
+		if valueUnit == microseconds {
+			v *= nanosPerMicrosecond
 		}
-		into[name] = v
+		settings[name] = v
 	case string:
 		if w, ok := valueNames[v]; ok {
 			v = w
 		}
-		into[name] = v
+		settings[name] = v
 	case bool:
-		into[name] = v
+		settings[name] = v
 	}
 }
 
 // isList reports whether the setting at a path is a list of objects.
 func isList(path string) bool { return path == "classes" || path == "realms" }
 
+// join joins two parts of a path or name with a dot, unless the first is empty.
 func join(a, b string) string {
 	if a == "" {
 		return b
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire speaks the line-based JSON protocol of the bench and hosts the sentries behind it. It converts names and
+// Package wire implements the line-based JSON protocol of the bench and hosts the sentries behind it. It converts names and
 // units, and makes no decisions.
 package wire
 
@@ -16,27 +16,36 @@
 	"dunegrade/logic"
 )
 
+// nanosPerMicrosecond converts times: the wire has microseconds, the module nanoseconds.
+const nanosPerMicrosecond = 1000
+
+// Bits of the marks in a message that hands over a txn.
+const (
+	markHasEffort = 1
+	markRepeat    = 2
+)
+
 // instance is a hosted sentry with its own tables of names.
 type instance struct {
 	sentry *logic.Sentry
 	number int
 	out    *bytes.Buffer
-	failed bool
+	failed bool // the module has panicked
 	*InitSettings
 }
 
 // host is the state of one connection with the bench.
 type host struct {
 	now       logic.Nanos
-	out       bytes.Buffer
+	out       bytes.Buffer // actions of the current batch
 	errOut    io.Writer
-	pages     map[int][]json.RawMessage
+	pages     map[int][]json.RawMessage // entries of worker lists, by page number
 	workerIDs map[string]logic.WorkerID
-	instances map[int]*instance
+	instances map[int]*instance // by number of the sentry
 }
 
-// Serve reads batches of messages from in and writes the actions for each to out, until in ends. Messages that cannot be
-// decoded are reported on errs.
+// Serve reads batches of messages from in and writes the actions for each batch to out, until in ends. Messages that cannot
+// be decoded are reported on errs.
 func Serve(in io.Reader, out, errs io.Writer) error {
 	h := &host{errOut: errs, pages: map[int][]json.RawMessage{}, workerIDs: map[string]logic.WorkerID{},
 		instances: map[int]*instance{}}
@@ -44,7 +53,7 @@
 	for {
 		line, err := r.ReadBytes('\n')
 		if line = bytes.TrimSpace(line); len(line) > 0 {
-			if end, lineErr := h.line(line); lineErr != nil {
+			if end, lineErr := h.handleLine(line); lineErr != nil {
 				fmt.Fprintf(errs, "wirehost: %v in line %.200s\n", lineErr, line)
 			} else if end {
 				h.out.WriteString("[\"done\"]\n")
@@ -63,51 +72,64 @@
 	}
 }
 
-// message is the values of a message. Its methods record the first error in fault.
+// message holds the values of a message. Its methods record the first error in err.
 type message struct {
 	values []json.RawMessage
-	fault  error
+	err    error
 }
 
-// get decodes value i into a variable. A value that is missing or null is an error if it is required.
+// get decodes value i into the variable that into points to. If required is set, a missing or null value is an error.
 func (r *message) get(i int, field string, into any, required bool) {
-	if r.fault != nil {
+	if r.err != nil {
 		return
 	}
 	if i >= len(r.values) || string(r.values[i]) == "null" {
 		if required {
-			r.fault = fmt.Errorf("%s is missing", field)
+			r.err = fmt.Errorf("%s is missing", field)
 		}
 		return
 	}
 	if err := json.Unmarshal(r.values[i], into); err != nil {
-		r.fault = fmt.Errorf("%s has a wrong value %.40s", field, r.values[i])
+		r.err = fmt.Errorf("%s has a wrong value %.40s", field, r.values[i])
 	}
 }
 
-func (r *message) num(i int, field string) (n int64)    { r.get(i, field, &n, true); return n }
+// num decodes a required number.
+func (r *message) num(i int, field string) (n int64) { r.get(i, field, &n, true); return n }
+
+// optNum decodes an optional number, 0 if it is missing.
 func (r *message) optNum(i int, field string) (n int64) { r.get(i, field, &n, false); return n }
+
+// text decodes a required string.
 func (r *message) text(i int, field string) (s string) {
 	r.get(i, field, &s, true)
 	return s
 }
+
+// optText decodes an optional string, "" if it is missing.
 func (r *message) optText(i int, field string) (s string) { r.get(i, field, &s, false); return s }
-func (r *message) time(i int, field string) logic.Nanos   { return logic.Nanos(r.num(i, field) * 1000) }
 
+// time decodes a required time.
+func (r *message) time(i int, field string) logic.Nanos {
+	return logic.Nanos(r.num(i, field) * nanosPerMicrosecond)
+}
+
+// txn decodes the id of a txn.
 func (r *message) txn(i int) logic.TxnID {
 	s := r.text(i, "opId")
 	n, err := strconv.ParseUint(s, 16, 64)
-	if r.fault == nil && (err != nil || s != fmt.Sprintf("%016x", n)) {
-		r.fault = fmt.Errorf("opId %q is not 16 hex digits", s)
+	if r.err == nil && (err != nil || s != fmt.Sprintf("%016x", n)) {
+		r.err = fmt.Errorf("opId %q is not 16 hex digits", s)
 	}
 	return logic.TxnID(n)
 }
 
+// ending decodes the code of an ending.
 func (r *message) ending(i int) logic.Ending {
 	n := int(r.num(i, "ending"))
 	e, ok := endings[n]
-	if r.fault == nil && !ok {
-		r.fault = fmt.Errorf("ending %d is unknown", n)
+	if r.err == nil && !ok {
+		r.err = fmt.Errorf("ending %d is unknown", n)
 	}
 	return e
 }
@@ -115,14 +137,14 @@
 // lookup returns the entry of a table for a name, or records an error.
 func lookup[V any](r *message, table map[string]V, name, field string) V {
 	v, ok := table[name]
-	if r.fault == nil && !ok {
-		r.fault = fmt.Errorf("%s %q is unknown", field, name)
+	if r.err == nil && !ok {
+		r.err = fmt.Errorf("%s %q is unknown", field, name)
 	}
 	return v
 }
 
-// line handles one message, and reports whether it ends a batch.
-func (h *host) line(line []byte) (end bool, err error) {
+// handleLine handles one message, and reports whether it ends a batch.
+func (h *host) handleLine(line []byte) (end bool, err error) {
 	r := message{}
 	if err := json.Unmarshal(line, &r.values); err != nil {
 		return false, fmt.Errorf("not a JSON array: %w", err)
@@ -130,27 +152,27 @@
 	name := r.text(0, "message name")
 	switch name {
 	case "mark":
-		if t := r.time(1, "clock"); r.fault == nil {
+		if t := r.time(1, "clock"); r.err == nil {
 			h.now = t
 		}
-		return false, r.fault
+		return false, r.err
 	case "eofBatch":
 		return true, nil
 	case "census":
 		page := int(r.num(1, "page"))
 		var hosts []json.RawMessage
 		r.get(2, "hosts", &hosts, true)
-		if r.fault == nil {
+		if r.err == nil {
 			h.pages[page] = hosts
 		}
-		return false, r.fault
+		return false, r.err
 	}
 	number := int(r.num(1, "sentry"))
-	if r.fault != nil {
-		return false, r.fault
+	if r.err != nil {
+		return false, r.err
 	}
 	if name == "init" {
-		return false, h.start(&r, number)
+		return false, h.startInstance(&r, number)
 	}
 	in := h.instances[number]
 	if in == nil {
@@ -163,7 +185,7 @@
 	if in.failed {
 		return false, nil
 	}
-	call, err := h.decode(in, name, &r)
+	call, err := h.decodeCall(in, name, &r)
 	if err != nil {
 		return false, err
 	}
@@ -171,8 +193,8 @@
 	return false, nil
 }
 
-// guard runs a call into the decision module, and reports a panic with the die action; the instance ignores messages from
-// then on.
+// guard runs a call into the decision module. It reports a panic with the die action, after which the instance ignores all
+// messages but teardown.
 func (in *instance) guard(call func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -183,13 +205,13 @@
 	call()
 }
 
-// start creates an instance from an init message.
-func (h *host) start(r *message, number int) error {
+// startInstance creates an instance from an init message.
+func (h *host) startInstance(r *message, number int) error {
 	seed := r.num(2, "initSeed")
 	var params map[string]any
 	r.get(3, "params", &params, true)
-	if r.fault != nil {
-		return r.fault
+	if r.err != nil {
+		return r.err
 	}
 	settings := DecodeInit(params)
 	in := &instance{number: number, out: &h.out, InitSettings: settings}
@@ -198,21 +220,21 @@
 	return nil
 }
 
-// decode returns the call into the decision module that a message asks for.
-func (h *host) decode(in *instance, name string, r *message) (func(), error) {
+// decodeCall returns the call into the decision module that a message stands for.
+func (h *host) decodeCall(in *instance, name string, r *message) (func(), error) {
 	now, s := h.now, in.sentry
 	var call func()
 	switch name {
 	case "peersKnown":
 		mode := lookup(r, modes, r.text(3, "mode"), "mode")
 		var list []logic.Worker
-		if r.fault == nil && mode != logic.ListUnavailable {
+		if r.err == nil && mode != logic.ListUnavailable {
 			page, ok := h.pages[int(r.num(2, "page"))]
 			if !ok {
 				return nil, fmt.Errorf("page %s was never sent", r.values[2])
 			}
 			for _, e := range page {
-				list = append(list, h.worker(in, r, e))
+				list = append(list, h.decodeWorker(in, r, e))
 			}
 		}
 		call = func() { s.UpdateWorkers(now, mode, list) }
@@ -220,7 +242,7 @@
 		t := logic.Txn{ID: r.txn(2)}
 		var org any
 		r.get(3, "org", &org, false)
-		if o, ok := org.(string); ok && r.fault == nil {
+		if o, ok := org.(string); ok && r.err == nil {
 			t.Customer = logic.CustomerID(lookup(r, in.Customers, o, "org"))
 		}
 		t.Product = logic.ProductID(lookup(r, in.Products, r.text(4, "class"), "class"))
@@ -230,16 +252,16 @@
 			io.WriteString(f, key)
 			t.Key = logic.KeyID(f.Sum64() | 1)
 		}
-		if marks&1 != 0 {
-			t.Cost = logic.Nanos(r.optNum(7, "effort") * 1000)
+		if marks&markHasEffort != 0 {
+			t.Cost = logic.Nanos(r.optNum(7, "effort") * nanosPerMicrosecond)
 		}
-		t.Repeat = marks&2 != 0
+		t.Repeat = marks&markRepeat != 0
 		t.Expiry = r.time(8, "expires")
 		call = func() { s.Take(now, t) }
 	case "completed":
 		o := logic.Outcome{Txn: r.txn(2), Number: int(r.num(3, "copy")), Ending: r.ending(5), Elapsed: r.time(6, "costTime")}
 		r.get(7, "ended", &o.Final, false)
-		o.Load = in.load(r, 8)
+		o.Load = in.decodeLoad(r, 8)
 		call = func() { s.Outcome(now, o) }
 	case "flowing":
 		t, n := r.txn(2), int(r.num(3, "copy"))
@@ -254,13 +276,13 @@
 		r.text(2, "worker")
 		r.ending(3)
 		r.time(4, "costTime")
-		in.load(r, 5)
+		in.decodeLoad(r, 5)
 		call = func() {} // the module sends no probes, so their outcomes are ignored
 	case "whisper":
 		from := int(r.num(2, "originPeer"))
 		data, err := base64.StdEncoding.DecodeString(r.optText(3, "data"))
-		if r.fault == nil && err != nil {
-			r.fault = fmt.Errorf("data is not base64: %w", err)
+		if r.err == nil && err != nil {
+			r.err = fmt.Errorf("data is not base64: %w", err)
 		}
 		call = func() { s.PeerMessage(now, from, data) }
 	case "trialNews":
@@ -269,12 +291,12 @@
 		n.Rel = logic.RelID(r.optNum(4, "edition"))
 		r.get(5, "cap", &n.Cap, false)
 		n.Phase = logic.Phase(r.optNum(6, "phase"))
-		n.Age = logic.Nanos(r.optNum(7, "old") * 1000)
+		n.Age = logic.Nanos(r.optNum(7, "old") * nanosPerMicrosecond)
 		call = func() { s.ReleaseUpdate(now, n) }
 	case "countsByBuild":
 		t := logic.Tally{Rel: logic.RelID(r.num(2, "edition")), Many: int(r.num(3, "many")), Bad: int(r.num(4, "bad"))}
 		t.Product = logic.ProductID(lookup(r, in.Products, r.text(6, "class"), "class"))
-		t.Mean = logic.Nanos(r.optNum(7, "costTime") * 1000)
+		t.Mean = logic.Nanos(r.optNum(7, "costTime") * nanosPerMicrosecond)
 		call = func() { s.Tally(now, t) }
 	case "contested":
 		p := logic.ProductID(lookup(r, in.Products, r.text(2, "class"), "class"))
@@ -284,10 +306,10 @@
 	default:
 		return nil, fmt.Errorf("message %q is unknown", name)
 	}
-	return call, r.fault
+	return call, r.err
 }
 
-// workerID returns one shared copy of each worker id.
+// workerID returns the worker id for a string; equal ids share one copy.
 func (h *host) workerID(s string) logic.WorkerID {
 	id, ok := h.workerIDs[s]
 	if !ok {
@@ -297,11 +319,11 @@
 	return id
 }
 
-// worker decodes an entry of the worker list.
-func (h *host) worker(in *instance, r *message, entry json.RawMessage) logic.Worker {
+// decodeWorker decodes an entry of the decodeWorker list.
+func (h *host) decodeWorker(in *instance, r *message, entry json.RawMessage) logic.Worker {
 	e := message{}
 	if err := json.Unmarshal(entry, &e.values); err != nil {
-		e.fault = fmt.Errorf("a census entry is not an array: %w", err)
+		e.err = fmt.Errorf("a census entry is not an array: %w", err)
 	}
 	w := logic.Worker{ID: h.workerID(e.text(0, "worker")), Weight: 1}
 	w.Zone = logic.ZoneID(lookup(&e, in.Zones, e.text(1, "hall"), "hall"))
@@ -312,33 +334,34 @@
 	var ver float64
 	e.get(6, "ver", &ver, false)
 	w.Rel = logic.RelID(ver)
-	w.Start = logic.Nanos(e.optNum(7, "lastStart") * 1000)
-	if r.fault == nil {
-		r.fault = e.fault
+	w.Start = logic.Nanos(e.optNum(7, "lastStart") * nanosPerMicrosecond)
+	if r.err == nil {
+		r.err = e.err
 	}
 	return w
 }
 
-// load decodes the load report at index i, or returns nil if there is none.
-func (in *instance) load(r *message, i int) *logic.Load {
-	var v []float64
-	r.get(i, "feedback", &v, false)
-	if v == nil {
+// decodeLoad decodes the decodeLoad report at index i, or returns nil if there is none.
+func (in *instance) decodeLoad(r *message, i int) *logic.Load {
+	var values []float64
+	r.get(i, "feedback", &values, false)
+	if values == nil {
 		return nil
 	}
 	l := &logic.Load{Util: -1, Queue: -1, Busy: -1}
-	for k, f := range in.LoadFields {
-		if k >= len(v) {
+	for n, field := range in.LoadFields {
+		if n >= len(values) {
 			break
 		}
-		SetLoad(l, f, v[k])
+		SetLoad(l, field, values[n])
 	}
 	return l
 }
 
+// jsonText returns a string as JSON.
 func jsonText(s string) string { b, _ := json.Marshal(s); return string(b) }
 
-// writeAction writes the line of an action. The values are JSON already.
+// writeAction writes the line of an action. The values are encoded as JSON already.
 func (in *instance) writeAction(name string, values ...string) {
 	fmt.Fprintf(in.out, "[%q,%d", name, in.number)
 	for _, v := range values {
@@ -348,8 +371,10 @@
 	in.out.WriteString("]\n")
 }
 
+// JSON values of an action.
+
 func txnText(t logic.TxnID) string   { return fmt.Sprintf("\"%016x\"", uint64(t)) }
-func timeText(n logic.Nanos) string  { return strconv.FormatInt(int64(n/1000), 10) }
+func timeText(n logic.Nanos) string  { return strconv.FormatInt(int64(n/nanosPerMicrosecond), 10) }
 func numText[T ~int](n T) string     { return strconv.Itoa(int(n)) }
 func idText(w logic.WorkerID) string { return jsonText(string(w)) }
 
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -20,7 +20,7 @@
 ["peersKnown",3,0,"restored",7]
 ["trialNews",3,1,0,41,1,2,5000000,0]`
 
-// serveLines serves one batch that starts an instance and continues with lines, and returns the output and the errors.
+// serveLines serves one batch, which starts an instance and continues with lines, and returns the output and the errors.
 func serveLines(t *testing.T, lines string) (string, string) {
 	t.Helper()
 	var out, errs bytes.Buffer
@@ -38,15 +38,15 @@
 	take := `["knock",3,"553760735d3a91c4","east","pay",1,"acct/k",12000,1800000]`
 	for _, c := range []struct{ name, lines, out string }{
 		{"a page replaces an earlier one of the same number", take, `["issue",3,"553760735d3a91c4",0,"10.0.0.2:7000"]`},
-		{"without expected work, key and customer", `["knock",3,"553760735d3a91c4",null,"read",0,null,null,1800000]`, `["issue",3,`},
+		{"a txn without expected work, key and customer", `["knock",3,"553760735d3a91c4",null,"read",0,null,null,1800000]`, `["issue",3,`},
 		{"watches the worker list", "", `["watch",3,true]`},
 		{"an outcome with a load report", take + "\n" + `["completed",3,"553760735d3a91c4",0,"10.0.0.2:7000",13,900,false,[1,2]]`,
 			`["reportFailure",3,"553760735d3a91c4"]`},
-		{"declined after it was never run", take + strings.Repeat("\n"+`["completed",3,"553760735d3a91c4",0,"10.0.0.2:7000",8,900,false]`, 1) +
+		{"declined after the worker rejected every submission", take + strings.Repeat("\n"+`["completed",3,"553760735d3a91c4",0,"10.0.0.2:7000",8,900,false]`, 1) +
 			"\n" + `["completed",3,"553760735d3a91c4",1,"10.0.0.2:7000",8,900,false,null]` +
 			"\n" + `["completed",3,"553760735d3a91c4",2,"10.0.0.2:7000",8,900,false,null]`, `["refuse",3,"553760735d3a91c4",30000]`},
 		{"teardown and init in one batch", `["teardown",3]` + "\n" + initLine + "\n" + listLines + "\n" + take, `["issue",3,`},
-		{"events without effect", `["countsByBuild",3,41,9,1,1000,"read",20]
+		{"events that cause no action", `["countsByBuild",3,41,9,1,1000,"read",20]
 ["contested",3,"read","10.0.0.2:7000",100]
 ["whisper",3,2,"aGk="]
 ["echo",3,"10.0.0.2:7000",0,1400,[1,2]]
@@ -62,7 +62,7 @@
 				t.Errorf("%s is missing in\n%s", c.out, out)
 			}
 			if errs != "" {
-				t.Errorf("errors: %s", errs)
+				t.Errorf("unexpected errors: %s", errs)
 			}
 		})
 	}
