--- a/http1/chunk.go
+++ b/http1/chunk.go
@@ -5,11 +5,12 @@
 // Dechunker decodes a chunked body that arrives in pieces of any size. The zero value expects the start of a body.
 // Trailers are parsed and discarded; chunk extensions are ignored.
 type Dechunker struct {
-	remaining    int64 // bytes of the current chunk
+	remaining    int64 // bytes of the current chunk that have not been decoded yet
 	state        chunkState
-	trailerBytes int
+	trailerBytes int // size of the trailer lines so far
 }
 
+// chunkState is the part of a chunked body that a Dechunker expects next.
 type chunkState uint8
 
 const (
@@ -20,8 +21,12 @@
 	finished
 )
 
-// maxChunkLine is the maximum length in bytes of a chunk-size or trailer line.
-const maxChunkLine = 1024
+const (
+	// maxChunkLine is the maximum length of a chunk-size or trailer line in bytes.
+	maxChunkLine = 1024
+	// maxTrailerBytes is the maximum size of the trailers.
+	maxTrailerBytes = 16 * maxChunkLine
+)
 
 // Next decodes the start of src. It returns the number of bytes consumed, the body data among them, and whether the body
 // is complete. Each call returns at most one piece of data; the caller repeats it while bytes are consumed. The error is
@@ -32,18 +37,18 @@
 		rest := src[pos:]
 		switch d.state {
 		case expectSize, inTrailer, expectDataEnd:
-			nl := bytes.IndexByte(rest, '\n')
-			if nl < 0 {
+			newline := bytes.IndexByte(rest, '\n')
+			if newline < 0 {
 				if len(rest) > maxChunkLine {
 					return pos, nil, false, ErrChunk
 				}
 				return pos, nil, false, ErrIncomplete
 			}
-			if nl == 0 || rest[nl-1] != '\r' || nl > maxChunkLine || bytes.IndexByte(rest[:nl-1], '\r') >= 0 {
+			if newline == 0 || rest[newline-1] != '\r' || newline > maxChunkLine || bytes.IndexByte(rest[:newline-1], '\r') >= 0 {
 				return pos, nil, false, ErrChunk
 			}
-			line := rest[:nl-1]
-			pos += nl + 1
+			line := rest[:newline-1]
+			pos += newline + 1
 			switch d.state {
 			case expectDataEnd:
 				if len(line) != 0 {
@@ -51,7 +56,7 @@
 				}
 				d.state = expectSize
 			case inTrailer:
-				if d.trailerBytes += nl; d.trailerBytes > 16*maxChunkLine {
+				if d.trailerBytes += newline; d.trailerBytes > maxTrailerBytes {
 					return pos, nil, false, ErrChunk
 				}
 				if len(line) == 0 {
@@ -111,7 +116,7 @@
 	return n, true
 }
 
-// AppendChunk appends data as one chunk. Empty data is omitted, since an empty chunk would end the body.
+// AppendChunk appends data to out as one chunk. Empty data is omitted, since an empty chunk would end the body.
 func AppendChunk(out, data []byte) []byte {
 	if len(data) == 0 {
 		return out
@@ -128,5 +133,5 @@
 	return append(out, "\r\n"...)
 }
 
-// LastChunk ends a chunked body.
+// LastChunk is the end of a chunked body.
 const LastChunk = "0\r\n\r\n"
--- a/http1/head.go
+++ b/http1/head.go
@@ -14,7 +14,7 @@
 // ErrIncomplete reports that the head or body is not complete yet.
 var ErrIncomplete = errors.New("http1: more bytes are needed")
 
-// ParseError is the reason for rejecting a message; Status is the HTTP status of the response to a client.
+// ParseError is the reason for rejecting a message. Status is the HTTP status of the response that a client gets.
 type ParseError struct {
 	Status  int
 	Message string
@@ -51,16 +51,16 @@
 	UntilClose int64 = -2
 )
 
-// Header is one header line. Name and Value are slices of the parsed buffer.
+// Header is a header line. Name and Value are slices of the parsed buffer.
 type Header struct{ Name, Value []byte }
 
 // head is the part that requests and responses have in common.
 type head struct {
 	Headers           []Header
-	Minor             int       // minor HTTP version, of 1.Minor
-	Length            int64     // of the body in bytes, Chunked, or UntilClose (responses only)
+	Minor             int       // minor version of HTTP/1
+	Length            int64     // size of the body in bytes, Chunked, or UntilClose (responses only)
 	Close             bool      // the sender closes the connection after this message
-	named             [8][]byte // header names listed in Connection, which are hop-by-hop
+	connectionOptions [8][]byte // header names listed in Connection, which are hop-by-hop
 	contentLengths    int       // number of Content-Length headers
 	transferEncodings int       // number of Transfer-Encoding headers
 	hosts             int       // number of Host headers
@@ -85,28 +85,29 @@
 func stringView(b []byte) string { return unsafe.String(unsafe.SliceData(b), len(b)) }
 
 // cutLine returns the first line of buf without its CRLF, and the rest of buf. The error is ErrIncomplete or a
-// *ParseError. limit is the maximum size in bytes.
+// *ParseError. limit is the maximum size of the line in bytes, with its CRLF.
 func cutLine(buf []byte, limit int) (line, rest []byte, err error) {
-	nl := bytes.IndexByte(buf, '\n')
-	if nl < 0 {
+	newline := bytes.IndexByte(buf, '\n')
+	if newline < 0 {
 		if len(buf) > limit {
 			return nil, nil, ErrHeadTooLarge
 		}
 		return nil, nil, ErrIncomplete
 	}
-	if nl >= limit {
+	if newline >= limit {
 		return nil, nil, ErrHeadTooLarge
 	}
-	if nl == 0 || buf[nl-1] != '\r' {
+	if newline == 0 || buf[newline-1] != '\r' {
 		return nil, nil, ErrBareNewline
 	}
-	line = buf[:nl-1]
+	line = buf[:newline-1]
 	if bytes.IndexByte(line, '\r') >= 0 {
 		return nil, nil, ErrBareNewline
 	}
-	return line, buf[nl+1:], nil
+	return line, buf[newline+1:], nil
 }
 
+// reset clears the head but keeps the memory of Headers.
 func (h *head) reset() {
 	*h = head{Headers: h.Headers[:0]}
 }
@@ -183,6 +184,7 @@
 	return len(buf) - len(rest), nil
 }
 
+// parseVersion returns the minor version of HTTP/1.0 or HTTP/1.1.
 func parseVersion(v []byte) (int, error) {
 	switch stringView(v) {
 	case "HTTP/1.1":
@@ -196,8 +198,8 @@
 	return 0, ErrRequestLine
 }
 
-// Parse parses a response head at the start of buf and returns its size in bytes. toHead is set for the response to a HEAD
-// request, which has no body. limit and errors are as in Request.Parse.
+// Parse parses a response head at the start of buf and returns its size in bytes. toHead marks a response to a HEAD request,
+// which has no body. limit and the errors are those of Request.Parse.
 func (r *Response) Parse(buf []byte, limit int, toHead bool) (int, error) {
 	h := r.head
 	h.reset()
@@ -242,7 +244,8 @@
 	return len(buf) - len(rest), nil
 }
 
-// parseFields parses header lines up to and including the empty line and returns the rest of the buffer.
+// parseFields parses header lines up to and including the empty line and returns the rest of the buffer. limit is the maximum
+// size of these lines in bytes.
 func (h *head) parseFields(rest []byte, limit int) ([]byte, error) {
 	size := len(rest)
 	for {
@@ -278,7 +281,7 @@
 func (h *head) parseFraming() error {
 	h.Length = UntilClose
 	h.Close = h.Minor == 0
-	named := 0
+	optionCount := 0
 	for i := range h.Headers {
 		header := &h.Headers[i]
 		switch {
@@ -313,9 +316,9 @@
 					h.Close = true
 				case equalFold(option, "keep-alive"):
 					h.Close = false
-				case len(option) > 0 && named < len(h.named):
-					h.named[named] = option
-					named++
+				case len(option) > 0 && optionCount < len(h.connectionOptions):
+					h.connectionOptions[optionCount] = option
+					optionCount++
 				case len(option) > 0:
 					return ErrTooManyHeaders
 				}
@@ -342,7 +345,7 @@
 	return n, true
 }
 
-// equalFold compares ASCII without regard to case. want must be in lower case.
+// equalFold reports whether b equals want, ignoring the case of ASCII letters in b. want must be in lower case.
 func equalFold(b []byte, want string) bool {
 	if len(b) != len(want) {
 		return false
@@ -401,7 +404,7 @@
 			return true
 		}
 	}
-	for _, n := range h.named {
+	for _, n := range h.connectionOptions {
 		if n == nil {
 			return false
 		}
@@ -412,7 +415,7 @@
 	return false
 }
 
-// AppendFields appends the headers that are forwarded, without the final empty line.
+// AppendFields appends the headers that are forwarded to out, without the final empty line.
 func (h *head) AppendFields(out []byte) []byte {
 	for i := range h.Headers {
 		header := &h.Headers[i]
@@ -431,14 +434,14 @@
 func (r *Request) Path() []byte {
 	target := r.Target
 	if after, found := bytes.CutPrefix(target, []byte("http://")); found {
-		at := bytes.IndexByte(after, '/')
-		if at < 0 {
+		slash := bytes.IndexByte(after, '/')
+		if slash < 0 {
 			return []byte("/")
 		}
-		target = after[at:]
+		target = after[slash:]
 	}
-	if at := bytes.IndexByte(target, '?'); at >= 0 {
-		target = target[:at]
+	if question := bytes.IndexByte(target, '?'); question >= 0 {
+		target = target[:question]
 	}
 	return target
 }
--- a/pgwire/back.go
+++ b/pgwire/back.go
@@ -33,8 +33,8 @@
 const (
 	NoEvent       BackendEvent = iota // the message completes nothing
 	SessionReady                      // the start-up is complete: queries may be sent
-	ValueReceived                     // a complete answer with one value, held in Answer
-	ErrorReceived                     // an error, with its SQLSTATE in Code
+	ValueReceived                     // Answer holds a complete answer with one value
+	ErrorReceived                     // the answer is an error with the SQLSTATE in Code
 )
 
 // backendState is the message that a BackendParser expects next.
@@ -58,16 +58,18 @@
 	Answer       []byte // the answer as sent to the client, without ReadyForQuery
 	Code         string // SQLSTATE of the last error
 	Load         []byte // value of the load parameter in this answer; nil: not reported
-	loadParam    string
-	maxValue     int // bytes
-	rowRemaining int // bytes of a long row that are still to come
-	fatal        bool
+	loadParam    string // name of the parameter that carries load reports
+	maxValue     int    // bytes
+	rowRemaining int    // bytes of a long row that have not arrived yet
+	fatal        bool   // the last error ends the connection
 	loadBuf      []byte // backing array of Load, reused between answers
-	row          pgproto3.RowDescription
-	data         pgproto3.DataRow
-	complete     pgproto3.CommandComplete
-	ready        pgproto3.ReadyForQuery
-	failure      pgproto3.ErrorResponse
+
+	// Decoded messages, reused to avoid allocations.
+	row      pgproto3.RowDescription
+	data     pgproto3.DataRow
+	complete pgproto3.CommandComplete
+	ready    pgproto3.ReadyForQuery
+	failure  pgproto3.ErrorResponse
 }
 
 // Reset prepares the parser for a new connection. loadParam is the name of the parameter that carries load reports, or
@@ -75,7 +77,7 @@
 func (b *BackendParser) Reset(loadParam string, maxValue int) {
 	b.state, b.Answer, b.Code, b.Load, b.loadParam, b.fatal = expectAuthentication, b.Answer[:0], "", nil, loadParam, false
 	b.maxValue, b.rowRemaining = maxValue, 0
-	if cap(b.Answer) > 8<<10 { // releases the memory of a long value
+	if cap(b.Answer) > maxKeptAnswerBytes {
 		b.Answer = nil
 	}
 }
@@ -90,7 +92,8 @@
 	return true
 }
 
-// AnswerStarted reports whether a part of an answer has been parsed; more may be waiting to be read from the connection.
+// AnswerStarted reports whether the current answer has been parsed in part. More of it may be waiting to be read from the
+// connection.
 func (b *BackendParser) AnswerStarted() bool {
 	return b.state > expectDescription && b.state != expectReadyAfterError
 }
@@ -98,8 +101,8 @@
 // Idle reports whether no query is outstanding on the connection.
 func (b *BackendParser) Idle() bool { return b.state == idle }
 
-// ErrorPending reports whether an error has been received but not its ReadyForQuery. If the connection ends in this state,
-// the error still is the complete answer.
+// ErrorPending reports whether an error has been received but not the ReadyForQuery after it. If the connection ends in this
+// state, the error still is the complete answer.
 func (b *BackendParser) ErrorPending() bool { return b.state == expectReadyAfterError }
 
 // Next parses the message at the start of in and returns its size and the resulting event. The error is ErrIncomplete or a
@@ -119,7 +122,7 @@
 	case 'N':
 		return size, NoEvent, nil
 	case 'S':
-		b.parameter(body)
+		b.handleParameter(body)
 		return size, NoEvent, nil
 	case 'K':
 		return size, NoEvent, nil
@@ -179,8 +182,8 @@
 // of columns, length of the value.
 const rowHeaderBytes = 5 + 2 + 4
 
-// startLongRow begins a row that is copied into Answer as it arrives, since its header is all that needs checking. If it
-// stayed in the input buffer until complete, a long value would be in memory twice.
+// startLongRow begins a row that is copied into Answer as it arrives, as only its header needs checking. If the row stayed in
+// the input buffer until it is complete, a long value would be in memory twice.
 func (b *BackendParser) startLongRow(in []byte) (size int, event BackendEvent, err error) {
 	n, value := binary.BigEndian.Uint32(in[1:]), binary.BigEndian.Uint32(in[7:])
 	if int64(value) > int64(b.maxValue) || n != value+rowHeaderBytes-1 || binary.BigEndian.Uint16(in[5:]) != 1 {
@@ -190,6 +193,7 @@
 	return b.continueLongRow(in)
 }
 
+// continueLongRow copies the next part of a long row into Answer.
 func (b *BackendParser) continueLongRow(in []byte) (size int, event BackendEvent, err error) {
 	if len(in) == 0 {
 		return 0, NoEvent, ErrIncomplete
@@ -202,25 +206,28 @@
 	return size, NoEvent, nil
 }
 
-// isSingleColumn reports whether a row description has exactly one column and nothing after it; pgproto3 ignores trailing
-// bytes.
+// columnFixedBytes is the size of a column in a row description after its name.
+const columnFixedBytes = 18
+
+// isSingleColumn reports whether a row description consists of exactly one column. pgproto3 does not reject trailing bytes.
 func isSingleColumn(body []byte) bool {
 	if len(body) < 2 || binary.BigEndian.Uint16(body) != 1 {
 		return false
 	}
 	end := bytes.IndexByte(body[2:], 0)
-	return end >= 0 && len(body) == 2+end+1+18
+	return end >= 0 && len(body) == 2+end+1+columnFixedBytes
 }
 
-var commandTags = [][]byte{[]byte("SELECT 1"), []byte("INSERT 0 1")}
+var oneRowTags = [][]byte{[]byte("SELECT 1"), []byte("INSERT 0 1")}
 
+// isOneRowTag reports whether a command tag is that of a statement with one row.
 func isOneRowTag(tag []byte) bool {
-	return slices.ContainsFunc(commandTags, func(t []byte) bool { return bytes.Equal(t, tag) })
+	return slices.ContainsFunc(oneRowTags, func(t []byte) bool { return bytes.Equal(t, tag) })
 }
 
 // bodyLimit returns the maximum body size of a message type in the current state, or 0 if the type is not allowed.
 func (b *BackendParser) bodyLimit(kind byte) int {
-	if b.state == idle { // an unsolicited message would be taken for the answer to the next query
+	if b.state == idle { // an unsolicited message would be mistaken for the answer to the next query
 		return 0
 	}
 	switch kind {
@@ -231,14 +238,14 @@
 		return maxControlBytes
 	case 'K':
 		if b.state == expectSessionReady {
-			return 64
+			return maxShortBytes
 		}
 		return 0
 	}
 	expected, limit := byte(0), maxControlBytes
 	switch b.state {
 	case expectAuthentication:
-		expected, limit = 'R', 64
+		expected, limit = 'R', maxShortBytes
 	case expectSessionReady, expectReady, expectReadyAfterError:
 		expected, limit = 'Z', 1
 	case expectDescription:
@@ -246,7 +253,7 @@
 	case expectRow:
 		expected, limit = 'D', b.maxValue+rowHeaderBytes
 	case expectComplete:
-		expected, limit = 'C', 64
+		expected, limit = 'C', maxShortBytes
 	}
 	if kind != expected {
 		return 0
@@ -254,8 +261,8 @@
 	return limit
 }
 
-// parameter stores the value of the load parameter. A malformed value is ignored; the answer remains valid.
-func (b *BackendParser) parameter(body []byte) {
+// handleParameter stores the value of the load handleParameter. A malformed value is ignored, and the answer remains valid.
+func (b *BackendParser) handleParameter(body []byte) {
 	name, value, ok := bytes.Cut(body, []byte{0})
 	if !ok || b.loadParam == "" || string(name) != b.loadParam {
 		return
--- a/pgwire/frame.go
+++ b/pgwire/frame.go
@@ -1,6 +1,6 @@
 // Package pgwire implements version 3 of the PostgreSQL wire protocol for both sides of an edge, limited to simple
 // queries that return a single value. Its parsers do no I/O: they accept bytes split at any point and return whole
-// messages. Message framing and size limits are checked here, before anything is buffered or allocated for a message;
+// messages. The package checks message framing and size limits before anything is buffered or allocated for a message;
 // pgproto3 encodes and decodes the message bodies.
 package pgwire
 
@@ -13,7 +13,7 @@
 // ErrIncomplete reports that the input is valid so far but ends in the middle of a message.
 var ErrIncomplete = errors.New("pgwire: more bytes are needed")
 
-// MaxValueBytes is the maximum size of a value in a client's statement.
+// MaxValueBytes is the maximum size of a value in a client's statement, before its encoding in hex.
 const MaxValueBytes = 64 << 10
 
 const (
@@ -23,11 +23,17 @@
 	maxQueryBytes = 2*MaxValueBytes + 4096
 	// maxControlBytes is the maximum body size of errors, notices, row descriptions and parameters.
 	maxControlBytes = 8 << 10
-	// longRowBytes is the message length from which a row is forwarded in parts.
+	// maxTerminateBytes is the maximum body size of a Terminate message.
+	maxTerminateBytes = 16
+	// maxShortBytes is the maximum body size of messages that contain only a few numbers or a command tag.
+	maxShortBytes = 64
+	// longRowBytes is the message length from which a row is copied into the answer as it arrives.
 	longRowBytes = 16 << 10
+	// maxKeptAnswerBytes is the maximum capacity of BackendParser.Answer that is kept for the next connection.
+	maxKeptAnswerBytes = 8 << 10
 )
 
-// ProtocolError describes a message that is rejected. After a framing error the rest of the input cannot be parsed.
+// ProtocolError is the reason for rejecting a message. After a framing error the rest of the input cannot be parsed.
 type ProtocolError struct {
 	Code    string // SQLSTATE
 	Message string
@@ -35,6 +41,7 @@
 
 func (e *ProtocolError) Error() string { return "pgwire: " + e.Message }
 
+// violation returns a ProtocolError with the SQLSTATE of a protocol violation.
 func violation(format string, args ...any) *ProtocolError {
 	return &ProtocolError{Code: "08P01", Message: fmt.Sprintf(format, args...)}
 }
@@ -42,9 +49,9 @@
 // bodyLimits returns the maximum body size in bytes for a message type, or 0 if the type is not allowed at this point.
 type bodyLimits func(kind byte) int
 
-// splitMessage returns the type and body of the message at the start of in, and its size including the header. The
-// length field is checked against the limit as soon as it is read: otherwise a peer could claim a message of 3 GB and
-// make the connection buffer it.
+// splitMessage returns the type and body of the message at the start of in, and its size including the header. It checks
+// the length field before the body has arrived: otherwise a peer could announce a message of 3 GB and make the connection
+// buffer it.
 func splitMessage(in []byte, limits bodyLimits) (kind byte, body []byte, size int, err error) {
 	if len(in) == 0 {
 		return 0, nil, 0, ErrIncomplete
--- a/pgwire/front.go
+++ b/pgwire/front.go
@@ -7,7 +7,7 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// Request is the kind of a client's message.
+// Request is a kind of client message.
 type Request uint8
 
 // Kinds of client requests.
@@ -33,7 +33,7 @@
 // connection must be closed.
 func (f *FrontendParser) Next(in []byte) (size int, request Request, text []byte, err error) {
 	if !f.started {
-		return f.startup(in)
+		return f.parseStartup(in)
 	}
 	kind, body, size, err := splitMessage(in, frontendBodyLimit)
 	if err != nil {
@@ -42,7 +42,7 @@
 	if kind == 'X' {
 		return size, Terminate, nil, nil
 	}
-	// A NUL before the end of the body is rejected: readers that treat the text as a C string would not see what follows.
+	// A NUL before the end of the body is rejected: a reader that treats the text as a C string would ignore the rest.
 	if len(body) == 0 || bytes.IndexByte(body, 0) != len(body)-1 {
 		return 0, 0, nil, violation("the text of a query does not end with its message")
 	}
@@ -53,17 +53,21 @@
 	return size, Query, text, nil
 }
 
+// frontendBodyLimit is the bodyLimits of a client that has sent its start-up message.
 func frontendBodyLimit(kind byte) int {
 	switch kind {
 	case 'Q':
 		return maxQueryBytes
 	case 'X':
-		return 16
+		return maxTerminateBytes
 	}
 	return 0
 }
 
-// Protocol versions and request codes in the start-up packet.
+// maxEncryptionRequests is the number of encryption requests allowed before the start-up message: one for SSL, one for GSS.
+const maxEncryptionRequests = 2
+
+// Protocol version and request codes in a start-up message.
 const (
 	protocolVersion3  = 3 << 16
 	cancelRequestCode = 80877102
@@ -71,7 +75,8 @@
 	gssEncRequestCode = 80877104
 )
 
-func (f *FrontendParser) startup(in []byte) (size int, request Request, text []byte, err error) {
+// parseStartup parses a message that may precede the first query: a start-up message, an encryption request or a cancel request.
+func (f *FrontendParser) parseStartup(in []byte) (size int, request Request, text []byte, err error) {
 	if len(in) > 0 && in[0] != 0 { // a length of 16 MB or more: the client speaks another protocol
 		return 0, 0, nil, violation("this is no start-up message")
 	}
@@ -96,7 +101,7 @@
 	case cancelRequestCode:
 		return size, Terminate, nil, nil
 	case sslRequestCode, gssEncRequestCode:
-		if f.encryptionRequests++; n != 8 || f.encryptionRequests > 2 {
+		if f.encryptionRequests++; n != 8 || f.encryptionRequests > maxEncryptionRequests {
 			return 0, 0, nil, violation("a request for encryption has no place here")
 		}
 		return size, EncryptionRequest, nil, nil
@@ -111,7 +116,7 @@
 	return size, Startup, nil, nil
 }
 
-// Complete, pre-encoded responses to clients.
+// Encoded responses to clients.
 var (
 	NoEncryption    = []byte{'N'}
 	StartupResponse = encode(&pgproto3.AuthenticationOk{},
@@ -125,6 +130,7 @@
 	ReadyForQuery    = encode(&pgproto3.ReadyForQuery{TxStatus: 'I'})
 )
 
+// encode returns the encoded messages.
 func encode(messages ...pgproto3.BackendMessage) (out []byte) {
 	for _, m := range messages {
 		var err error
