--- a/http1/http1_test.go
+++ b/http1/http1_test.go
@@ -10,6 +10,7 @@
 	"testing"
 )
 
+// limit is the maximum size of a head in bytes.
 const limit = 1024
 
 func TestParseRequestErrors(t *testing.T) {
@@ -73,9 +74,9 @@
 		{"chunks", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: Chunked\r\nTrailer: a\r\n\r\n", "Host: x\r\n", Chunked, false, false},
 		{"hop-by-hop headers", "GET / HTTP/1.1\r\nHost: x\r\nConnection: close, Foo\r\nFoo: 1\r\nTE: trailers\r\nBar: 2\r\n\r\n", "Host: x\r\nBar: 2\r\n", 0, true,
 			false},
-		{"1.0", "GET / HTTP/1.0\r\n\r\n", "", 0, true, false},
+		{"HTTP/1.0 closes", "GET / HTTP/1.0\r\n\r\n", "", 0, true, false},
 		{"HTTP/1.0 keep-alive", "GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", "", 0, false, false},
-		{"expects", "POST / HTTP/1.1\r\nHost: x\r\nExpect: 100-Continue\r\nContent-Length: 1\r\n\r\n", "Host: x\r\n", 1, false, true},
+		{"Expect: 100-continue", "POST / HTTP/1.1\r\nHost: x\r\nExpect: 100-Continue\r\nContent-Length: 1\r\n\r\n", "Host: x\r\n", 1, false, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -132,7 +133,7 @@
 	}
 }
 
-// dechunk decodes a body that arrives in pieces of the given size. rest is the number of bytes after the body.
+// dechunk decodes a body that arrives in pieces of the given size. rest is the number of bytes in in after the body.
 func dechunk(in []byte, size int) (body []byte, rest int, err error) {
 	var d Dechunker
 	buf, pos := []byte{}, 0
@@ -188,24 +189,25 @@
 	}
 }
 
+// The parsers run for every request and response, so they must not allocate.
 func TestParseDoesNotAllocate(t *testing.T) {
-	in := []byte("POST /a HTTP/1.1\r\nHost: x\r\nA: b\r\nConnection: keep-alive\r\nContent-Length: 3\r\n\r\n")
-	out := []byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nA: b\r\n\r\n")
-	var r Request
+	request := []byte("POST /a HTTP/1.1\r\nHost: x\r\nA: b\r\nConnection: keep-alive\r\nContent-Length: 3\r\n\r\n")
+	response := []byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nA: b\r\n\r\n")
+	var req Request
 	var resp Response
 	buf := make([]byte, 0, 512)
 	n := testing.AllocsPerRun(100, func() {
-		r.Parse(in, limit)
-		buf = r.AppendFields(buf[:0])
-		resp.Parse(out, limit, false)
-		buf = AppendChunk(resp.AppendFields(buf[:0]), in)
+		req.Parse(request, limit)
+		buf = req.AppendFields(buf[:0])
+		resp.Parse(response, limit, false)
+		buf = AppendChunk(resp.AppendFields(buf[:0]), request)
 	})
 	if n != 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
 
-// FuzzRequest compares the parser with net/http: a request that both accept must mean the same to both.
+// FuzzRequest compares the parser with net/http: both must parse a request that they accept in the same way.
 func FuzzRequest(f *testing.F) {
 	for _, s := range []string{"GET / HTTP/1.1\r\nHost: x\r\n\r\n", "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc",
 		"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", "GET http://h/p HTTP/1.0\r\n\r\n",
@@ -215,9 +217,9 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var r Request
 		n, err := r.Parse(in, 4096)
-		var fault *ParseError
+		var parseErr *ParseError
 		if err != nil {
-			if err != ErrIncomplete && !errors.As(err, &fault) {
+			if err != ErrIncomplete && !errors.As(err, &parseErr) {
 				t.Fatalf("unexpected error %v", err)
 			}
 			return
@@ -225,29 +227,30 @@
 		if n <= 0 || n > len(in) {
 			t.Fatalf("consumed %d of %d", n, len(in))
 		}
-		other, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(in)))
+		stdRequest, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(in)))
 		if err != nil {
 			return // net/http is stricter about URLs and hosts; rejecting less is harmless here
 		}
-		if other.Method != string(r.Method) || other.RequestURI != string(r.Target) {
-			t.Fatalf("parsed as %s %s, by net/http as %s %s", r.Method, r.Target, other.Method, other.RequestURI)
+		if stdRequest.Method != string(r.Method) || stdRequest.RequestURI != string(r.Target) {
+			t.Fatalf("parsed as %s %s, by net/http as %s %s", r.Method, r.Target, stdRequest.Method, stdRequest.RequestURI)
 		}
-		if other.ContentLength != r.Length && !(r.Length == Chunked && len(other.TransferEncoding) == 1) {
-			t.Fatalf("length %d, by net/http %d", r.Length, other.ContentLength)
+		if stdRequest.ContentLength != r.Length && !(r.Length == Chunked && len(stdRequest.TransferEncoding) == 1) {
+			t.Fatalf("length %d, by net/http %d", r.Length, stdRequest.ContentLength)
 		}
 		if r.Length == Chunked {
-			want, otherErr := io.ReadAll(other.Body)
-			got, _, ownErr := dechunk(in[n:], 7)
-			if ownErr == nil && otherErr == nil && !bytes.Equal(got, want) {
-				t.Fatalf("body %q, by net/http %q", got, want)
+			stdBody, stdErr := io.ReadAll(stdRequest.Body)
+			body, _, ownErr := dechunk(in[n:], 7)
+			if ownErr == nil && stdErr == nil && !bytes.Equal(body, stdBody) {
+				t.Fatalf("body %q, by net/http %q", body, stdBody)
 			}
-			if ownErr == nil && otherErr != nil && !strings.Contains(otherErr.Error(), "trailer") {
-				t.Logf("net/http is stricter: %v", otherErr)
+			if ownErr == nil && stdErr != nil && !strings.Contains(stdErr.Error(), "trailer") {
+				t.Logf("net/http is stricter: %v", stdErr)
 			}
 		}
 	})
 }
 
+// FuzzResponse checks that the values of a parsed response are within their ranges.
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"), false)
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\n"), true)
@@ -259,6 +262,7 @@
 	})
 }
 
+// BenchmarkRequest measures the parsing of a request head and its encoding for a worker.
 func BenchmarkRequest(b *testing.B) {
 	in := []byte("GET /calendar/17 HTTP/1.1\r\nHost: booking\r\nUser-Agent: bench\r\nAccept: */*\r\nX-Key: 17\r\n\r\n")
 	var r Request
--- a/pgwire/pgwire_test.go
+++ b/pgwire/pgwire_test.go
@@ -34,7 +34,8 @@
 
 func join(parts ...[]byte) []byte { return bytes.Join(parts, nil) }
 
-// parseFrontend passes in to a FrontendParser in pieces of the sizes that nextSize returns, and describes each result.
+// parseFrontend passes in to a FrontendParser in pieces of the sizes that nextSize returns, and returns a description of each
+// result.
 func parseFrontend(in []byte, nextSize func(remaining int) int) (got []string) {
 	var f FrontendParser
 	var buf []byte
@@ -51,14 +52,14 @@
 				if !errors.As(err, &protocolErr) {
 					return append(got, "another error: "+err.Error())
 				}
-				return append(got, "fault "+protocolErr.Code)
+				return append(got, "protocol error "+protocolErr.Code)
 			}
-			got = append(got, [...]string{"encryption", "start", "empty", "query " + string(text), "leave"}[request])
+			got = append(got, [...]string{"encryption", "startup", "empty", "query " + string(text), "terminate"}[request])
 			buf = buf[size:]
 		}
 	}
 	if len(buf) > 0 {
-		got = append(got, "more")
+		got = append(got, "incomplete")
 	}
 	return got
 }
@@ -70,27 +71,27 @@
 		in   []byte
 		want string
 	}{
-		{"startup and query together", join(startup, query("SELECT 1")), "start, query SELECT 1"},
-		{"empty query", join(startup, query(""), query(" ; ")), "start, empty, empty"},
-		{"SSL and GSS encryption requests", join(uint32s(8, sslRequestCode), uint32s(8, gssEncRequestCode), startup), "encryption, encryption, start"},
-		{"too many encryption requests", join(uint32s(8, sslRequestCode), uint32s(8, sslRequestCode), uint32s(8, sslRequestCode)), "encryption, encryption, fault 08P01"},
-		{"cancel", uint32s(16, cancelRequestCode, 1, 2), "leave"},
-		{"terminate", join(startup, []byte{'X', 0, 0, 0, 4}), "start, leave"},
-		{"pipelined queries", join(startup, query("a"), query("b"), query("c")), "start, query a, query b, query c"},
-		{"another protocol", []byte("GET / HTTP/1.1\r\n\r\n"), "fault 08P01"},
-		{"version 2", uint32s(8, 2<<16), "fault 08P01"},
-		{"startup too short", uint32s(4), "fault 08P01"},
-		{"startup too long", uint32s(20_000, 3<<16), "fault 08P01"},
-		{"unterminated startup parameters", join(uint32s(12, 3<<16), []byte("user")), "fault 08P01"},
-		{"partial startup", startup[:9], "more"},
-		{"negative length", join(startup, []byte{'Q', 0xff, 0xff, 0xff, 0xff}), "start, fault 54000"},
-		{"length below the minimum", join(startup, []byte{'Q', 0, 0, 0, 3}), "start, fault 54000"},
-		{"length of 60 MB", join(startup, []byte{'Q'}, uint32s(60<<20)), "start, fault 54000"},
-		{"unknown message type", join(startup, []byte{'P', 0, 0, 0, 4}), "start, fault 08P01"},
-		{"unknown message type, first byte only", join(startup, []byte{0xfe}), "start, fault 08P01"},
-		{"unterminated query text", join(startup, []byte{'Q', 0, 0, 0, 5, 'a'}), "start, fault 08P01"},
-		{"NUL inside the query text", join(startup, []byte{'Q', 0, 0, 0, 8, 'a', 0, 'b', 0}), "start, fault 08P01"},
-		{"partial query", join(startup, query("SELECT")[:7]), "start, more"},
+		{"startup and query together", join(startup, query("SELECT 1")), "startup, query SELECT 1"},
+		{"empty query", join(startup, query(""), query(" ; ")), "startup, empty, empty"},
+		{"SSL and GSS encryption requests", join(uint32s(8, sslRequestCode), uint32s(8, gssEncRequestCode), startup), "encryption, encryption, startup"},
+		{"too many encryption requests", join(uint32s(8, sslRequestCode), uint32s(8, sslRequestCode), uint32s(8, sslRequestCode)), "encryption, encryption, protocol error 08P01"},
+		{"cancel request", uint32s(16, cancelRequestCode, 1, 2), "terminate"},
+		{"terminate", join(startup, []byte{'X', 0, 0, 0, 4}), "startup, terminate"},
+		{"pipelined queries", join(startup, query("a"), query("b"), query("c")), "startup, query a, query b, query c"},
+		{"another protocol", []byte("GET / HTTP/1.1\r\n\r\n"), "protocol error 08P01"},
+		{"version 2", uint32s(8, 2<<16), "protocol error 08P01"},
+		{"startup too short", uint32s(4), "protocol error 08P01"},
+		{"startup too long", uint32s(20_000, 3<<16), "protocol error 08P01"},
+		{"unterminated startup parameters", join(uint32s(12, 3<<16), []byte("user")), "protocol error 08P01"},
+		{"partial startup", startup[:9], "incomplete"},
+		{"negative length", join(startup, []byte{'Q', 0xff, 0xff, 0xff, 0xff}), "startup, protocol error 54000"},
+		{"length below the minimum", join(startup, []byte{'Q', 0, 0, 0, 3}), "startup, protocol error 54000"},
+		{"length of 60 MB", join(startup, []byte{'Q'}, uint32s(60<<20)), "startup, protocol error 54000"},
+		{"unknown message type", join(startup, []byte{'P', 0, 0, 0, 4}), "startup, protocol error 08P01"},
+		{"unknown message type, first byte only", join(startup, []byte{0xfe}), "startup, protocol error 08P01"},
+		{"unterminated query text", join(startup, []byte{'Q', 0, 0, 0, 5, 'a'}), "startup, protocol error 08P01"},
+		{"NUL inside the query text", join(startup, []byte{'Q', 0, 0, 0, 8, 'a', 0, 'b', 0}), "startup, protocol error 08P01"},
+		{"partial query", join(startup, query("SELECT")[:7]), "startup, incomplete"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			rng := rand.New(rand.NewSource(1))
@@ -128,7 +129,8 @@
 var sessionStart = join(encoded(&pgproto3.AuthenticationOk{}), parameterStatus("server_version", "16"),
 	encoded(&pgproto3.BackendKeyData{ProcessID: 1, SecretKey: []byte{0, 0, 0, 1}}), ReadyForQuery)
 
-// parseBackend passes in to a BackendParser in pieces, begins a query once the session is ready, and describes each event.
+// parseBackend passes in to a BackendParser in pieces of the sizes that nextSize returns, and begins a query once the session
+// is ready. It returns a description of each event.
 func parseBackend(in []byte, nextSize func(int) int) (got []string, b *BackendParser) {
 	b = &BackendParser{}
 	b.Reset("gauges", 300<<10)
@@ -142,12 +144,12 @@
 				break
 			}
 			if err != nil {
-				return append(got, "fault"), b
+				return append(got, "protocol error"), b
 			}
 			buf = buf[size:]
 			switch event {
 			case SessionReady:
-				got = append(got, "open")
+				got = append(got, "ready")
 				if !b.BeginQuery() {
 					got = append(got, "query refused")
 				}
@@ -170,32 +172,32 @@
 		want string
 		load string
 	}{
-		{"a value", good, "open, value", ""},
-		{"value of an INSERT", join(rowDescription(1), dataRow([]byte("")), commandComplete("INSERT 0 1"), ReadyForQuery), "open, value", ""},
-		{"load report before the answer", join(parameterStatus("gauges", "util=0.5"), good), "open, value", "util=0.5"},
-		{"load report after the row", join(rowDescription(1), dataRow([]byte("a")), parameterStatus("gauges", "x"), commandComplete("SELECT 1"), ReadyForQuery), "open, value", "x"},
-		{"other parameter and notice", join(parameterStatus("zone", "b"), encoded(&pgproto3.NoticeResponse{Severity: "NOTICE", Message: "m"}), good), "open, value", ""},
-		{"load report with a NUL inside", join([]byte{'S', 0, 0, 0, 16}, []byte("gauges\x00a\x00bc\x00"), good), "open, value", ""},
-		{"long value", join(rowDescription(1), dataRow(long), commandComplete("SELECT 1"), ReadyForQuery), "open, value", ""},
-		{"value above the limit", join(rowDescription(1), dataRow(bytes.Repeat([]byte("v"), 301<<10))), "open, fault", ""},
-		{"row length of 3 GB", join(rowDescription(1), []byte{'D'}, uint32s(3_000_000_000)), "open, fault", ""},
-		{"an error", join(errorResponse("ERROR", "XX000"), ReadyForQuery), "open, error XX000", ""},
-		{"fatal error", errorResponse("FATAL", "53300"), "open, error 53300", ""},
-		{"error after the row", join(rowDescription(1), dataRow([]byte("a")), errorResponse("ERROR", "XX000"), ReadyForQuery), "open, error XX000", ""},
-		{"unsolicited answer", join(good, good), "open, value, fault", ""},
-		{"garbage after the answer", join(good, []byte("HTTP/1.1 200 OK")), "open, value, fault", ""},
-		{"no row description", join(dataRow([]byte("a")), commandComplete("SELECT 1"), ReadyForQuery), "open, fault", ""},
-		{"two columns", join(rowDescription(2), dataRow([]byte("a"), []byte("b"))), "open, fault", ""},
-		{"two rows", join(rowDescription(1), dataRow([]byte("a")), dataRow([]byte("b")), commandComplete("SELECT 2"), ReadyForQuery), "open, fault", ""},
-		{"no row", join(rowDescription(1), commandComplete("SELECT 0"), ReadyForQuery), "open, fault", ""},
-		{"NULL value", join(rowDescription(1), dataRow(nil)), "open, fault", ""},
-		{"command tag of two rows", join(rowDescription(1), dataRow([]byte("a")), commandComplete("SELECT 2")), "open, fault", ""},
-		{"value shorter than its row", join(rowDescription(1), []byte{'D', 0, 0, 0, 13, 0, 1, 0, 0, 0, 2, 'a', 'b', 'c'}), "open, fault", ""},
-		{"value longer than its row", join(rowDescription(1), []byte{'D', 0, 0, 0, 12, 0, 1, 0, 0, 0, 9, 'a', 'b'}), "open, fault", ""},
-		{"long value with contradictory lengths", join(rowDescription(1), []byte{'D'}, uint32s(100_000), []byte{0, 1}, uint32s(99_000)), "open, fault", ""},
-		{"row description with trailing bytes", join([]byte{'T', 0, 0, 0, 28}, []byte{0, 1, 'c', 0}, make([]byte, 20)), "open, fault", ""},
-		{"transaction still open", join(rowDescription(1), dataRow([]byte("a")), commandComplete("SELECT 1"), encoded(&pgproto3.ReadyForQuery{TxStatus: 'T'})), "open, fault", ""},
-		{"noise", []byte("\x00\x01\x02\x03"), "open, fault", ""},
+		{"a value", good, "ready, value", ""},
+		{"value of an INSERT", join(rowDescription(1), dataRow([]byte("")), commandComplete("INSERT 0 1"), ReadyForQuery), "ready, value", ""},
+		{"load report before the answer", join(parameterStatus("gauges", "util=0.5"), good), "ready, value", "util=0.5"},
+		{"load report after the row", join(rowDescription(1), dataRow([]byte("a")), parameterStatus("gauges", "x"), commandComplete("SELECT 1"), ReadyForQuery), "ready, value", "x"},
+		{"other parameter and notice", join(parameterStatus("zone", "b"), encoded(&pgproto3.NoticeResponse{Severity: "NOTICE", Message: "m"}), good), "ready, value", ""},
+		{"load report with a NUL inside", join([]byte{'S', 0, 0, 0, 16}, []byte("gauges\x00a\x00bc\x00"), good), "ready, value", ""},
+		{"long value", join(rowDescription(1), dataRow(long), commandComplete("SELECT 1"), ReadyForQuery), "ready, value", ""},
+		{"value above the limit", join(rowDescription(1), dataRow(bytes.Repeat([]byte("v"), 301<<10))), "ready, protocol error", ""},
+		{"row length of 3 GB", join(rowDescription(1), []byte{'D'}, uint32s(3_000_000_000)), "ready, protocol error", ""},
+		{"an error", join(errorResponse("ERROR", "XX000"), ReadyForQuery), "ready, error XX000", ""},
+		{"fatal error", errorResponse("FATAL", "53300"), "ready, error 53300", ""},
+		{"error after the row", join(rowDescription(1), dataRow([]byte("a")), errorResponse("ERROR", "XX000"), ReadyForQuery), "ready, error XX000", ""},
+		{"unsolicited answer", join(good, good), "ready, value, protocol error", ""},
+		{"garbage after the answer", join(good, []byte("HTTP/1.1 200 OK")), "ready, value, protocol error", ""},
+		{"no row description", join(dataRow([]byte("a")), commandComplete("SELECT 1"), ReadyForQuery), "ready, protocol error", ""},
+		{"two columns", join(rowDescription(2), dataRow([]byte("a"), []byte("b"))), "ready, protocol error", ""},
+		{"two rows", join(rowDescription(1), dataRow([]byte("a")), dataRow([]byte("b")), commandComplete("SELECT 2"), ReadyForQuery), "ready, protocol error", ""},
+		{"no row", join(rowDescription(1), commandComplete("SELECT 0"), ReadyForQuery), "ready, protocol error", ""},
+		{"NULL value", join(rowDescription(1), dataRow(nil)), "ready, protocol error", ""},
+		{"command tag of two rows", join(rowDescription(1), dataRow([]byte("a")), commandComplete("SELECT 2")), "ready, protocol error", ""},
+		{"value shorter than its row", join(rowDescription(1), []byte{'D', 0, 0, 0, 13, 0, 1, 0, 0, 0, 2, 'a', 'b', 'c'}), "ready, protocol error", ""},
+		{"value longer than its row", join(rowDescription(1), []byte{'D', 0, 0, 0, 12, 0, 1, 0, 0, 0, 9, 'a', 'b'}), "ready, protocol error", ""},
+		{"long value with contradictory lengths", join(rowDescription(1), []byte{'D'}, uint32s(100_000), []byte{0, 1}, uint32s(99_000)), "ready, protocol error", ""},
+		{"row description with trailing bytes", join([]byte{'T', 0, 0, 0, 28}, []byte{0, 1, 'c', 0}, make([]byte, 20)), "ready, protocol error", ""},
+		{"transaction still open", join(rowDescription(1), dataRow([]byte("a")), commandComplete("SELECT 1"), encoded(&pgproto3.ReadyForQuery{TxStatus: 'T'})), "ready, protocol error", ""},
+		{"noise", []byte("\x00\x01\x02\x03"), "ready, protocol error", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			rng := rand.New(rand.NewSource(1))
@@ -208,21 +210,21 @@
 				if string(b.Load) != c.load {
 					t.Errorf("%s: load %q, want %q", name, b.Load, c.load)
 				}
-				if c.want == "open, value" && !bytes.HasSuffix(join(c.in, nil), join(b.Answer[len(b.Answer)-8:], ReadyForQuery)) {
-					t.Errorf("%s: the forwarded bytes do not end as the answer does", name)
+				if c.want == "ready, value" && !bytes.HasSuffix(join(c.in, nil), join(b.Answer[len(b.Answer)-8:], ReadyForQuery)) {
+					t.Errorf("%s: Answer does not end with the last message before ReadyForQuery", name)
 				}
 			}
 		})
 	}
-	t.Run("greetings", func(t *testing.T) {
+	t.Run("session start", func(t *testing.T) {
 		for _, c := range []struct {
 			name string
 			in   []byte
 			want string
 		}{
 			{"too many connections", errorResponse("FATAL", "53300"), "error 53300"},
-			{"password requested", []byte{'R', 0, 0, 0, 8, 0, 0, 0, 3}, "fault"},
-			{"another protocol", []byte("HTTP/1.1 400 Bad Request\r\n"), "fault"},
+			{"password requested", []byte{'R', 0, 0, 0, 8, 0, 0, 0, 3}, "protocol error"},
+			{"another protocol", []byte("HTTP/1.1 400 Bad Request\r\n"), "protocol error"},
 		} {
 			if got, _ := parseBackend(c.in, func(n int) int { return n }); strings.Join(got, ", ") != c.want {
 				t.Errorf("%s: got %v, want %s", c.name, got, c.want)
@@ -231,6 +233,7 @@
 	})
 }
 
+// The answer has started as soon as its first message is parsed, not only when it is complete.
 func TestAnswerStarted(t *testing.T) {
 	b := &BackendParser{}
 	b.Reset("", 1<<10)
@@ -246,25 +249,27 @@
 	feed(sessionStart)
 	b.BeginQuery()
 	if b.AnswerStarted() {
-		t.Error("started before the first byte")
+		t.Error("AnswerStarted reports true before the first byte")
 	}
 	feed(rowDescription(1))
 	if !b.AnswerStarted() {
-		t.Error("not started after the row description")
+		t.Error("AnswerStarted reports false after the row description")
 	}
 }
 
+// FuzzFrontendParser checks that the result does not depend on how the input is split.
 func FuzzFrontendParser(f *testing.F) {
 	f.Add(join(startupMessage("user", "u"), query("SELECT 1")))
 	f.Add(uint32s(8, sslRequestCode))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		whole := strings.Join(parseFrontend(in, func(n int) int { return n }), ",")
 		if bytewise := strings.Join(parseFrontend(in, func(int) int { return 1 }), ","); bytewise != whole {
-			t.Errorf("in one piece %q, byte by byte %q", whole, bytewise)
+			t.Errorf("parsed in one piece: %q, byte by byte: %q", whole, bytewise)
 		}
 	})
 }
 
+// FuzzBackendParser checks that the result does not depend on how the input is split.
 func FuzzBackendParser(f *testing.F) {
 	f.Add(join(sessionStart, rowDescription(1), dataRow([]byte("abc")), commandComplete("SELECT 1"), ReadyForQuery))
 	f.Add(join(sessionStart, errorResponse("ERROR", "XX000"), ReadyForQuery))
@@ -272,11 +277,12 @@
 		whole, _ := parseBackend(in, func(n int) int { return n })
 		bytewise, _ := parseBackend(in, func(int) int { return 1 })
 		if strings.Join(whole, ",") != strings.Join(bytewise, ",") {
-			t.Errorf("in one piece %q, byte by byte %q", whole, bytewise)
+			t.Errorf("parsed in one piece: %q, byte by byte: %q", whole, bytewise)
 		}
 	})
 }
 
+// BenchmarkAnswer measures the parsing of one answer.
 func BenchmarkAnswer(b *testing.B) {
 	var parser BackendParser
 	parser.Reset("gauges", 1<<20)
