--- a/logic/helpers_test.go
+++ b/logic/helpers_test.go
@@ -90,8 +90,8 @@
 	return m
 }
 
-// newHarness starts a sentry with warm workers: old ones of build 1, and trial ones of build 2, which is on trial with the
-// given cap.
+// newHarness starts a sentry with warm workers: as many as old of build 1 and as many as trial of build 2, which is on trial
+// with the given cap. Without trial workers, build 1 is released. changes are as for settings.
 func newHarness(old, trial int, trialCap float64, changes ...any) *harness {
 	log := &actionLog{sent: map[WorkerID]int{}}
 	h := &harness{actionLog: log, clock: 100 * Second}
@@ -128,7 +128,7 @@
 	}
 }
 
-// endSubmission ends a submission.
+// endSubmission passes the outcome of a submission to the sentry.
 func (h *harness) endSubmission(t TxnID, number int, e Ending, elapsed Nanos) {
 	h.Outcome(h.clock, Outcome{Txn: t, Number: number, Ending: e, Elapsed: elapsed, Final: e == OK,
 		MaybeAnswered: e == MalformedResponse || e == Disconnected || e == Cancelled})
@@ -144,7 +144,8 @@
 	return ""
 }
 
-// runTxns takes n txns of a product, 20 ms apart, and ends each submission at once as ending determines.
+// runTxns takes n txns of a product, 20 ms apart, and ends each submission at once. key returns the key of txn i, and ending
+// the ending and duration of a submission of txn i to a worker.
 func (h *harness) runTxns(n int, p ProductID, key func(i int) KeyID, ending func(worker string, i int) (Ending, Nanos)) {
 	for i := 0; i < n; i++ {
 		id := h.take(p, key(i))
@@ -159,12 +160,14 @@
 	}
 }
 
+// noKey gives txns no key.
 func noKey(int) KeyID { return 0 }
 
+// succeed lets all submissions succeed.
 func succeed(string, int) (Ending, Nanos) { return OK, 50 * Millisecond }
 
-// everyNth gives every n-th txn the ending e if it was sent to a worker whose name starts with prefix, and lets all other
-// txns succeed.
+// everyNth gives submissions of every n-th txn to workers whose id starts with prefix the ending e, and lets all other
+// submissions succeed.
 func everyNth(prefix string, n int, e Ending, elapsed Nanos) func(string, int) (Ending, Nanos) {
 	return func(w string, i int) (Ending, Nanos) {
 		if strings.HasPrefix(w, prefix) && i%n == 0 {
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -7,14 +7,15 @@
 	"testing"
 )
 
-// Checks, by product and ending of the first submission, whether a txn is resubmitted or gets its final answer.
+// A txn that may have run must not be sent again unless its product allows it, and otherwise gets its final answer. Any
+// other txn is resubmitted.
 func TestResubmission(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		product ProductID
-		ending  Ending
-		again   bool
-		answer  string
+		ending  Ending // of the first submission
+		again   bool   // the txn is resubmitted
+		answer  string // action with the final answer, if it is not
 	}{
 		{"inquiry-like is resubmitted after an error", inquiry, ErrorResponse, true, ""},
 		{"referenced is resubmitted after a lost connection", reserve, Disconnected, true, ""},
@@ -37,13 +38,14 @@
 	}
 }
 
+// A referenced txn may be sent again only within the group that drops repeats, and only as long as the group remembers it.
 func TestReferencedWithinItsMemoryAndGroup(t *testing.T) {
 	for _, c := range []struct {
 		name, group string
 		wait        Nanos
 		again       bool
 	}{
-		{"soon", "all", 100 * Millisecond, true},
+		{"within the deduplication window", "all", 100 * Millisecond, true},
 		{"after the deduplication window", "all", 1900 * Millisecond, false},
 		{"another zone", "zone", 100 * Millisecond, false},
 	} {
@@ -72,7 +74,7 @@
 			h.UpdateWorkers(h.clock, Whole, []Worker{{ID: "old00", Rel: 1, State: Draining}})
 			return h.take(inquiry, 0)
 		}},
-		{"time-out at the end", func(h *harness) TxnID {
+		{"time-out at its expiry", func(h *harness) TxnID {
 			id := h.take(inquiry, 0)
 			h.clock += 2 * Second
 			h.endSubmission(id, 0, TimedOut, 2*Second)
@@ -99,11 +101,12 @@
 	}
 }
 
+// Missing or zero settings must not cause a panic, nor submissions to a build that no update has announced.
 func TestUnusualSettingsDoNotPanic(t *testing.T) {
 	for name, set := range map[string]map[string]any{
-		"none":         {},
-		"no products":  {"products.count": 0.0, "release.votes": "clocked"},
-		"cap and span": settings("release.caps.0", 0.0, "release.window", 0.0, "rules.cold", 0.0, "sentries", 0.0),
+		"no settings": {},
+		"no products": {"products.count": 0.0, "release.votes": "clocked"},
+		"zero values": settings("release.caps.0", 0.0, "release.window", 0.0, "rules.cold", 0.0, "sentries", 0.0),
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := &harness{actionLog: &actionLog{sent: map[WorkerID]int{}}, clock: Second}
@@ -155,13 +158,13 @@
 	}
 }
 
-// Guards against overload of a worker that has just started, also when it is the only one left.
+// A worker that has just started must not be overloaded, even if it is the only one left.
 func TestColdWorkerIsNotOverloaded(t *testing.T) {
 	h := newHarness(8, 0, 0)
 	h.runTxns(400, inquiry, noKey, succeed)
 	clear(h.sent)
 	h.UpdateWorkers(h.clock, Changes, []Worker{{ID: "old00", Rel: 1, Start: h.clock}})
-	h.runTxns(50, inquiry, noKey, succeed) // in one second: 50 txns at 8 workers, an even share of 6, and a capacity from 30%
+	h.runTxns(50, inquiry, noKey, succeed) // 50 txns in one second: an even share of 6 for each of 8 workers, of which 30% and more are allowed
 	if n := h.sent["old00"]; n > 7 {
 		t.Errorf("%d sent to a worker that just started", n)
 	}
@@ -170,13 +173,13 @@
 	}
 	clear(h.sent)
 	h.runTxns(50, inquiry, noKey, succeed)
-	want(t, "workers used", len(h.sent) <= 1, true)
+	want(t, "at most one worker used", len(h.sent) <= 1, true)
 	if n := h.sent["old00"]; n > 15 {
 		t.Errorf("%d sent to the only, cold worker", n)
 	}
 }
 
-// Steps 1 to 3: equal load per worker, the toggle and the rotation; and keys answered by the trial stay with it.
+// Steps 1 to 3: all workers get an equal load, and keys that the trial has answered are not sent to earlier builds.
 func TestPairRouting(t *testing.T) {
 	t.Run("equal load", func(t *testing.T) {
 		h := newHarness(8, 2, 0.5)
@@ -199,7 +202,7 @@
 			}
 			return OK, 50 * Millisecond
 		})
-		want(t, "keys bound", len(answered) > 5, true)
+		want(t, "more than 5 keys answered by the trial", len(answered) > 5, true)
 		h.Sentry.ReleaseUpdate(h.clock, ReleaseUpdate{Rel: 2, Phase: GoingBack})
 		want(t, "keys bound after going back", len(h.boundKeys), 0)
 	})
@@ -210,7 +213,7 @@
 			h.take(inquiry, 5)
 		}
 		want(t, "declined with a retry time", h.count("decline 20 100"), 1)
-		want(t, "sent to earlier builds", len(h.sent) <= 1, true)
+		want(t, "at most one worker used", len(h.sent) <= 1, true)
 	})
 }
 
@@ -227,8 +230,8 @@
 		{"late build is voted back", "majority", OnTrial, everyNth("trial", 1, OK, 2500*Millisecond), "vote 3 2 0"},
 		{"slow build is voted back", "single", OnTrial, everyNth("trial", 1, OK, 400*Millisecond), "vote 3 2 0"},
 		{"released build is voted back", "single", Released, everyNth("trial", 2, ErrorResponse, 10*Millisecond), "vote 3 2 0"},
-		{"clocked release needs no on", "clocked", OnTrial, succeed, ""},
-		{"clocked release is held on a lead against it", "clocked", OnTrial, func(w string, i int) (Ending, Nanos) {
+		{"good build gets no vote in a clocked release", "clocked", OnTrial, succeed, ""},
+		{"build with a few errors is held in a clocked release", "clocked", OnTrial, func(w string, i int) (Ending, Nanos) {
 			if strings.HasPrefix(w, "trial") && i > 100 && i < 120 && i%2 == 0 {
 				return ErrorResponse, 10 * Millisecond
 			}
@@ -256,8 +259,8 @@
 	}
 }
 
-// A build that slows all workers shows no difference in pairs, and where late txns are declined, none in response times
-// either.
+// A build that slows all workers shows no difference in pairs. It must be detected by the rise of response times from stage
+// to stage.
 func TestBuildThatSlowsFleet(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -279,8 +282,8 @@
 	}
 }
 
-// Late txns are declined, so the time level cannot rise above the SLA time. The threshold, which rises with the number of
-// sentries, must not lie above that.
+// As late txns are declined, response times cannot rise above the SLA time. The threshold for a slowdown of the fleet, which
+// rises with the number of sentries, must not lie above that.
 func TestBuildThatSlowsFleetOfManySentries(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -304,7 +307,7 @@
 					back = back || h.wantVote == VerdictBack
 				}
 			}
-			want(t, "back", back, c.back)
+			want(t, "vote back", back, c.back)
 		})
 	}
 }
@@ -323,7 +326,7 @@
 				{ID: "trial01", Rel: 2, Start: h.clock - c.age}})
 			h.Sentry.ReleaseUpdate(h.clock, ReleaseUpdate{Rel: 2, Cap: 1})
 			h.runTxns(110, inquiry, noKey, everyNth("trial", 1, OK, 2500*Millisecond))
-			want(t, "back", h.count("vote 3") > 0, c.back)
+			want(t, "vote back", h.count("vote 3") > 0, c.back)
 		})
 	}
 	t.Run("errors that follow a customer", func(t *testing.T) {
@@ -336,7 +339,7 @@
 			h.endSubmission(h.lastID, 1, e, 20*Millisecond)
 			h.advance(20 * Millisecond)
 		}
-		want(t, "back", h.count("vote 3"), 0)
+		want(t, "votes back", h.count("vote 3"), 0)
 		want(t, "unhealthy workers found", slices.ContainsFunc(h.sortedWorkers, func(w *worker) bool { return !h.healthy(w) }), false)
 	})
 	t.Run("missing workers", func(t *testing.T) {
@@ -347,6 +350,7 @@
 	})
 }
 
+// A sentry votes back by the evidence of another one, and malformed messages have no effect.
 func TestEvidenceMessages(t *testing.T) {
 	h, other := newHarness(6, 4, 1, "sentries", 2.0, "allow.messages", true), newHarness(6, 4, 1, "sentries", 2.0)
 	h.runTxns(100, inquiry, noKey, everyNth("trial", 1, ErrorResponse, 10*Millisecond))
@@ -356,7 +360,7 @@
 	other.PeerMessage(other.clock, 9, h.lastMessage)
 	other.advance(2 * Second)
 	want(t, "vote back by evidence of another sentry", other.count("vote 3 2 0") > 0, true)
-	want(t, "message of a sentry that may send none", len(other.lastMessage), 0)
+	want(t, "length of a message from a sentry without allow.messages", len(other.lastMessage), 0)
 	// If each sentry left out the one worker that lost in its own view, no sentry would count any loss.
 	t.Run("one loss at each of many sentries", func(t *testing.T) {
 		h := newHarness(6, 4, 1, "sentries", 100.0, "allow.messages", true, "index", 2.0)
@@ -366,7 +370,7 @@
 			h.PeerMessage(h.clock, i, loss.encode(2))
 		}
 		h.advance(2 * Second)
-		want(t, "back", h.count("vote 3 2 0") > 0, true)
+		want(t, "vote back", h.count("vote 3 2 0") > 0, true)
 		h.runTxns(100, inquiry, noKey, succeed)
 		slices.Sort(h.actions)
 		messages := slices.DeleteFunc(slices.Compact(h.actions), func(l string) bool { return !strings.HasPrefix(l, "message") })
@@ -374,7 +378,7 @@
 	})
 }
 
-// What one of many sentries does, hundreds do at the same moment: together they must spread their load evenly, and must
+// Hundreds of sentries may take the same decision at the same moment. Together they must spread their load evenly and must
 // not overload a worker that has just started.
 func TestManySentries(t *testing.T) {
 	fleet, sent := make([]*harness, 100), map[WorkerID]int{}
@@ -406,48 +410,50 @@
 	for _, h := range fleet {
 		h.UpdateWorkers(h.clock, Whole, []Worker{{ID: "old00", Rel: 1, Start: h.clock}})
 	}
-	if second(); sent["old00"] < 5 || sent["old00"] > 47 { // twice its capacity, 30% to 47% of 50 txns
+	if second(); sent["old00"] < 5 || sent["old00"] > 47 { // at most twice its capacity, which is 30% to 47% of 50 txns
 		t.Errorf("%d txns sent to a worker that has just started", sent["old00"])
 	}
 }
 
+// All sentries together must not vote more often than the platform accepts, but each votes from time to time.
 func TestRandomVoting(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		calls       float64
-		least, most int
-	}{{"calls for all sentries", 10, 25, 32}, {"calls for a fifth", 2, 2, 13}, {"none", 0, 0, 0}} {
+		name               string
+		votesPerSecond     float64 // of all ten sentries
+		minVotes, maxVotes int     // of one sentry in 32 s
+	}{{"one vote per sentry and second", 10, 25, 32}, {"a fifth of a vote per sentry and second", 2, 2, 13}, {"no votes", 0, 0, 0}} {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHarness(6, 2, 0.5, "sentries", 10.0, "release.votes-per-second", c.calls)
+			h := newHarness(6, 2, 0.5, "sentries", 10.0, "release.votes-per-second", c.votesPerSecond)
 			h.runTxns(1600, inquiry, noKey, succeed)
-			if n := h.count("vote 1"); n < c.least || n > c.most {
-				t.Errorf("%d votes in 32 s", n)
+			if n := h.count("vote 1"); n < c.minVotes || n > c.maxVotes {
+				t.Errorf("%d votes in 32 s, want %d to %d", n, c.minVotes, c.maxVotes)
 			}
 		})
 	}
 }
 
 func TestSignTest(t *testing.T) {
-	for _, c := range []struct{ against, favour, p float64 }{
+	for _, c := range []struct{ losses, wins, p float64 }{
 		{0, 0, 1}, {7, 0, 1.0 / 128}, {6, 1, 8.0 / 128}, {1, 1, 0.75}, {300, 200, 4.5e-6},
 	} {
-		if p := signTest(c.against, c.favour); p > c.p*1.1 || p < c.p*0.9 {
-			t.Errorf("%v against %v: %v, want %v", c.against, c.favour, p, c.p)
+		if p := signTest(c.losses, c.wins); p > c.p*1.1 || p < c.p*0.9 {
+			t.Errorf("%v losses and %v wins: p-value %v, want %v", c.losses, c.wins, p, c.p)
 		}
 	}
 }
 
-// A silent or failing worker must get few txns, must not delay those it holds, and must be used again after it recovers.
+// A silent or failing worker must get few txns, must not delay the txns that it has, and must be used again after it
+// recovers.
 func TestWorkerHealth(t *testing.T) {
 	t.Run("a worker that fails fast gets few txns", func(t *testing.T) {
 		h := newHarness(5, 0, 0)
 		h.runTxns(500, inquiry, noKey, everyNth("old00", 1, ErrorResponse, Millisecond))
 		if n := h.sent["old00"]; n > 40 {
-			t.Errorf("%d of 500 to a worker that fails", n)
+			t.Errorf("%d of 500 txns sent to a worker that fails", n)
 		}
 		clear(h.sent)
 		h.runTxns(1500, inquiry, noKey, succeed)
-		want(t, "used again", h.sent["old00"] > 50, true)
+		want(t, "used again after its recovery", h.sent["old00"] > 50, true)
 	})
 	t.Run("a txn at a silent worker is sent to another", func(t *testing.T) {
 		h := newHarness(2, 0, 0)
@@ -461,12 +467,13 @@
 	})
 }
 
+// Txns that could only be late must be declined at once. If they waited at workers, they would time out and be voided.
 func TestOverloadDeclinesEarly(t *testing.T) {
 	h := newHarness(2, 0, 0)
 	for i := 0; i < 100; i++ {
 		h.take(pay, 0)
 	}
-	want(t, "declined at once", h.count("decline") > 50, true)
+	want(t, "more than half declined at once", h.count("decline") > 50, true)
 	want(t, "voided", h.count("void"), 0)
 }
 
@@ -475,27 +482,27 @@
 		h := newHarness(3, 0, 0)
 		h.UpdateWorkers(h.clock, Whole, []Worker{{ID: "old01", Rel: 1}})
 		h.runTxns(20, inquiry, noKey, succeed)
-		want(t, "only the one listed", h.sent["old01"], 20)
+		want(t, "txns sent to the only listed worker", h.sent["old01"], 20)
 	})
-	t.Run("watched, and again after a failure or a silence", func(t *testing.T) {
+	t.Run("the watch is renewed after a failure or without updates", func(t *testing.T) {
 		h := newHarness(3, 0, 0, "discovery", "ask")
-		want(t, "watch", h.count("watch"), 1)
+		want(t, "watches at the start", h.count("watch"), 1)
 		h.UpdateWorkers(h.clock, ListUnavailable, nil)
-		want(t, "not at once", h.count("watch"), 1)
+		want(t, "watches right after a failure", h.count("watch"), 1)
 		h.advance(5 * Second)
-		want(t, "renewed once", h.count("watch"), 2)
+		want(t, "watches 5 s after a failure", h.count("watch"), 2)
 		h.UpdateWorkers(h.clock, Changes, nil)
 		h.advance(9 * Second)
-		want(t, "not while updates arrive", h.count("watch"), 2)
+		want(t, "watches 9 s after an update", h.count("watch"), 2)
 		h.advance(3 * Second)
-		want(t, "renewed after silence", h.count("watch"), 3)
+		want(t, "watches 12 s after an update", h.count("watch"), 3)
 	})
 	t.Run("no exposure right after a restart", func(t *testing.T) {
 		h := newHarness(0, 4, 0.1)
 		for i := 0; i < 5; i++ {
 			h.take(inquiry, 0)
 		}
-		want(t, "sent to the trial", len(h.sent), 0)
+		want(t, "trial workers used", len(h.sent), 0)
 	})
 	t.Run("a new process under an old id is cold", func(t *testing.T) {
 		h := newHarness(3, 0, 0)
@@ -504,6 +511,7 @@
 	})
 }
 
+// Allocations on the path of a txn would add garbage collection to its latency.
 func TestTxnPathDoesNotAllocate(t *testing.T) {
 	h := newHarness(8, 2, 0.5)
 	h.runTxns(300, inquiry, noKey, succeed)
@@ -517,9 +525,10 @@
 	want(t, "txns left open", len(h.txnSlots), 0)
 }
 
+// Traces are replayed, so the same seed and events must always lead to the same actions.
 func TestSameEventsSameActions(t *testing.T) {
-	one, two := newHarness(8, 2, 0.5), newHarness(8, 2, 0.5)
-	for _, h := range []*harness{one, two} {
+	first, second := newHarness(8, 2, 0.5), newHarness(8, 2, 0.5)
+	for _, h := range []*harness{first, second} {
 		h.runTxns(500, inquiry, noKey, func(w string, i int) (Ending, Nanos) {
 			if i%9 == 0 {
 				return ErrorResponse, Millisecond
@@ -527,19 +536,19 @@
 			return OK, Nanos(i%70) * Millisecond
 		})
 	}
-	want(t, "actions", strings.Join(one.actions, "\n"), strings.Join(two.actions, "\n"))
+	want(t, "actions", strings.Join(first.actions, "\n"), strings.Join(second.actions, "\n"))
 }
 
 // ---- After incidents and errors ----
 
-// A reply to a vote may be older than the last pushed update. It must not put a build on trial again that goes back.
+// A reply to a vote may be older than the last pushed update. It must not put a build that is going back on trial again.
 func TestOutdatedReleaseUpdate(t *testing.T) {
 	rollingBack, trial := ReleaseUpdate{Rel: 2, Stage: 1, Phase: GoingBack}, ReleaseUpdate{Rel: 2, Stage: 1, Cap: 0.5}
 	for _, c := range []struct {
 		name     string
 		previous ReleaseUpdate
 		next     ReleaseUpdate
-		taken    bool
+		accepted bool
 	}{
 		{"a reply from before it went back", rollingBack, ReleaseUpdate{Rel: 2, Stage: 1, Cap: 0.5, VoteReply: true}, false},
 		{"a reply from before it was withdrawn", ReleaseUpdate{Rel: 2, Phase: Withdrawn}, ReleaseUpdate{Rel: 2, Phase: Released, Cap: 1, VoteReply: true}, false},
@@ -556,17 +565,18 @@
 			h.Sentry.ReleaseUpdate(h.clock, c.previous)
 			previous := h.announced
 			h.Sentry.ReleaseUpdate(h.clock, c.next)
-			want(t, "taken", h.announced != previous, c.taken)
-			if !c.taken && previous.rollingBack() {
+			want(t, "accepted", h.announced != previous, c.accepted)
+			if !c.accepted && previous.rollingBack() {
 				clear(h.sent)
 				h.runTxns(200, inquiry, noKey, succeed)
-				want(t, "sent to the build that goes back", h.sent["trial00"]+h.sent["trial01"], 0)
+				want(t, "txns sent to the build that is going back", h.sent["trial00"]+h.sent["trial01"], 0)
 			}
 		})
 	}
 }
 
-// With less than one free submission, a budget of a whole one would exceed the cap in any window with few txns.
+// Exposure must stay within the free submissions and the cap in every window. With less than one free submission, a budget
+// of one would exceed them in a window with few txns.
 func TestExposureInEveryWindow(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -592,16 +602,16 @@
 				h.endSubmission(id, 0, OK, 5*Millisecond)
 				h.advance(c.gap)
 			}
-			for i, until := range sentAt {
+			for i, windowEnd := range sentAt {
 				submitted, taken := 0, 0
 				for _, at := range sentAt[:i+1] {
-					submitted += int(indicator(at > until-4*Second))
+					submitted += int(indicator(at > windowEnd-4*Second))
 				}
 				for _, at := range takenAt {
-					taken += int(indicator(at > until-4*Second && at <= until))
+					taken += int(indicator(at > windowEnd-4*Second && at <= windowEnd))
 				}
 				if allowed := c.free + c.cap*float64(taken); float64(submitted) > allowed+1e-9 {
-					t.Fatalf("%d submissions in the 4 s up to %v; %.1f allowed with %d txns", submitted, until, allowed, taken)
+					t.Fatalf("%d submissions in the 4 s up to %v; %.1f allowed with %d txns", submitted, windowEnd, allowed, taken)
 				}
 			}
 			if c.free >= 1 && len(sentAt) == 0 {
@@ -611,8 +621,8 @@
 	}
 }
 
-// If a worker kept its earlier submissions when its entry moves to another zone or cell, a repeat could be sentAt outside
-// the group that drops duplicates.
+// If a worker kept its earlier submissions when its entry moves to another zone or cell, a repeat could be sent outside the
+// group that drops duplicates.
 func TestReferencedTxnWhenWorkerMoves(t *testing.T) {
 	for _, group := range []string{"zone", "cell"} {
 		h := newHarness(0, 0, 0, "products.1.group", group, "allow.copies", false)
@@ -620,12 +630,12 @@
 		id := h.take(reserve, 0)
 		h.UpdateWorkers(h.clock, Whole, []Worker{{ID: "a", Rel: 1, Zone: 1, Cell: 1, State: Draining}, {ID: "b", Rel: 1, Zone: 1, Cell: 1}})
 		h.endSubmission(id, 0, Disconnected, Millisecond)
-		want(t, "resubmitted in another "+group, h.count("submit"), 1)
+		want(t, "submissions after the move to another "+group, h.count("submit"), 1)
 	}
 }
 
-// A successor with the id of an earlier process, whatever distinguishes them, must not inherit its health, its submissions
-// or complaints about it.
+// A new process with the id of an earlier one must not inherit its health, its submissions or reports of wrong responses,
+// no matter which field of the entry differs.
 func TestSuccessorProcessInheritsNothing(t *testing.T) {
 	for name, change := range map[string]func(w *Worker){
 		"another start": func(w *Worker) { w.Start = 90 * Second }, "another build": func(w *Worker) { w.Rel = 0 },
@@ -641,26 +651,26 @@
 				id = h.take(pay, 0)
 			}
 			old := h.workers["old00"]
-			line := old.Worker
-			change(&line)
-			h.UpdateWorkers(h.clock, Changes, []Worker{line})
+			entry := old.Worker
+			change(&entry)
+			h.UpdateWorkers(h.clock, Changes, []Worker{entry})
 			w := h.workers["old00"]
-			want(t, "another", w != old, true)
+			want(t, "state replaced", w != old, true)
 			h.Outcome(h.clock, Outcome{Txn: id, Ending: ErrorResponse, Elapsed: Millisecond, Load: &Load{Queue: 50}})
 			pairs := h.ownEvidence.pairs
 			h.Contested(h.clock, inquiry, "old00", 90*Second)
-			want(t, "held", w.inFlight, 0)
-			want(t, "faults", w.faultRate, 0.0)
+			want(t, "submissions in flight", w.inFlight, 0)
+			want(t, "fault rate", w.faultRate, 0.0)
 			want(t, "silent", w.silent, false)
 			if w.Start > 0 {
-				want(t, "complaints", h.ownEvidence.pairs, pairs)
+				want(t, "pairs after a report about the earlier process", h.ownEvidence.pairs, pairs)
 			}
 		})
 	}
 }
 
-// Where no product is inquiry-like, a worker that was silent for a moment would never be used again without a probe by
-// another txn.
+// If no txn is inquiry-like, a worker that was silent for a moment must be probed by another txn, or it would never be used
+// again.
 func TestSilentWorkerIsProbedByAnyProduct(t *testing.T) {
 	for _, p := range []ProductID{inquiry, reserve, pay} {
 		h := newHarness(2, 0, 0)
@@ -672,12 +682,12 @@
 		h.runTxns(1500, p, noKey, succeed)
 		for _, w := range h.sortedWorkers {
 			want(t, "silent", w.silent, false)
-			want(t, "met", h.sent[w.ID] > 100, true)
+			want(t, "more than 100 txns sent to "+string(w.ID), h.sent[w.ID] > 100, true)
 		}
 	}
 }
 
-// The rotation skips a silent worker on trial, and no other txns are sent to it, so it has to be probed.
+// The rotation skips a silent trial worker, and no other txns are sent to it. It must be probed, or it would stay silent.
 func TestSilentTrialWorkerIsProbed(t *testing.T) {
 	for _, count := range []int{1, 2} {
 		h := newHarness(6, 2, 0.5)
@@ -693,11 +703,11 @@
 	}
 }
 
-// A worker that was slow once is avoided where others suffice, but for less than a minute, as its slowdown decays.
+// A worker that was slow once must be used again within a minute, even if the other workers suffice.
 func TestSlowWorkerIsUsedAgain(t *testing.T) {
 	h := newHarness(6, 0, 0)
 	h.runTxns(50, inquiry, noKey, succeed)
-	h.workers["old03"].slowdown = 20 // the maximum
+	h.workers["old03"].slowdown = maxRelativeTime
 	clear(h.sent)
 	for i := 0; i < 3000 && h.sent["old03"] == 0; i++ { // one txn at a time
 		h.runTxns(1, inquiry, noKey, succeed)
@@ -716,9 +726,10 @@
 	}
 	h.advance(25 * Second)
 	h.runTxns(150, inquiry, noKey, succeed)
-	want(t, "back", h.count("vote 3"), 0)
+	want(t, "votes back", h.count("vote 3"), 0)
 }
 
+// Where each process start has a new worker id, the worker list must not grow without bound.
 func TestGoneWorkersAreDropped(t *testing.T) {
 	h := newHarness(2, 0, 0)
 	for i := 0; i < 200; i++ {
@@ -728,20 +739,20 @@
 		h.UpdateWorkers(h.clock, Changes, []Worker{{ID: id, Rel: 1, State: Gone}})
 	}
 	if len(h.sortedWorkers) > 160 || len(h.sortedWorkers) != len(h.workers) {
-		t.Errorf("%d sorted workers and %d by id kept, of 2 that run", len(h.sortedWorkers), len(h.workers))
+		t.Errorf("%d sorted workers and %d workers by id are kept, want equal numbers up to 160", len(h.sortedWorkers), len(h.workers))
 	}
 	h.advance(61 * Second)
-	want(t, "kept", len(h.sortedWorkers), 2)
+	want(t, "workers kept", len(h.sortedWorkers), 2)
 	t.Run("a worker with a pending submission is kept", func(t *testing.T) {
 		h := newHarness(1, 0, 0)
 		id := h.take(pay, 0)
 		h.UpdateWorkers(h.clock, Whole, nil)
 		h.advance(90 * Second)
-		want(t, "kept", len(h.sortedWorkers), 1)
+		want(t, "workers kept", len(h.sortedWorkers), 1)
 		h.endSubmission(id, 0, OK, 90*Second)
 		h.advance(90 * Second)
-		want(t, "kept after its end", len(h.sortedWorkers), 0)
-		want(t, "held", h.totalInFlight, 0)
+		want(t, "workers kept after the end of the submission", len(h.sortedWorkers), 0)
+		want(t, "submissions in flight", h.totalInFlight, 0)
 	})
 }
 
@@ -773,7 +784,7 @@
 			h.advance(Second)
 			h.Sentry.ReleaseUpdate(h.clock, ReleaseUpdate{Rel: 2, Cap: 0.5})
 		},
-		"the trial's workers are gone before it is announced": func(h *harness) {
+		"the trial's workers are gone": func(h *harness) {
 			h.UpdateWorkers(h.clock, Changes, []Worker{{ID: "trial00", Rel: 2, State: Gone}, {ID: "trial01", Rel: 2, State: Gone}})
 		},
 	} {
@@ -793,39 +804,39 @@
 				answered[keys(i)] = answered[keys(i)] || strings.HasPrefix(w, "trial")
 				return OK, 50 * Millisecond
 			})
-			want(t, "keys answered by the trial", len(answered) > 5, true)
+			want(t, "more than 5 keys answered by the trial", len(answered) > 5, true)
 		})
 	}
 }
 
-// Losses of a bad machine must stay with it when its worker is replaced, gone or draining, and not count against the build.
+// The losses of a bad machine must not count against the build after its worker is replaced, gone or draining.
 func TestLossesOfRemovedWorker(t *testing.T) {
-	for name, goes := range map[string]Worker{
+	for name, entry := range map[string]Worker{
 		"replaced": {ID: "trial00", Rel: 2, Start: 90 * Second}, "gone": {ID: "trial00", Rel: 2, State: Gone},
-		"drains": {ID: "trial00", Rel: 2, State: Draining},
+		"draining": {ID: "trial00", Rel: 2, State: Draining},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(6, 4, 1)
 			h.runTxns(60, inquiry, noKey, everyNth("trial00", 1, ErrorResponse, 10*Millisecond))
-			want(t, "back before", h.count("vote 3"), 0)
-			h.UpdateWorkers(h.clock, Changes, []Worker{goes})
+			want(t, "votes back before the change", h.count("vote 3"), 0)
+			h.UpdateWorkers(h.clock, Changes, []Worker{entry})
 			h.runTxns(200, inquiry, noKey, succeed)
-			want(t, "back", h.count("vote 3"), 0)
+			want(t, "votes back", h.count("vote 3"), 0)
 		})
 	}
 }
 
-// A late update may still be about the build before, which goes back. Keys that the next build answers meanwhile must be
-// bound all the same.
+// A late update may still concern the build before, for example that it goes back. Keys that the next build answers
+// meanwhile must be bound all the same.
 func TestKeysOfUnannouncedBuild(t *testing.T) {
 	for _, phase := range []Phase{Withdrawn, GoingBack, Released} {
 		h := newHarness(6, 2, 0.5, "release.one-way", true)
 		for _, w := range h.sortedWorkers {
-			line := w.Worker
-			if line.Rel == 2 {
-				line.Rel = 3
+			entry := w.Worker
+			if entry.Rel == 2 {
+				entry.Rel = 3
 			}
-			h.UpdateWorkers(h.clock, Changes, []Worker{line})
+			h.UpdateWorkers(h.clock, Changes, []Worker{entry})
 		}
 		h.Sentry.ReleaseUpdate(h.clock, ReleaseUpdate{Rel: 2, Phase: phase, Cap: indicator(phase == Released)})
 		answered := map[KeyID]bool{}
@@ -841,32 +852,33 @@
 		h.runTxns(200, inquiry, keys, ending)
 		h.Sentry.ReleaseUpdate(h.clock, ReleaseUpdate{Rel: 3, Cap: 0.5})
 		h.runTxns(400, inquiry, keys, ending)
-		want(t, "keys answered by the trial", len(answered) > 5, true)
+		want(t, "more than 5 keys answered by the trial", len(answered) > 5, true)
 	}
 }
 
-// A response that was cut off or is malformed has been given, so its key must not be sent to an earlier build.
+// A malformed or incomplete response counts as an answer, so txns with its key must not be sent to an earlier build.
 func TestKeysOfUnreadResponses(t *testing.T) {
 	for _, c := range []struct {
-		ending Ending
-		bound  bool
+		ending Ending // of submissions to the trial
+		bound  bool   // their keys are bound
 	}{{OK, true}, {MalformedResponse, true}, {Disconnected, true}, {Cancelled, true}, {ErrorResponse, false}, {ConnectFailed, false}} {
 		h := newHarness(6, 2, 0.5, "release.one-way", true, "allow.submissions", 1.0)
-		answered, below := map[KeyID]bool{}, 0
+		answered, sentEarlier := map[KeyID]bool{}, 0 // sentEarlier: txns with answered keys that went to the earlier build
 		keys := func(i int) KeyID { return KeyID(i%40 + 1) }
 		h.runTxns(400, pay, keys, func(w string, i int) (Ending, Nanos) {
 			if strings.HasPrefix(w, "trial") {
 				answered[keys(i)] = true
 				return c.ending, 50 * Millisecond
 			}
-			below += int(indicator(answered[keys(i)]))
+			sentEarlier += int(indicator(answered[keys(i)]))
 			return OK, 50 * Millisecond
 		})
-		want(t, fmt.Sprintf("ending %d: keys not sent to the earlier build", c.ending), below == 0, c.bound)
+		want(t, fmt.Sprintf("ending %d: keys not sent to the earlier build", c.ending), sentEarlier == 0, c.bound)
 	}
 }
 
-// Where submissions fail at all workers alike, each of them would become unhealthy in turn, and most txns be declined.
+// If submissions fail at the same rate at all workers, no worker must be excluded for it. Otherwise one after the other
+// would become unhealthy, and most txns would be declined.
 func TestFailuresAtAllWorkersExcludeNone(t *testing.T) {
 	for _, e := range []Ending{Disconnected, MalformedResponse} {
 		h := newHarness(8, 0, 0)
@@ -945,6 +957,6 @@
 	}
 	short, long := after(Second), after(4*Second)
 	if short+50 > long || short == 600 {
-		t.Errorf("vote back after %d txns with a bake time of 1 s, after %d with one of 4 s", short, long)
+		t.Errorf("vote back after %d txns with a bake time of 1 s and after %d with 4 s, want at least 50 fewer with 1 s", short, long)
 	}
 }
--- a/logic/sampler_test.go
+++ b/logic/sampler_test.go
@@ -18,7 +18,8 @@
 	return d, workers
 }
 
-// Each worker must be drawn in proportion to its weight, also after changes, and one without weight never.
+// Each worker must be drawn in proportion to its weight, also after the weights have changed. A worker without weight must
+// never be drawn.
 func TestSamplerPicksByWeight(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	for _, weights := range [][]float64{{1}, {1, 3}, {0, 0, 5, 0, 0}, {1, 2, 3, 4, 5, 6, 7}, {0, 1e-290, 0}, {1e290, 1e290, 0, 1e290},
@@ -72,8 +73,8 @@
 	}
 }
 
-// A draw by raceWeight must pick each worker as often as it has the least delay*e^noise, where e is drawn for each
-// worker.
+// A draw by raceWeight must pick each worker as often as the worker has the smallest delay*e^noise, with an e drawn for each
+// worker from an exponential distribution.
 func TestRaceWeightMatchesRace(t *testing.T) {
 	rng := rand.New(rand.NewSource(2))
 	delays := []float64{0.5, 0.7, 1, 1.1, 2, 8}
@@ -97,13 +98,13 @@
 		}
 		for i := range delays {
 			if math.Abs(raced[i]-drawn[i]) > 5*math.Sqrt(raced[i]+drawn[i])+1 {
-				t.Errorf("noise %g, delay %g: won %g races, was drawn %g times", noise, delays[i], raced[i], drawn[i])
+				t.Errorf("noise %g, delay %g: smallest value in %g rounds, drawn in %g", noise, delays[i], raced[i], drawn[i])
 			}
 		}
 	}
 }
 
-// A weight that is not updated sends txns to workers without room, or hides a worker until the next tick.
+// An outdated weight would send txns to workers without room, or hide a worker until the next tick.
 func TestWeightsAreKeptUpToDate(t *testing.T) {
 	for _, c := range []struct{ workers, trial, inFlight int }{{200, 0, 400}, {200, 80, 400}, {maxScannedWorkers, 0, 100}, {90, 0, 2000}} {
 		fleet := newLoadFleet(c.workers, c.trial)
--- a/logic/scale_test.go
+++ b/logic/scale_test.go
@@ -35,16 +35,16 @@
 func (f *loadFleet) SendToPeer(int, []byte)   {}
 func (f *loadFleet) Log(string)               {}
 
-// newLoadFleet creates one with n workers, of which trial run a build on trial.
+// newLoadFleet creates a sentry with n workers, of which the first trial ones run a build on trial.
 func newLoadFleet(n, trial int) *loadFleet {
 	f := &loadFleet{now: 1e15, submissions: make([]struct {
 		id TxnID
 		at Nanos
 	}, 0, 1<<17)}
-	set := map[string]any{"products.count": 1.0, "products.0.effect": "inquiry-like", "products.0.sla": 3e8, "allow.submissions": 4.0, "allow.copies": true,
+	config := map[string]any{"products.count": 1.0, "products.0.effect": "inquiry-like", "products.0.sla": 3e8, "allow.submissions": 4.0, "allow.copies": true,
 		"allow.cancel": true, "sentries": 1.0, "release.votes": "single", "release.caps.0": 1.0, "release.free": 3.0, "release.window": 4e9,
 		"release.bake": 1e15, "rules.cold": 3e9, "rules.cold-from": 0.3, "rules.fall-multiple": 2.0, "rules.fall-after": 1e9}
-	f.sentry = New(f.now, 1, set, f)
+	f.sentry = New(f.now, 1, config, f)
 	list := make([]Worker, n)
 	for i := range list {
 		list[i] = Worker{ID: WorkerID(fmt.Sprintf("w%04d", i)), Zone: ZoneID(i % 3), Kind: KindID(i % 2), Weight: 1, Rel: 1}
@@ -61,15 +61,15 @@
 	return f
 }
 
-// step takes a txn, and settles the oldest ones that exceed the given number in flight.
+// step takes a txn, and settles the oldest submissions until at most the given number is in flight.
 func (f *loadFleet) step(inFlight int) {
 	f.now += 20 * 1000
 	f.lastID++
 	f.sentry.Take(f.now, Txn{ID: f.lastID, Key: KeyID(f.lastID), Cost: 10 * Millisecond, Expiry: f.now + Second})
 	for len(f.submissions)-f.head > inFlight {
-		x := f.submissions[f.head]
+		oldest := f.submissions[f.head]
 		f.head++
-		f.sentry.Outcome(f.now, Outcome{Txn: x.id, Elapsed: 10 * Millisecond, Final: true})
+		f.sentry.Outcome(f.now, Outcome{Txn: oldest.id, Elapsed: 10 * Millisecond, Final: true})
 	}
 	if f.head > 1<<16 {
 		f.submissions = f.submissions[:copy(f.submissions, f.submissions[f.head:])]
@@ -81,11 +81,11 @@
 	}
 }
 
-// BenchmarkTxn measures a txn that is taken, sent and settled, with its part of the ticks (one in 5,000 txns).
+// BenchmarkTxn measures a txn that is taken, sent and settled, including its part of the ticks (one in 5,000 txns).
 func BenchmarkTxn(b *testing.B) {
 	for _, c := range []struct{ workers, trial, inFlight int }{{10, 0, 20}, {50, 0, 100}, {250, 0, 500}, {1000, 0, 2000}, {4000, 0, 8000},
 		{10, 2, 20}, {1000, 200, 2000}, {10, 5, 20}, {1000, 500, 2000}, {1000, 0, 10000}, {4000, 0, 50000}} {
-		b.Run(fmt.Sprintf("workers=%d/trial=%d/hand=%d", c.workers, c.trial, c.inFlight), func(b *testing.B) {
+		b.Run(fmt.Sprintf("workers=%d/trial=%d/in-flight=%d", c.workers, c.trial, c.inFlight), func(b *testing.B) {
 			fleet := newLoadFleet(c.workers, c.trial)
 			for i := 0; i < 20*c.inFlight; i++ {
 				fleet.step(c.inFlight)
@@ -101,11 +101,11 @@
 	}
 }
 
-// BenchmarkBeat measures a tick alone.
-func BenchmarkBeat(b *testing.B) {
+// BenchmarkTick measures a tick.
+func BenchmarkTick(b *testing.B) {
 	for _, c := range []struct{ workers, trial, inFlight int }{{10, 0, 20}, {250, 0, 500}, {1000, 0, 2000}, {4000, 0, 8000}, {1000, 500, 2000}, {1000, 0, 10000},
 		{4000, 0, 50000}} {
-		b.Run(fmt.Sprintf("workers=%d/trial=%d/hand=%d", c.workers, c.trial, c.inFlight), func(b *testing.B) {
+		b.Run(fmt.Sprintf("workers=%d/trial=%d/in-flight=%d", c.workers, c.trial, c.inFlight), func(b *testing.B) {
 			fleet := newLoadFleet(c.workers, c.trial)
 			for i := 0; i < 5*c.inFlight; i++ {
 				fleet.step(c.inFlight)
