--- a/logic/emit.go
+++ b/logic/emit.go
@@ -74,7 +74,7 @@
 	w := t.want.target
 	w.inFlight++
 	s.totalInFlight++
-	if s.ramp(w) < 1 {
+	if s.capacityShare(w) < 1 {
 		w.coldBudget--
 	}
 	if s.onTrial(w.Rel) {
--- a/logic/explain.go
+++ b/logic/explain.go
@@ -19,7 +19,7 @@
 		switch {
 		case w.State != Up:
 			status.Reason = "not up"
-		case s.ramp(w) < 1 && w.coldBudget < 1:
+		case s.capacityShare(w) < 1 && w.coldBudget < 1:
 			status.Reason = "cold, and its budget is used up"
 		case status.Trial && s.exposure[s.exposureIndex(p)] < 1:
 			status.Reason = "on trial, and no exposure is left"
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -128,8 +128,6 @@
 	maxFaultRate = 0.35
 	// faultRateDecay is the factor applied to a worker's fault rate on each success.
 	faultRateDecay = 0.85
-	// slowdownGain is the weight of a response in the slowdown of its worker.
-	slowdownGain = 0.15
 	// maxRelativeTime is the largest ratio of a response time to the expected one that counts in a slowdown.
 	maxRelativeTime = 20.0
 	// probeInterval is the minimum time between probes of an unhealthy worker.
@@ -143,6 +141,8 @@
 	goneWorkerTTL = 60 * Second
 	// crossZoneTimes is the extra factor, per unit of the cross-zone price, on the response times of workers in other zones.
 	crossZoneTimes = 15.0
+	// triedPenalty is the factor on the expected delay of a worker that a txn has been sent to before.
+	triedPenalty = 100.0
 	// maxScannedWorkers is the size of a worker group up to which a pick scans all of it. From a larger group a weighted
 	// sampler draws with the same probabilities.
 	maxScannedWorkers = 64
@@ -159,6 +159,8 @@
 	lateShare = 0.08
 	// limitStep is the relative size of a step of the limit.
 	limitStep = 0.2
+	// rejectedLimitStep is the factor on the limit of a worker that rejects a submission.
+	rejectedLimitStep = 0.8
 	// minLimitFactor and maxLimitFactor bound Sentry.limitFactor.
 	minLimitFactor = 0.1
 	maxLimitFactor = 2.0
@@ -166,6 +168,39 @@
 	initialTimeShare = 0.2
 )
 
+// Smoothing: weights of a new value in a smoothed one. Some smoothed values start as a mean, with a larger weight for each
+// of the first values.
+const (
+	// slowdownGain is the weight of a response in the slowdown of its worker.
+	slowdownGain = 0.15
+	// cohortSlowdownGain is the weight of a response in the slowdown of its cohort.
+	cohortSlowdownGain = 0.03
+	// errorFaultGain is the weight of an error or a malformed response in the fault rate.
+	errorFaultGain = 0.15
+	// disconnectFaultGain is the weight of a lost connection or a failed connect in the fault rate.
+	disconnectFaultGain = 0.4
+	// typicalTimeGain is the weight of a response in the typical time of its product.
+	typicalTimeGain = 0.01
+	// logTimeGain is the weight of a txn in Sentry.logTime and Sentry.logSLA.
+	logTimeGain = 0.03
+	// cohortLogTimeGain is the weight of a response in the log time of its cohort.
+	cohortLogTimeGain = 0.04
+	// logTimeVarianceGain is the weight of a response in Sentry.logTimeVariance.
+	logTimeVarianceGain = 0.02
+	// customerErrorGain and keyErrorGain are the weights of an outcome in the error rates of its customer and its key.
+	customerErrorGain = 0.15
+	keyErrorGain      = 0.1
+	// earlierErrorGain is the weight of an outcome in the error rate of earlier builds.
+	earlierErrorGain = 0.005
+	// usualWorkersGain is the weight of the present number of workers in Sentry.usualWorkers.
+	usualWorkersGain = 0.003
+	// demandGain and settledRateGain are the weights of a tick in Sentry.demand and Sentry.settledRate.
+	demandGain      = 0.03
+	settledRateGain = 0.02
+	// preTrialGain is the weight of a tick in the level and the demand before the trial.
+	preTrialGain = 0.01
+)
+
 // New creates a sentry from the settings, a flat map of names to values.
 func New(now Nanos, seed int64, settings map[string]any, sink Sink) *Sentry {
 	s := &Sentry{config: settings, rng: rand.New(rand.NewSource(seed)), sink: sink, now: now, txnSlots: map[TxnID]int32{},
@@ -230,7 +265,7 @@
 	defer s.rebuildSamplers()
 	upCount, newestCount, usableCapacity, totalCapacity, trialCapacity := 0.0, 0.0, 0.0, 0.0, 0.0
 	for _, w := range s.sortedWorkers {
-		if s.ramp(w) < 1 {
+		if s.capacityShare(w) < 1 {
 			s.coldWorkers = append(s.coldWorkers, w)
 		}
 		if w.State != Up {
@@ -239,12 +274,12 @@
 		upCount, newestCount = upCount+1, newestCount+indicator(w.Rel == s.trial)
 		// Workers of a slow fleet may seem silent for a moment. Only those that have been silent for long are lost capacity.
 		if w.faultRate < maxFaultRate+s.usualFaultRate && (!w.silent || s.now-w.lastResponseAt < lostCapacityAfter) {
-			usableCapacity += s.ramp(w)
+			usableCapacity += s.capacityShare(w)
 		}
-		totalCapacity += s.ramp(w)
+		totalCapacity += s.capacityShare(w)
 		if s.onTrial(w.Rel) {
 			if w.Rel == s.trial {
-				trialCapacity += s.ramp(w)
+				trialCapacity += s.capacityShare(w)
 				s.trialWorkers = append(s.trialWorkers, w)
 			}
 			continue
@@ -256,11 +291,11 @@
 	if s.text("release.style") == "beside" {
 		upCount = max(newestCount, upCount-newestCount)
 	}
-	if s.usualWorkers += (upCount - s.usualWorkers) * 0.003; s.usualWorkers <= 1 {
+	if s.usualWorkers += (upCount - s.usualWorkers) * usualWorkersGain; s.usualWorkers <= 1 {
 		s.usualWorkers = upCount
 	}
 	s.capacityMissing, s.logTimeWeight = usableCapacity < (1-missingCapacityShare)*s.usualWorkers,
-		0.03*indicator(usableCapacity >= (1-missingCapacityShare)*s.usualWorkers)
+		logTimeGain*indicator(usableCapacity >= (1-missingCapacityShare)*s.usualWorkers)
 	s.trialShare, s.baselineShare = 0, 0
 	if len(s.trialWorkers) == 0 || totalCapacity <= 0 {
 		return
@@ -281,7 +316,7 @@
 	s.otherWorkers = s.otherWorkers[:copy(s.otherWorkers, s.otherWorkers[n:])]
 	baselineCapacity := 0.0
 	for _, w := range s.baselineWorkers {
-		baselineCapacity += s.ramp(w)
+		baselineCapacity += s.capacityShare(w)
 	}
 	s.baselineShare = min(s.trialShare, baselineCapacity/totalCapacity)
 }
@@ -300,7 +335,7 @@
 // workerAllowed checks the rules on sending t to w that depend on the worker.
 func (s *Sentry) workerAllowed(t *txn, w *worker) bool {
 	p := &s.products[t.Product]
-	if w.State != Up || s.ramp(w) < 1 && w.coldBudget < 1 { // the grace period of a drain is not used
+	if w.State != Up || s.capacityShare(w) < 1 && w.coldBudget < 1 { // the grace period of a drain is not used
 		return false
 	}
 	for i := 0; i < t.n; i++ {
@@ -361,7 +396,7 @@
 	evenShare := s.settledRate / max(1, s.usualWorkers) * s.num("rules.fall-multiple", 1)
 	half := s.nanos("rules.fall-after", 0) / 2
 	for _, w := range s.coldWorkers {
-		if capacity := s.ramp(w); capacity < 1 {
+		if capacity := s.capacityShare(w); capacity < 1 {
 			if w.coldBudget < 1 {
 				w.coldAvailableSince = s.now
 			} else if s.now-w.coldAvailableSince > half {
@@ -485,7 +520,7 @@
 	near, sum := slices.ContainsFunc(workers, s.near), 0.0
 	eligible := func(w *worker) bool { return s.healthy(w) && (!near || s.near(w)) }
 	for _, w := range workers {
-		sum += s.ramp(w) * indicator(eligible(w))
+		sum += s.capacityShare(w) * indicator(eligible(w))
 	}
 	var best *worker
 	for _, w := range workers {
@@ -495,7 +530,7 @@
 		if !w.inRotation { // starts at random, as many sentries would otherwise all begin with the same worker
 			w.inRotation, w.rotationCredit = true, s.rng.Float64()*sum
 		}
-		w.rotationCredit = min(w.rotationCredit+s.ramp(w), 2*sum)
+		w.rotationCredit = min(w.rotationCredit+s.capacityShare(w), 2*sum)
 		if w.rotationCredit >= 0 && (best == nil || w.rotationCredit > best.rotationCredit) && s.hasRoom(w, t) && s.maySend(t, w) {
 			best = w
 		}
@@ -528,7 +563,7 @@
 
 // delay estimates the response time of w, in expected response times, from this sentry's own submissions.
 func (s *Sentry) delay(w *worker) float64 {
-	return w.slowdown * (1 + float64(w.inFlight)) / s.ramp(w) * (1 + 4*w.faultRate) * w.zoneFactor
+	return w.slowdown * (1 + float64(w.inFlight)) / s.capacityShare(w) * (1 + 4*w.faultRate) * w.zoneFactor
 }
 
 // weight returns the weight with which w is drawn, or 0 if w is unhealthy or cannot have room.
@@ -561,7 +596,7 @@
 				delay = 0
 			}
 			if t.hasTried(w) {
-				delay *= 100
+				delay *= triedPenalty
 			}
 			if delay *= math.Pow(s.rng.ExpFloat64(), s.noise); delay < least {
 				best, least = w, delay
@@ -596,7 +631,7 @@
 	defer s.restoreWeights(sampler)
 	for i := 0; i < t.n; i++ { // workers that t has been sent to are drawn only if hardly any other is possible
 		if w := t.submissions[i].target; w.sampler == sampler && s.weight(w) > 0 {
-			s.overrideWeight(w, raceWeight(100*s.delay(w), s.noise))
+			s.overrideWeight(w, raceWeight(triedPenalty*s.delay(w), s.noise))
 		}
 	}
 	for {
@@ -693,18 +728,18 @@
 			s.scaleLimit(w, 1+limitStep*lateShare)
 		}
 		w.slowdown += slowdownGain * (min(relativeTime, maxRelativeTime) - w.slowdown)
-		w.cohort.slowdown += 0.03 * (min(relativeTime, maxRelativeTime) - w.cohort.slowdown)
+		w.cohort.slowdown += cohortSlowdownGain * (min(relativeTime, maxRelativeTime) - w.cohort.slowdown)
 		timePerWork := float64(o.Elapsed) / float64(max(t.Cost, 1))
 		// While a build is watched the typical time is not updated: it would adapt to a build that slows the fleet.
 		if p.typicalSamples++; p.typicalSamples < 100 || !s.watching {
-			p.typicalTime += max(0.01, 1/float64(p.typicalSamples)) * (timePerWork - p.typicalTime)
+			p.typicalTime += max(typicalTimeGain, 1/float64(p.typicalSamples)) * (timePerWork - p.typicalTime)
 		}
 	case Rejected:
-		s.scaleLimit(w, 0.8)
+		s.scaleLimit(w, rejectedLimitStep)
 	case ErrorResponse, MalformedResponse:
-		w.faultRate += 0.15 * (1 - w.faultRate) * indicator(!s.errorsFollowTxn(t, o.Ending, 0, 0))
+		w.faultRate += errorFaultGain * (1 - w.faultRate) * indicator(!s.errorsFollowTxn(t, o.Ending, 0, 0))
 	case Disconnected, ConnectFailed:
-		w.faultRate += 0.4 * (1 - w.faultRate)
+		w.faultRate += disconnectFaultGain * (1 - w.faultRate)
 	case TimedOut, Cancelled:
 		if o.Elapsed > p.sla {
 			s.scaleLimit(w, 1-limitStep*(1-lateShare))
@@ -714,30 +749,30 @@
 		return
 	}
 	// The trial's times are compared with those of earlier builds at the same moment, which cancels out the load.
-	if warm := s.ramp(w) == 1; warm && (o.Ending == OK || o.Elapsed > Nanos(s.expected(t))) {
+	if warm := s.capacityShare(w) == 1; warm && (o.Ending == OK || o.Elapsed > Nanos(s.expected(t))) {
 		logRatio := math.Log(max(relativeTime, 0.01)) // a cancelled submission took at least this long
 		s.logTimeSamples++
 		s.logTime += max(s.logTimeWeight, indicator(s.logTimeWeight > 0)/s.logTimeSamples) * (logRatio - s.logTime)
-		s.logSLA += max(0.03, 1/s.logTimeSamples) * (math.Log(float64(p.sla)/max(s.expected(t), 1)) - s.logSLA)
+		s.logSLA += max(logTimeGain, 1/s.logTimeSamples) * (math.Log(float64(p.sla)/max(s.expected(t), 1)) - s.logSLA)
 		if c := w.cohort; !s.onTrial(sub.rel) {
 			// Workers that are picked by expected response time answer faster than those of an arm, which are used in
 			// turn. baselineBias corrects for that.
 			if sub.arm == baselineArm {
 				s.baselineBias.add(logRatio - c.logTime)
 			}
-			s.logTimeVariance += 0.02 * ((logRatio-c.logTime)*(logRatio-c.logTime) - s.logTimeVariance)
-			c.logTime, c.updatedAt = c.logTime+0.04*(logRatio-c.logTime), s.now
+			s.logTimeVariance += logTimeVarianceGain * ((logRatio-c.logTime)*(logRatio-c.logTime) - s.logTimeVariance)
+			c.logTime, c.updatedAt = c.logTime+cohortLogTimeGain*(logRatio-c.logTime), s.now
 		} else if s.now-c.updatedAt < 2*Second && 2*len(s.baselineWorkers) >= len(s.trialWorkers) {
 			// When most workers of the earlier build are replaced, the last few of them are no reference.
 			w.relativeTime.add(logRatio - c.logTime)
 		}
 	}
 	// Errors that follow a customer or a key are no evidence against a worker or a build.
-	if s.errorsFollowTxn(t, o.Ending, 0.15, 0.1*indicator(!s.onTrial(sub.rel))) && o.Ending == ErrorResponse {
+	if s.errorsFollowTxn(t, o.Ending, customerErrorGain, keyErrorGain*indicator(!s.onTrial(sub.rel))) && o.Ending == ErrorResponse {
 		return
 	}
 	if !s.onTrial(sub.rel) && sub.rel < s.trial {
-		s.earlierErrorRate += 0.005 * (indicator(o.Ending == ErrorResponse) - s.earlierErrorRate)
+		s.earlierErrorRate += earlierErrorGain * (indicator(o.Ending == ErrorResponse) - s.earlierErrorRate)
 	}
 	if sub.rel == s.trial && (o.Ending == OK || o.Ending == ErrorResponse) {
 		s.ownEvidence.trialResponses++
@@ -764,7 +799,7 @@
 	// A cold worker is late because it is cold, so only errors count against it. A submission that is cancelled or times out
 	// within twice the SLA time, such as for an impatient client, does not prove that the worker is late.
 	if o.Ending == ConnectFailed || (o.Ending == Cancelled || o.Ending == TimedOut) && o.Elapsed <= 2*p.sla ||
-		!success && o.Ending != ErrorResponse && s.ramp(w) < 1 {
+		!success && o.Ending != ErrorResponse && s.capacityShare(w) < 1 {
 		return
 	}
 	// Trial outcomes expire, as those of an incident would otherwise be paired with baseline outcomes from after its end.
@@ -779,9 +814,9 @@
 // errorsFollowTxn reports whether errors are attributed to the txn's customer or, by the error rate at earlier builds, to
 // its key, rather than to the worker or build. It first counts the ending with the given weights. Failing workers affect
 // all customers, so the error rate of a customer has to be far above the lowest one.
-func (s *Sentry) errorsFollowTxn(t *txn, e Ending, customer, key float64) bool {
-	byCustomer, byKey, least := s.trackErrors(t, e, customer, key)
-	return t.Key != 0 && byKey > followShare || byCustomer > followShare/2 && byCustomer > 3*least
+func (s *Sentry) errorsFollowTxn(t *txn, e Ending, customerWeight, keyWeight float64) bool {
+	byCustomer, byKey, lowest := s.trackErrors(t, e, customerWeight, keyWeight)
+	return t.Key != 0 && byKey > followShare || byCustomer > followShare/2 && byCustomer > 3*lowest
 }
 
 // countLoss adds weight to the losses of w and to count, a field of ownEvidence. Losses of w within burstWindow of the last
@@ -811,8 +846,8 @@
 // tick runs the periodic work: it detects silent workers, updates rates and health, and decides on a vote.
 func (s *Sentry) tick() {
 	s.ticks++
-	s.demand += (float64(s.tickTaken-s.tickGivenUp)/(float64(tickInterval)/float64(Second)) - s.demand) * max(0.03, 1/s.ticks)
-	s.settledRate += (float64(s.tickSettled)/(float64(tickInterval)/float64(Second)) - s.settledRate) * max(0.02, 1/s.ticks)
+	s.demand += (float64(s.tickTaken-s.tickGivenUp)/(float64(tickInterval)/float64(Second)) - s.demand) * max(demandGain, 1/s.ticks)
+	s.settledRate += (float64(s.tickSettled)/(float64(tickInterval)/float64(Second)) - s.settledRate) * max(settledRateGain, 1/s.ticks)
 	s.tickTaken, s.tickGivenUp, s.tickSettled = 0, 0, 0
 	for slot := range s.slab {
 		t := &s.slab[slot]
@@ -835,7 +870,7 @@
 	s.totalLimit, s.limitFactor = 0, s.limitFactor+healthDecay*(1-s.limitFactor)
 	for _, w := range s.sortedWorkers {
 		if w.State == Up && s.healthy(w) {
-			s.totalLimit += w.limit * s.limitFactor * s.ramp(w)
+			s.totalLimit += w.limit * s.limitFactor * s.capacityShare(w)
 		}
 		upCount, faultSum = upCount+indicator(w.State == Up), faultSum+min(w.faultRate, maxFaultRate)*indicator(w.State == Up)
 		// Health returns to normal over time. Otherwise a worker that gets no more txns after one bad moment would remain
@@ -1025,8 +1060,8 @@
 	s.watching = onTrial || justReleased
 	if !s.watching || s.logTimeSamples < minTimeSamples {
 		s.preTrialTicks++
-		s.preTrialLogTime += max(0.01, 1/s.preTrialTicks) * (s.logTime - s.preTrialLogTime)
-		s.preTrialDemand += max(0.01, 1/s.preTrialTicks) * (s.demand - s.preTrialDemand)
+		s.preTrialLogTime += max(preTrialGain, 1/s.preTrialTicks) * (s.logTime - s.preTrialLogTime)
+		s.preTrialDemand += max(preTrialGain, 1/s.preTrialTicks) * (s.demand - s.preTrialDemand)
 	}
 	s.fleetSlowdown = s.logTime - s.preTrialLogTime
 	// Missing capacity, due to gone, unhealthy or cold workers, or a surge of demand slows the fleet through no fault of the
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -507,7 +507,7 @@
 	t.Run("a new process under an old id is cold", func(t *testing.T) {
 		h := newHarness(3, 0, 0)
 		h.UpdateWorkers(h.clock, Changes, []Worker{{ID: "old01", Rel: 1, Start: h.clock}})
-		want(t, "cold", h.ramp(h.workers["old01"]) < 1, true)
+		want(t, "cold", h.capacityShare(h.workers["old01"]) < 1, true)
 	})
 }
 
--- a/logic/state.go
+++ b/logic/state.go
@@ -510,8 +510,8 @@
 	}
 }
 
-// ramp returns the present capacity of a worker as a share of its full capacity; it is below 1 while the worker is cold.
-func (s *Sentry) ramp(w *worker) float64 {
+// capacityShare returns the present capacity of a worker as a share of its full capacity; it is below 1 while the worker is cold.
+func (s *Sentry) capacityShare(w *worker) float64 {
 	if w.Start <= 0 {
 		return 1
 	}
@@ -540,17 +540,17 @@
 func (s *Sentry) ClientLeft(now Nanos, id TxnID) { s.endTxn(now, id, 0) }
 
 // trackErrors counts an ending, with the given weights, in the smoothed error rates of t's customer and key. It returns
-// both rates and the lowest rate of any customer.
-func (s *Sentry) trackErrors(t *txn, e Ending, customer, key float64) (byCustomer, byKey, least float64) {
-	c, k := &s.errorRates[int(t.Customer)%customerErrorRates], &s.errorRates[customerErrorRates+t.Key%keyErrorRates]
+// both rates and the lowest rate of any customer; with fewer than two customers, the rates of customers are 0.
+func (s *Sentry) trackErrors(t *txn, e Ending, customerWeight, keyWeight float64) (byCustomer, byKey, lowest float64) {
+	customerRate, keyRate := &s.errorRates[int(t.Customer)%customerErrorRates], &s.errorRates[customerErrorRates+t.Key%keyErrorRates]
 	if e == OK || e == ErrorResponse {
-		*c += customer * (indicator(e == ErrorResponse) - *c)
-		*k += key * (indicator(e == ErrorResponse) - *k)
+		*customerRate += customerWeight * (indicator(e == ErrorResponse) - *customerRate)
+		*keyRate += keyWeight * (indicator(e == ErrorResponse) - *keyRate)
 	}
 	if rates := s.errorRates[1:min(customerErrorRates, 1+int(s.num("customers.count", 0)))]; len(rates) > 1 {
-		return *c, *k, slices.Min(rates)
+		return *customerRate, *keyRate, slices.Min(rates)
 	}
-	return 0, *k, 0
+	return 0, *keyRate, 0
 }
 
 // collectTimed sets timedWorkers to the workers of the newest build that have response times.
--- a/pgwire/front.go
+++ b/pgwire/front.go
@@ -75,7 +75,8 @@
 	gssEncRequestCode = 80877104
 )
 
-// parseStartup parses a message that may precede the first query: a start-up message, an encryption request or a cancel request.
+// parseStartup parses a message that may precede the first query: a start-up message, an encryption request or a cancel
+// request.
 func (f *FrontendParser) parseStartup(in []byte) (size int, request Request, text []byte, err error) {
 	if len(in) > 0 && in[0] != 0 { // a length of 16 MB or more: the client speaks another protocol
 		return 0, 0, nil, violation("this is no start-up message")
