--- a/lab/day.go
+++ b/lab/day.go
@@ -17,7 +17,7 @@
 // Product is a kind of txn of a day.
 type Product struct {
 	Name             string
-	Share            float64       // of the txns
+	Share            float64       // of the day's txns
 	MeanWork         time.Duration // on a core of speed 1
 	SLA              time.Duration
 	Expiry           time.Duration
@@ -45,7 +45,7 @@
 	Targets   []int   // indexes of replicas or edges; if empty, Count random ones are chosen
 	Count     int     // number of random targets
 	Magnitude float64 // the (size ...) of the fault; its meaning depends on Kind
-	Extra     float64 // accepted in a day's file and unused
+	Extra     float64 // accepted in a day's file, but has no effect
 }
 
 // faultKinds describes each kind of fault in terms of its settings.
@@ -84,11 +84,11 @@
 	WorkCV      float64       // coefficient of variation of a txn's work
 	BootTime    time.Duration // from the decision to start a machine until it serves
 	Products    []Product
-	Rate        float64 // txns a second
-	Keys        int     // number of distinct keys
-	Retries     int     // maximum retries of a txn by its client
-	Backoff     time.Duration
-	MinPatience float64 // minimum share of the expiry that a client waits
+	Rate        float64       // txns a second
+	Keys        int           // number of distinct keys
+	Retries     int           // maximum retries of a txn by its client
+	Backoff     time.Duration // between two tries of a txn
+	MinPatience float64       // minimum share of the expiry that a client waits
 
 	// Settings of the platform and the rollout.
 
@@ -96,16 +96,16 @@
 	CapFactor       float64       // ratio of a stage's cap to its share
 	BakeTime        time.Duration // minimum length of a stage once its machines run
 	VoteRule        string        // single, majority or clocked
-	OnVotesNeeded   int
+	OnVotesNeeded   int           // sentries voting on that end a stage, under majority
 	HoldVotesNeeded int           // sentries voting hold that stop the stage's clock, under clocked
 	StageTime       time.Duration // of a stage, under clocked
-	BackVotesNeeded int
-	RolloutStyle    string        // in-place replaces machines; beside keeps the old ones until the release
-	ExposureScope   string        // whether the cap counts the txns of all products together, or each product's
+	BackVotesNeeded int           // sentries voting back that make the build go back, unless under single
+	RolloutStyle    string        // in-place: new workers replace old ones; beside: old ones run until the release
+	ExposureScope   string        // all: the cap applies to all products together; product: to each product
 	ExposureWindow  time.Duration // the cap applies to txns within this time
 	FreeSubmissions float64       // submissions within ExposureWindow that are allowed beyond the cap
-	OneWayKeys      bool          // once the new build has answered a key, older builds may not receive that key
-	GuardedStages   int           // first stages in which the new build receives inquiry-like txns only
+	OneWayKeys      bool          // a key that the new build has answered must not be sent to older builds
+	GuardedStages   int           // number of first stages in which the new build receives inquiry-like txns only
 	PushInterval    time.Duration // between repeats of an unchanged release state
 
 	ReleaseUpdateDelay time.Duration // until edges receive a change of the release
@@ -114,7 +114,7 @@
 	TallyInterval      time.Duration // between tallies of the workers; 0 disables them
 	TallySampleShare   float64       // share of the txns that tallies count
 	WrongReportShare   float64       // share of wrong answers that clients report
-	WrongReportDelay   time.Duration
+	WrongReportDelay   time.Duration // from a wrong answer until its report
 	DrainTime          time.Duration // from the start of a machine's drain until it stops
 	DrainGrace         time.Duration // after an edge receives a drain, in which it may still send to the machine
 	PeerMessages       bool          // whether sentries exchange messages
@@ -140,51 +140,51 @@
 	return readDay(r)
 }
 
-// maxDuration is the maximum length of a day, and of times within it.
+// maxDuration limits the length of a day and the times within it.
 const maxDuration = 24 * time.Hour
 
 // readDay reads and validates a day.
 func readDay(r *config.Reader) (*Day, error) {
-	f := r.Root().RequireField("day")
+	form := r.Root().RequireField("day")
 	r.Root().RejectUnknown()
-	d := &Day{Name: f.TakeName("a day's name")}
-	d.Seed = f.Int("seed", 1, 0, math.MaxInt64)
-	f.RequireField("length")
-	d.Length = f.Duration("length", time.Minute, time.Second, maxDuration)
-	s := f.OptionalField("sentries")
-	d.Sentries = int(s.Int("processes", 1, 1, 32))
-	d.Loops = int(s.Int("loops", 1, 1, 8))
-	d.PeerMessages = s.Bool("messages", false)
-	if d.EdgeWeights = s.Floats("weights", 0.001, 1000); len(d.EdgeWeights) > 0 && len(d.EdgeWeights) != d.Sentries {
-		s.AddError(fmt.Sprintf("%d weights", len(d.EdgeWeights)), fmt.Sprintf("one for each of %d processes", d.Sentries))
+	d := &Day{Name: form.TakeName("a day's name")}
+	d.Seed = form.Int("seed", 1, 0, math.MaxInt64)
+	form.RequireField("length")
+	d.Length = form.Duration("length", time.Minute, time.Second, maxDuration)
+	sentriesForm := form.OptionalField("sentries")
+	d.Sentries = int(sentriesForm.Int("processes", 1, 1, 32))
+	d.Loops = int(sentriesForm.Int("loops", 1, 1, 8))
+	d.PeerMessages = sentriesForm.Bool("messages", false)
+	if d.EdgeWeights = sentriesForm.Floats("weights", 0.001, 1000); len(d.EdgeWeights) > 0 && len(d.EdgeWeights) != d.Sentries {
+		sentriesForm.AddError(fmt.Sprintf("%d weights", len(d.EdgeWeights)), fmt.Sprintf("one for each of %d processes", d.Sentries))
 	}
-	s.RejectUnknown()
-	m := f.RequireField("fleet")
-	d.Machines = int(m.Int("machines", 8, 1, 200))
-	d.MachineKind = fleet.Kind{Cores: int(m.Int("cores", 2, 1, 256)), Slots: int(m.Int("slots", 32, 1, 100000)),
-		ColdStartCapacity: m.Float("cold-from", 0.3, 0.01, 1), WarmUp: fleet.Nanos(m.Duration("cold", 3*time.Second, 0, time.Hour)),
-		OverloadMultiple: m.Float("fall-multiple", 3, 0, 1000), OverloadWindow: fleet.Nanos(m.Duration("fall-after", time.Second, 0, time.Hour)),
-		StopsOnCancel: m.Bool("cancel-stops", true), BaseErrorRate: m.Float("base-errors", 0.0005, 0, 1),
-		ReportInterval: fleet.Nanos(m.Duration("report-every", 300*time.Millisecond, 0, time.Hour)),
-		ReportNoise:    m.Float("report-noise", 0.03, 0, 1)}
-	d.MinSpeed, d.MaxSpeed = m.Float("speed-low", 0.9, 0.01, 100), m.Float("speed-high", 1.1, 0.01, 100)
+	sentriesForm.RejectUnknown()
+	fleetForm := form.RequireField("fleet")
+	d.Machines = int(fleetForm.Int("machines", 8, 1, 200))
+	d.MachineKind = fleet.Kind{Cores: int(fleetForm.Int("cores", 2, 1, 256)), Slots: int(fleetForm.Int("slots", 32, 1, 100000)),
+		ColdStartCapacity: fleetForm.Float("cold-from", 0.3, 0.01, 1), WarmUp: fleet.Nanos(fleetForm.Duration("cold", 3*time.Second, 0, time.Hour)),
+		OverloadMultiple: fleetForm.Float("fall-multiple", 3, 0, 1000), OverloadWindow: fleet.Nanos(fleetForm.Duration("fall-after", time.Second, 0, time.Hour)),
+		StopsOnCancel: fleetForm.Bool("cancel-stops", true), BaseErrorRate: fleetForm.Float("base-errors", 0.0005, 0, 1),
+		ReportInterval: fleet.Nanos(fleetForm.Duration("report-every", 300*time.Millisecond, 0, time.Hour)),
+		ReportNoise:    fleetForm.Float("report-noise", 0.03, 0, 1)}
+	d.MinSpeed, d.MaxSpeed = fleetForm.Float("speed-low", 0.9, 0.01, 100), fleetForm.Float("speed-high", 1.1, 0.01, 100)
 	if d.MinSpeed > d.MaxSpeed {
-		m.AddError(fmt.Sprintf("(speed-low %g)", d.MinSpeed), fmt.Sprintf("at most (speed-high %g)", d.MaxSpeed))
+		fleetForm.AddError(fmt.Sprintf("(speed-low %g)", d.MinSpeed), fmt.Sprintf("at most (speed-high %g)", d.MaxSpeed))
 	}
-	d.WorkCV = m.Float("work-cv", 0.6, 0, 5)
-	d.BootTime = m.Duration("boot", 800*time.Millisecond, 0, time.Hour)
-	m.RejectUnknown()
-	d.readProducts(f)
-	t := f.RequireField("traffic")
-	d.Rate = t.Float("rate", 100, 0.1, 1e6)
-	d.Keys = int(t.Int("keys", 2000, 1, 1e7))
-	d.Retries = int(t.Int("retries", 1, 0, 10))
-	d.Backoff = t.Duration("backoff", 50*time.Millisecond, 0, time.Minute)
-	d.MinPatience = t.Float("patience", 0.6, 0.05, 1)
-	t.RejectUnknown()
-	d.readPlatform(f)
-	d.readScript(f)
-	f.RejectUnknown()
+	d.WorkCV = fleetForm.Float("work-cv", 0.6, 0, 5)
+	d.BootTime = fleetForm.Duration("boot", 800*time.Millisecond, 0, time.Hour)
+	fleetForm.RejectUnknown()
+	d.readProducts(form)
+	trafficForm := form.RequireField("traffic")
+	d.Rate = trafficForm.Float("rate", 100, 0.1, 1e6)
+	d.Keys = int(trafficForm.Int("keys", 2000, 1, 1e7))
+	d.Retries = int(trafficForm.Int("retries", 1, 0, 10))
+	d.Backoff = trafficForm.Duration("backoff", 50*time.Millisecond, 0, time.Minute)
+	d.MinPatience = trafficForm.Float("patience", 0.6, 0.05, 1)
+	trafficForm.RejectUnknown()
+	d.readPlatform(form)
+	d.readScript(form)
+	form.RejectUnknown()
 	if err := r.Err(); err != nil {
 		return nil, err
 	}
@@ -192,79 +192,79 @@
 }
 
 // readProducts reads the (product ...) forms, whose shares must sum to 1.
-func (d *Day) readProducts(f *config.Form) {
+func (d *Day) readProducts(form *config.Form) {
 	sum := 0.0
-	for _, p := range f.Fields("product") {
-		x := Product{Name: p.TakeName("a product's name"), Share: p.Float("share", 1, 0, 1),
-			MeanWork: p.Duration("work", 20*time.Millisecond, 0, time.Minute), SLA: p.Duration("sla", 300*time.Millisecond, time.Millisecond, time.Hour),
-			Expiry:      p.Duration("expiry", time.Second, time.Millisecond, time.Hour),
-			Effect:      p.OneOf("effect", "inquiry-like", "inquiry-like", "referenced", "once-only"),
-			DedupMemory: p.Duration("memory", 0, 0, time.Hour), Revenue: p.Float("revenue", 1, 0, 1e6),
-			LateRevenueShare: p.Float("late-revenue", 0, 0, 1), BodyBytes: int(p.Bytes("body", 0, 0, 1<<20))}
-		if x.Effect == "referenced" && x.DedupMemory == 0 {
-			p.RequireField("memory")
+	for _, productForm := range form.Fields("product") {
+		product := Product{Name: productForm.TakeName("a product's name"), Share: productForm.Float("share", 1, 0, 1),
+			MeanWork: productForm.Duration("work", 20*time.Millisecond, 0, time.Minute), SLA: productForm.Duration("sla", 300*time.Millisecond, time.Millisecond, time.Hour),
+			Expiry:      productForm.Duration("expiry", time.Second, time.Millisecond, time.Hour),
+			Effect:      productForm.OneOf("effect", "inquiry-like", "inquiry-like", "referenced", "once-only"),
+			DedupMemory: productForm.Duration("memory", 0, 0, time.Hour), Revenue: productForm.Float("revenue", 1, 0, 1e6),
+			LateRevenueShare: productForm.Float("late-revenue", 0, 0, 1), BodyBytes: int(productForm.Bytes("body", 0, 0, 1<<20))}
+		if product.Effect == "referenced" && product.DedupMemory == 0 {
+			productForm.RequireField("memory")
 		}
-		p.RejectUnknown()
-		sum += x.Share
-		d.Products = append(d.Products, x)
+		productForm.RejectUnknown()
+		sum += product.Share
+		d.Products = append(d.Products, product)
 	}
 	if len(d.Products) == 0 {
-		f.RequireField("product")
+		form.RequireField("product")
 		return
 	}
 	if math.Abs(sum-1) > 0.005 {
-		f.AddError(fmt.Sprintf("shares of products that sum to %.3f", sum), "shares that sum to 1")
+		form.AddError(fmt.Sprintf("shares of products that sum to %.3f", sum), "shares that sum to 1")
 	}
 }
 
 // readPlatform reads the settings of the platform and the rollout.
-func (d *Day) readPlatform(f *config.Form) {
-	p := f.RequireField("platform")
-	d.StageShares = p.Floats("stages", 0.001, 1)
-	p.RequireField("stages")
+func (d *Day) readPlatform(form *config.Form) {
+	platformForm := form.RequireField("platform")
+	d.StageShares = platformForm.Floats("stages", 0.001, 1)
+	platformForm.RequireField("stages")
 	for i := 1; i < len(d.StageShares); i++ {
 		if d.StageShares[i] <= d.StageShares[i-1] {
-			p.AddError(fmt.Sprintf("stage %g after %g", d.StageShares[i], d.StageShares[i-1]), "stages that rise")
+			platformForm.AddError(fmt.Sprintf("stage %g after %g", d.StageShares[i], d.StageShares[i-1]), "stages that rise")
 		}
 	}
-	d.CapFactor = p.Float("slack", 1.3, 1, 10)
-	d.BakeTime = p.Duration("bake", 2*time.Second, 0, time.Hour)
-	d.VoteRule = p.OneOf("votes", "single", "single", "majority", "clocked")
-	d.OnVotesNeeded = int(p.Int("need-on", 1, 1, 1000))
-	d.BackVotesNeeded = int(p.Int("need-back", 1, 1, 1000))
-	d.HoldVotesNeeded = int(p.Int("need-hold", 1, 1, 1000))
-	d.StageTime = p.Duration("stage-time", 3*time.Second, 0, time.Hour)
-	d.TallyInterval = p.Duration("tally-every", 0, 0, time.Hour)
-	d.TallySampleShare = p.Float("tally-sample", 0.2, 0, 1)
-	d.RolloutStyle = p.OneOf("style", "in-place", "in-place", "beside")
-	d.ExposureScope = p.OneOf("counts", "all", "all", "product")
-	d.ExposureWindow = p.Duration("window", 6*time.Second, time.Millisecond, time.Hour)
-	d.FreeSubmissions = p.Float("free", 3, 0, 1e6)
-	d.OneWayKeys = p.Bool("one-way", false)
-	d.GuardedStages = int(p.Int("guarded-stages", 0, 0, 100))
-	d.PushInterval = p.Duration("push", 2*time.Second, 10*time.Millisecond, time.Hour)
-	d.ReleaseUpdateDelay = p.Duration("news-late", 200*time.Millisecond, 0, time.Minute)
-	d.WorkerListDelay = p.Duration("list-late", 200*time.Millisecond, 0, time.Minute)
-	d.VotesPerSecond = p.Float("votes-per-second", 20, 0.1, 1e6)
-	d.WrongReportShare = p.Float("flags", 0.3, 0, 1)
-	d.WrongReportDelay = p.Duration("flags-late", time.Second, 0, time.Minute)
-	d.DrainTime = p.Duration("drain", 2*time.Second, 0, time.Hour)
-	d.DrainGrace = p.Duration("grace", 500*time.Millisecond, 0, time.Hour)
-	p.RejectUnknown()
+	d.CapFactor = platformForm.Float("slack", 1.3, 1, 10)
+	d.BakeTime = platformForm.Duration("bake", 2*time.Second, 0, time.Hour)
+	d.VoteRule = platformForm.OneOf("votes", "single", "single", "majority", "clocked")
+	d.OnVotesNeeded = int(platformForm.Int("need-on", 1, 1, 1000))
+	d.BackVotesNeeded = int(platformForm.Int("need-back", 1, 1, 1000))
+	d.HoldVotesNeeded = int(platformForm.Int("need-hold", 1, 1, 1000))
+	d.StageTime = platformForm.Duration("stage-time", 3*time.Second, 0, time.Hour)
+	d.TallyInterval = platformForm.Duration("tally-every", 0, 0, time.Hour)
+	d.TallySampleShare = platformForm.Float("tally-sample", 0.2, 0, 1)
+	d.RolloutStyle = platformForm.OneOf("style", "in-place", "in-place", "beside")
+	d.ExposureScope = platformForm.OneOf("counts", "all", "all", "product")
+	d.ExposureWindow = platformForm.Duration("window", 6*time.Second, time.Millisecond, time.Hour)
+	d.FreeSubmissions = platformForm.Float("free", 3, 0, 1e6)
+	d.OneWayKeys = platformForm.Bool("one-way", false)
+	d.GuardedStages = int(platformForm.Int("guarded-stages", 0, 0, 100))
+	d.PushInterval = platformForm.Duration("push", 2*time.Second, 10*time.Millisecond, time.Hour)
+	d.ReleaseUpdateDelay = platformForm.Duration("news-late", 200*time.Millisecond, 0, time.Minute)
+	d.WorkerListDelay = platformForm.Duration("list-late", 200*time.Millisecond, 0, time.Minute)
+	d.VotesPerSecond = platformForm.Float("votes-per-second", 20, 0.1, 1e6)
+	d.WrongReportShare = platformForm.Float("flags", 0.3, 0, 1)
+	d.WrongReportDelay = platformForm.Duration("flags-late", time.Second, 0, time.Minute)
+	d.DrainTime = platformForm.Duration("drain", 2*time.Second, 0, time.Hour)
+	d.DrainGrace = platformForm.Duration("grace", 500*time.Millisecond, 0, time.Hour)
+	platformForm.RejectUnknown()
 }
 
-// readScript reads the offers and faults and sorts them by time.
-func (d *Day) readScript(f *config.Form) {
-	for _, o := range f.Fields("offer") {
-		x := Offer{At: o.Duration("at", 0, 0, maxDuration), Strength: o.Float("strength", 0, 0, 100), Product: o.Text("product", ""),
-			Speed: o.Float("speed", 1, 0.01, 100),
-			Flaw: fleet.Flaw(o.OneOf("flaw", "good", "good", "errors", "slow", "product", "load", "late", "wrong",
+// readScript reads the (offer ...) and (trouble ...) forms and sorts them by time.
+func (d *Day) readScript(form *config.Form) {
+	for _, offerForm := range form.Fields("offer") {
+		offer := Offer{At: offerForm.Duration("at", 0, 0, maxDuration), Strength: offerForm.Float("strength", 0, 0, 100), Product: offerForm.Text("product", ""),
+			Speed: offerForm.Float("speed", 1, 0.01, 100),
+			Flaw: fleet.Flaw(offerForm.OneOf("flaw", "good", "good", "errors", "slow", "product", "load", "late", "wrong",
 				"slows-all"))}
-		if x.Flaw == fleet.OneProduct && d.productIndex(x.Product) < 0 {
-			o.AddError(strconv.Quote(x.Product), "(product ...) with the name of one")
+		if offer.Flaw == fleet.OneProduct && d.productIndex(offer.Product) < 0 {
+			offerForm.AddError(strconv.Quote(offer.Product), "(product ...) with the name of one")
 		}
-		o.RejectUnknown()
-		d.Offers = append(d.Offers, x)
+		offerForm.RejectUnknown()
+		d.Offers = append(d.Offers, offer)
 	}
 	sort.SliceStable(d.Offers, func(i, j int) bool { return d.Offers[i].At < d.Offers[j].At })
 	var kinds []string
@@ -272,17 +272,17 @@
 		kinds = append(kinds, k)
 	}
 	sort.Strings(kinds)
-	for _, g := range f.Fields("trouble") {
-		x := Fault{Kind: g.TakeName("a kind of trouble"), At: g.Duration("at", 0, 0, maxDuration), Duration: g.Duration("for", 5*time.Second, 0, maxDuration),
-			Count: int(g.Int("many", 1, 0, 1000)), Magnitude: g.Float("size", 0, 0, 1000), Extra: g.Float("extra", 0, 0, 1000)}
-		if faultKinds[x.Kind] == "" {
-			g.AddError(strconv.Quote(x.Kind), "one of "+strings.Join(kinds, ", "))
+	for _, faultForm := range form.Fields("trouble") {
+		fault := Fault{Kind: faultForm.TakeName("a kind of trouble"), At: faultForm.Duration("at", 0, 0, maxDuration), Duration: faultForm.Duration("for", 5*time.Second, 0, maxDuration),
+			Count: int(faultForm.Int("many", 1, 0, 1000)), Magnitude: faultForm.Float("size", 0, 0, 1000), Extra: faultForm.Float("extra", 0, 0, 1000)}
+		if faultKinds[fault.Kind] == "" {
+			faultForm.AddError(strconv.Quote(fault.Kind), "one of "+strings.Join(kinds, ", "))
 		}
-		for _, n := range g.Floats("on", 0, 1000) {
-			x.Targets = append(x.Targets, int(n))
+		for _, n := range faultForm.Floats("on", 0, 1000) {
+			fault.Targets = append(fault.Targets, int(n))
 		}
-		g.RejectUnknown()
-		d.Faults = append(d.Faults, x)
+		faultForm.RejectUnknown()
+		d.Faults = append(d.Faults, fault)
 	}
 	sort.SliceStable(d.Faults, func(i, j int) bool { return d.Faults[i].At < d.Faults[j].At })
 }
@@ -313,11 +313,11 @@
 
 // stageCaps returns the cap of each stage.
 func (d *Day) stageCaps() []float64 {
-	out := make([]float64, len(d.StageShares))
-	for i, s := range d.StageShares {
-		out[i] = min(1, s*d.CapFactor)
+	caps := make([]float64, len(d.StageShares))
+	for i, share := range d.StageShares {
+		caps[i] = min(1, share*d.CapFactor)
 	}
-	return out
+	return caps
 }
 
 // EdgeSettings returns the text of the settings file of edge i, as an operator would write it for this day.
