--- a/lab/run.go
+++ b/lab/run.go
@@ -25,9 +25,9 @@
 	Edge func(settingsPath string) *exec.Cmd // returns the command that runs one edge
 	Live func(Snapshot)                      // called once a second; may be nil
 
-	// beforeEdges, if set, is called once the platform serves and before the first edge starts.
+	// beforeEdges, if not nil, is called after the platform has started to serve and before the first edge starts.
 	beforeEdges func(r *run)
-	// stateHook, if set, is called in each state of the platform from the start of the day on.
+	// stateHook, if not nil, is called whenever the platform enters a state, from the start of the day on.
 	stateHook func(r *run, state string)
 }
 
@@ -57,13 +57,13 @@
 	logFile      *os.File
 	incarnation  int // index of the current incarnation in Record.Incarnations
 	endpoint     *edgeEndpoint
-	stopped      bool
+	stopped      bool // whether the process has been sent a signal to stop
 }
 
 // run is one run of a day.
 type run struct {
 	*Runner
-	startTime  time.Time
+	startTime  time.Time    // when the run started, before its edges
 	dayOffset  atomic.Int64 // from startTime to the start of the day, in nanoseconds
 	rec        *Record
 	fleet      *workerFleet
@@ -76,30 +76,34 @@
 	listFileMu sync.Mutex // guards the list file
 }
 
-var runCount atomic.Int64 // runs started by this process; gives each run its own address
+// runCount counts the runs that this process has started. It gives each run its own address.
+var runCount atomic.Int64
+
+// crashDetectionTime is the time that the platform takes to notice that a worker has crashed.
+const crashDetectionTime = 500 * time.Millisecond
 
 // now returns the time since the start of the day.
 func (r *run) now() runTime { return time.Since(r.startTime) - time.Duration(r.dayOffset.Load()) }
 
-// Run runs the day and returns its record. An error means that the run failed, not that a rule was violated.
-func (q *Runner) Run(ctx context.Context) (*Record, error) {
-	if err := os.MkdirAll(q.Out, 0o755); err != nil {
+// Run runs the day and returns its record. An error means that the run failed; violated rules are not an error.
+func (runner *Runner) Run(ctx context.Context) (*Record, error) {
+	if err := os.MkdirAll(runner.Out, 0o755); err != nil {
 		return nil, fmt.Errorf("lab: %w", err)
 	}
-	r := &run{Runner: q, startTime: time.Now(), rec: &Record{}, quit: make(chan struct{}), rng: rand.New(rand.NewSource(q.Day.Seed + 7))}
-	// Each run uses its own loopback address, so that connections of other runs do not occupy its ports.
+	r := &run{Runner: runner, startTime: time.Now(), rec: &Record{}, quit: make(chan struct{}), rng: rand.New(rand.NewSource(runner.Day.Seed + 7))}
+	// Each run has its own loopback address, so that connections of other runs do not occupy its ports.
 	id := os.Getpid() + int(runCount.Add(1))<<12
 	host := fmt.Sprintf("127.%d.%d.%d", 32+id>>14&63, id>>7&127, 1+id&127)
-	r.fleet = newWorkerFleet(q.Day, r.rec, r.now, host)
-	r.platform = newPlatform(q.Day, r.rec, r.fleet, r.now)
-	r.clients = newClients(q.Day, r.rec, r.now, r.platform.reportWrongAnswer)
+	r.fleet = newWorkerFleet(runner.Day, r.rec, r.now, host)
+	r.platform = newPlatform(runner.Day, r.rec, r.fleet, r.now)
+	r.clients = newClients(runner.Day, r.rec, r.now, r.platform.reportWrongAnswer)
 	defer r.fleet.close()
 	if err := r.platform.start(host); err != nil {
 		return nil, err
 	}
 	defer r.platform.close()
-	if q.beforeEdges != nil {
-		q.beforeEdges(r)
+	if runner.beforeEdges != nil {
+		runner.beforeEdges(r)
 	}
 	defer r.stopEdges()
 	if err := r.startEdges(ctx, host); err != nil {
@@ -107,14 +111,14 @@
 	}
 	// The day starts when all edges serve.
 	r.beginDay()
-	if q.stateHook != nil {
+	if runner.stateHook != nil {
 		r.platform.mu.Lock()
-		r.platform.stateHook = func(state string) { q.stateHook(r, state) }
+		r.platform.stateHook = func(state string) { runner.stateHook(r, state) }
 		r.platform.runStateHook()
 		r.platform.mu.Unlock()
 	}
 	r.group.Go(r.scheduleFaults)
-	if q.Live != nil {
+	if runner.Live != nil {
 		r.group.Go(r.reportProgress)
 	}
 	done := make(chan struct{})
@@ -134,7 +138,7 @@
 	return r.rec, err
 }
 
-// beginDay makes the current moment the start of the day, and moves everything recorded during start-up to it.
+// beginDay sets the start of the day to the current time, and the times of everything recorded during start-up to 0.
 func (r *run) beginDay() {
 	r.platform.mu.Lock()
 	defer r.platform.mu.Unlock()
@@ -255,7 +259,7 @@
 		case <-t.C:
 		}
 	}
-	text, _ := os.ReadFile(p.logFile.Name()) // quoted in the error, since a test's directory is removed with the log
+	text, _ := os.ReadFile(p.logFile.Name()) // quoted in the error, because a test removes its directory with the log
 	return fmt.Errorf("edge %d was not ready within %v; its log %s ends: %s", p.index, timeout, p.logFile.Name(), text[max(0, len(text)-600):])
 }
 
@@ -299,7 +303,7 @@
 	}
 }
 
-// sleepUntil waits until a moment of the day. It returns false if the run ends first.
+// sleepUntil waits until a time of the day. It returns false if the run ends first.
 func (r *run) sleepUntil(until runTime) bool {
 	t := time.NewTimer(max(0, until-r.now()))
 	defer t.Stop()
@@ -313,21 +317,21 @@
 
 // scheduleFaults starts a goroutine for each fault of the day, which injects it at its time.
 func (r *run) scheduleFaults() {
-	for _, f := range r.Day.Faults {
-		f := f
+	for _, fault := range r.Day.Faults {
+		fault := fault
 		var targets []int
 		candidates := r.Day.Machines
-		if f.Kind == "sentry-kill" || f.Kind == "sentry-roll" {
+		if fault.Kind == "sentry-kill" || fault.Kind == "sentry-roll" {
 			candidates = r.Day.Sentries
 		}
-		if targets = f.Targets; len(targets) == 0 {
-			targets = r.rng.Perm(candidates)[:min(f.Count, candidates)]
+		if targets = fault.Targets; len(targets) == 0 {
+			targets = r.rng.Perm(candidates)[:min(fault.Count, candidates)]
 		}
 		r.group.Go(func() {
-			if r.sleepUntil(f.At) {
-				r.platform.logEvent("%s begins: %v for %v, size %g", f.Kind, targets, f.Duration, f.Magnitude)
-				r.injectFault(f, targets)
-				r.platform.logEvent("%s ends", f.Kind)
+			if r.sleepUntil(fault.At) {
+				r.platform.logEvent("%s begins: %v for %v, size %g", fault.Kind, targets, fault.Duration, fault.Magnitude)
+				r.injectFault(fault, targets)
+				r.platform.logEvent("%s ends", fault.Kind)
 			}
 		})
 	}
@@ -337,92 +341,92 @@
 func (r *run) workersAt(replicas []int) []*worker {
 	r.platform.mu.Lock()
 	defer r.platform.mu.Unlock()
-	var out []*worker
-	for _, n := range replicas {
-		if n < 0 || n >= len(r.platform.replicas) {
+	var workers []*worker
+	for _, index := range replicas {
+		if index < 0 || index >= len(r.platform.replicas) {
 			continue
 		}
-		s := r.platform.replicas[n]
-		if s.newWorker != nil {
-			out = append(out, s.newWorker)
-		} else if s.oldWorker != nil {
-			out = append(out, s.oldWorker)
+		replica := r.platform.replicas[index]
+		if replica.newWorker != nil {
+			workers = append(workers, replica.newWorker)
+		} else if replica.oldWorker != nil {
+			workers = append(workers, replica.oldWorker)
 		}
 	}
-	return out
+	return workers
 }
 
 // injectFault injects a fault into the given targets and removes it at its end.
-func (r *run) injectFault(f Fault, targets []int) {
-	end := f.At + f.Duration
+func (r *run) injectFault(fault Fault, targets []int) {
+	end := fault.At + fault.Duration
 	withMachineFault := func(set, unset func(*fleet.MachineFault)) {
-		ws := r.workersAt(targets)
-		for _, w := range ws {
+		workers := r.workersAt(targets)
+		for _, w := range workers {
 			w.changeFault(set)
 		}
 		r.sleepUntil(end)
-		for _, w := range ws {
+		for _, w := range workers {
 			w.changeFault(unset)
 		}
 	}
-	switch f.Kind {
+	switch fault.Kind {
 	case "crash":
 		r.crashWorkers(r.workersAt(targets), end)
 	case "vanish":
-		ws := r.workersAt(targets)
-		for _, w := range ws {
+		workers := r.workersAt(targets)
+		for _, w := range workers {
 			w.setSilent(true)
 		}
 		r.sleepUntil(end)
-		for _, w := range ws {
+		for _, w := range workers {
 			w.setSilent(false)
 		}
 	case "hang":
 		withMachineFault(func(m *fleet.MachineFault) { m.Hangs = true }, func(m *fleet.MachineFault) { m.Hangs = false })
-		for _, w := range r.workersAt(targets) { // as a supervisor would restart them
+		for _, w := range r.workersAt(targets) { // resets connections and jobs, like a restart by a supervisor
 			w.setSilent(false)
 		}
 	case "slow":
-		withMachineFault(func(m *fleet.MachineFault) { m.Slow = f.Magnitude }, func(m *fleet.MachineFault) { m.Slow = 0 })
+		withMachineFault(func(m *fleet.MachineFault) { m.Slow = fault.Magnitude }, func(m *fleet.MachineFault) { m.Slow = 0 })
 	case "fast-errors":
-		withMachineFault(func(m *fleet.MachineFault) { m.FailureRate = f.Magnitude }, func(m *fleet.MachineFault) { m.FailureRate = 0 })
+		withMachineFault(func(m *fleet.MachineFault) { m.FailureRate = fault.Magnitude }, func(m *fleet.MachineFault) { m.FailureRate = 0 })
 	case "neighbour":
-		withMachineFault(func(m *fleet.MachineFault) { m.NeighbourShare = min(0.95, f.Magnitude) }, func(m *fleet.MachineFault) { m.NeighbourShare = 0 })
+		withMachineFault(func(m *fleet.MachineFault) { m.NeighbourShare = min(0.95, fault.Magnitude) }, func(m *fleet.MachineFault) { m.NeighbourShare = 0 })
 	case "late-reports":
 		withMachineFault(func(m *fleet.MachineFault) { m.ReportsStale = true }, func(m *fleet.MachineFault) { m.ReportsStale = false })
 	case "false-reports":
 		withMachineFault(func(m *fleet.MachineFault) { m.ReportsIdle = true }, func(m *fleet.MachineFault) { m.ReportsIdle = false })
 	case "costly-connect", "garbage":
-		set := func(ws []*worker, connectDelay time.Duration, garbageRate float64) {
+		set := func(workers []*worker, connectDelay time.Duration, garbageRate float64) {
 			r.fleet.mu.Lock()
 			defer r.fleet.mu.Unlock()
-			for _, w := range ws {
+			for _, w := range workers {
 				w.connectDelay, w.garbageRate = connectDelay, garbageRate
 			}
 		}
-		ws := r.workersAt(targets)
-		if f.Kind == "garbage" {
-			set(ws, 0, f.Magnitude)
+		workers := r.workersAt(targets)
+		if fault.Kind == "garbage" {
+			set(workers, 0, fault.Magnitude)
 		} else {
-			set(ws, time.Duration(f.Magnitude*float64(time.Millisecond)), 0)
+			set(workers, time.Duration(fault.Magnitude*float64(time.Millisecond)), 0)
 		}
 		r.sleepUntil(end)
-		set(ws, 0, 0)
+		set(workers, 0, 0)
 	case "burst":
-		storeFloat(&r.clients.rateFactor, max(0.01, f.Magnitude))
+		storeFloat(&r.clients.rateFactor, max(0.01, fault.Magnitude))
 		r.sleepUntil(end)
 		storeFloat(&r.clients.rateFactor, 1)
 	case "give-up":
-		storeFloat(&r.clients.giveUpShare, f.Magnitude)
+		storeFloat(&r.clients.giveUpShare, fault.Magnitude)
 		r.sleepUntil(end)
 		storeFloat(&r.clients.giveUpShare, 0)
 	case "bad-requests":
-		storeFloat(&r.clients.badKeyShare, f.Magnitude)
+		storeFloat(&r.clients.badKeyShare, fault.Magnitude)
 		r.sleepUntil(end)
 		storeFloat(&r.clients.badKeyShare, 0)
 	case "sentry-kill", "sentry-roll":
 		sig := syscall.SIGKILL
-		if f.Kind == "sentry-roll" {
+		if fault.Kind == "sentry-roll" {
 			sig = syscall.SIGTERM
 		}
 		for _, i := range targets {
@@ -446,15 +450,15 @@
 		}
 	case "stalled", "late-news":
 		r.platform.mu.Lock()
-		if f.Kind == "stalled" {
+		if fault.Kind == "stalled" {
 			r.platform.stalled = true
 		} else {
-			r.platform.extraUpdateDelay = time.Duration(f.Magnitude * float64(time.Second))
+			r.platform.extraUpdateDelay = time.Duration(fault.Magnitude * float64(time.Second))
 		}
 		r.platform.mu.Unlock()
 		r.sleepUntil(end)
 		r.platform.mu.Lock()
-		if f.Kind == "stalled" {
+		if fault.Kind == "stalled" {
 			r.platform.stalled = false
 		} else {
 			r.platform.extraUpdateDelay = 0
@@ -463,23 +467,23 @@
 	}
 }
 
-// crashWorkers stops workers abruptly and restarts them cold at end. The worker list shows both with a delay.
-func (r *run) crashWorkers(ws []*worker, end runTime) {
+// crashWorkers stops workers abruptly and restarts them cold at end. The worker list shows both changes with a delay.
+func (r *run) crashWorkers(workers []*worker, end runTime) {
 	p := r.platform
-	for _, w := range ws {
+	for _, w := range workers {
 		w.stop()
 	}
 	p.mu.Lock()
-	for _, w := range ws {
-		p.addWorkerChange(p.day.WorkerListDelay+500*time.Millisecond, w, "gone")
+	for _, w := range workers {
+		p.addWorkerChange(p.day.WorkerListDelay+crashDetectionTime, w, "gone")
 	}
 	p.mu.Unlock()
 	r.sleepUntil(end)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, w := range ws {
-		s := p.replicas[w.replica]
-		if s.newWorker != w && s.oldWorker != w {
+	for _, w := range workers {
+		replica := p.replicas[w.replica]
+		if replica.newWorker != w && replica.oldWorker != w {
 			continue // replaced in the meantime
 		}
 		if err := w.start(true); err != nil {
@@ -494,7 +498,7 @@
 func (r *run) reportProgress() {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
-	events, txns, submissions := 0, 0, 0
+	eventCount, txnCount, submissionCount := 0, 0, 0
 	for {
 		select {
 		case <-r.quit:
@@ -502,34 +506,34 @@
 		case <-t.C:
 		}
 		r.platform.mu.Lock()
-		s := Snapshot{At: r.now(), Length: r.Day.Length, Phase: r.platform.phase, Build: r.platform.build, Stage: r.platform.stage}
+		snapshot := Snapshot{At: r.now(), Length: r.Day.Length, Phase: r.platform.phase, Build: r.platform.build, Stage: r.platform.stage}
 		r.platform.mu.Unlock()
 		r.rec.mu.Lock()
-		for _, x := range r.rec.Txns[txns:] {
-			s.Asked++
+		for _, txn := range r.rec.Txns[txnCount:] {
+			snapshot.Asked++
 			switch {
-			case x.Status == 200 && x.AnsweredAt-x.SentAt <= r.Day.Products[x.Product].SLA:
-				s.InTime++
-			case x.Status == 200:
-				s.Late++
-			case x.Outcome == "declined":
-				s.Decline++
-			case x.Outcome == "voided":
-				s.Voided++
+			case txn.Status == 200 && txn.AnsweredAt-txn.SentAt <= r.Day.Products[txn.Product].SLA:
+				snapshot.InTime++
+			case txn.Status == 200:
+				snapshot.Late++
+			case txn.Outcome == "declined":
+				snapshot.Decline++
+			case txn.Outcome == "voided":
+				snapshot.Voided++
 			default:
-				s.Lost++
+				snapshot.Lost++
 			}
 		}
-		txns = len(r.rec.Txns)
-		for _, a := range r.rec.Submissions[submissions:] {
-			if a.Build == s.Build {
-				s.Trial++
+		txnCount = len(r.rec.Txns)
+		for _, submission := range r.rec.Submissions[submissionCount:] {
+			if submission.Build == snapshot.Build {
+				snapshot.Trial++
 			}
 		}
-		submissions = len(r.rec.Submissions)
-		s.Marks = append(s.Marks, r.rec.Marks[events:]...)
-		events = len(r.rec.Marks)
+		submissionCount = len(r.rec.Submissions)
+		snapshot.Marks = append(snapshot.Marks, r.rec.Marks[eventCount:]...)
+		eventCount = len(r.rec.Marks)
 		r.rec.mu.Unlock()
-		r.Live(s)
+		r.Live(snapshot)
 	}
 }
