--- a/lab/figures.go
+++ b/lab/figures.go
@@ -15,15 +15,16 @@
 const (
 	// maxLatencyMicros is the longest latency that histograms distinguish.
 	maxLatencyMicros = 120_000_000
-	// worstWindowSeconds is the length of the windows of which Figures.WorstFive shows the worst.
+	// worstWindowSeconds is the length of the windows among which Figures.WorstFive is the worst.
 	worstWindowSeconds = 5
-	// minWindowShare is the least revenue of a window, as a share of the mean, for it to count as the worst.
+	// minWindowShare is the minimum revenue asked for in a window, as a share of the mean, for Figures.WorstFive to consider
+	// the window.
 	minWindowShare = 0.02
 	// maxReportedViolations limits the violations listed in a report.
 	maxReportedViolations = 50
 	// maxPrintedViolations limits the violations listed on the terminal.
 	maxPrintedViolations = 5
-	// maxSendDelaySeconds is the delay of clients above which a machine is too busy for the day.
+	// maxSendDelaySeconds is the send delay of the clients above which the machine is reported as too busy for the day.
 	maxSendDelaySeconds = 0.05
 )
 
@@ -49,7 +50,7 @@
 	Flaw        string
 	Strength    float64
 	Offered     float64 // seconds since the start of the day
-	Back        float64 // seconds from the offer until the build went back; 0: it did not
+	Back        float64 // seconds from the offer until the build went back; 0: it did not go back
 	Released    float64 // seconds from the offer until the release; 0: not released
 	Submissions int
 	Harm        float64 // share of all revenue that the build lost by failing txns with an effect
@@ -60,19 +61,19 @@
 	Day        string
 	Seed       int64
 	Edge       string
-	Txns       int
+	Txns       int // without retries and malformed txns
 	Retries    int
 	Revenue    float64 // share of the revenue asked for that was earned; late answers earn their product's share
-	WorstFive  float64 // the same within the worst 5 s
+	WorstFive  float64 // Revenue of the worst 5 s
 	Harm       float64 // share of the revenue asked for in wrong answers and in effects that flawed builds failed
-	Behind     float64 // largest delay of a txn's sending past its scheduled time, in seconds; the clients' machine causes it
-	Work       float64 // submissions per txn
+	Behind     float64 // maximum delay between a txn's scheduled time and its sending, in seconds; caused by the clients' machine
+	Work       float64 // submissions per try of a txn
 	Falls      int     // failures of cold workers from overload
 	Products   []ProductFigures
 	Builds     []BuildFigures
-	Votes      map[string]int
+	Votes      map[string]int // votes that the platform received, by verdict
 	Violations []string
-	Rules      [6]int // violations by rule, from 1 on
+	Rules      [6]int // violations by rule; index 0 is unused
 	Series     []Second
 }
 
@@ -98,7 +99,7 @@
 		}
 	}
 	asked, earned, harm := make([]float64, len(day.Products)), make([]float64, len(day.Products)), 0.0
-	windows := map[int][2]float64{}
+	windows := map[int][2]float64{} // revenue earned and asked for, by window
 	firstIDs := make([]uint64, 0, len(tries))
 	for id := range tries {
 		firstIDs = append(firstIDs, id)
@@ -183,13 +184,13 @@
 	for _, txn := range rec.Txns {
 		txnsByID[txn.ID] = txn
 	}
-	byNumber := map[int]*BuildFigures{}
+	buildsByNumber := map[int]*BuildFigures{}
 	for _, build := range rec.builds {
 		build := build
-		byNumber[build.Number] = &build
+		buildsByNumber[build.Number] = &build
 	}
 	flawed := map[int]bool{}
-	for number, build := range byNumber {
+	for number, build := range buildsByNumber {
 		flawed[number] = build.Flaw != string(fleet.NoFlaw)
 	}
 	for _, submission := range rec.Submissions {
@@ -197,7 +198,7 @@
 		if txn == nil {
 			continue
 		}
-		if build := byNumber[submission.Build]; build != nil {
+		if build := buildsByNumber[submission.Build]; build != nil {
 			build.Submissions++
 		}
 		if second := int(submission.ReceivedAt / time.Second); rec.newestBuildAt(submission.ReceivedAt) == submission.Build &&
@@ -206,10 +207,10 @@
 		}
 		if flawed[submission.Build] && submission.Result == "failed" && day.Products[txn.Product].Effect != "inquiry-like" {
 			*harm += day.Products[txn.Product].Revenue
-			byNumber[submission.Build].Harm += day.Products[txn.Product].Revenue / totalAsked
+			buildsByNumber[submission.Build].Harm += day.Products[txn.Product].Revenue / totalAsked
 		}
 	}
-	for _, build := range byNumber {
+	for _, build := range buildsByNumber {
 		f.Builds = append(f.Builds, *build)
 	}
 	sort.Slice(f.Builds, func(i, j int) bool { return f.Builds[i].Number < f.Builds[j].Number })
@@ -266,7 +267,7 @@
 		f.Rules[4], f.Rules[5])
 	for i, violation := range f.Violations {
 		if i == maxPrintedViolations {
-			fmt.Fprintf(w, "  ... %d more in the report\n", violations-5)
+			fmt.Fprintf(w, "  ... %d more in the report\n", violations-maxPrintedViolations)
 			break
 		}
 		fmt.Fprintf(w, "  %s\n", violation)
--- a/lab/report.go
+++ b/lab/report.go
@@ -11,8 +11,8 @@
 	"dunegrade/chart"
 )
 
-// WriteReport writes the report of a run, report.json and report.html, to the folder dir, and returns the path of the page.
-// The page contains its charts as SVG and refers to no other files.
+// WriteReport writes the report of a run, report.json and report.html, to the directory dir, and returns the path of the
+// HTML page. The page contains its charts as SVG and refers to no other files.
 func WriteReport(dir string, figures *Figures, events []string) (string, error) {
 	data, err := json.MarshalIndent(figures, "", "  ")
 	if err != nil {
@@ -33,17 +33,17 @@
 	}
 	axes := chart.Axes{X: "second of the day"}
 	txnChart, err := chart.LineChart("txns by the second they were asked for", axes, []chart.Series{
-		seriesOf("asked", color.RGBA{120, 120, 120, 255}, func(series Second) int { return series.Asked }),
-		seriesOf("in time", color.RGBA{30, 130, 60, 255}, func(series Second) int { return series.InTime }),
-		seriesOf("late", color.RGBA{220, 150, 0, 255}, func(series Second) int { return series.Late }),
-		seriesOf("declined", color.RGBA{60, 90, 200, 255}, func(series Second) int { return series.Declined }),
-		seriesOf("voided", color.RGBA{200, 40, 40, 255}, func(series Second) int { return series.Voided }),
-		seriesOf("lost", color.RGBA{0, 0, 0, 255}, func(series Second) int { return series.Lost })})
+		seriesOf("asked", color.RGBA{120, 120, 120, 255}, func(s Second) int { return s.Asked }),
+		seriesOf("in time", color.RGBA{30, 130, 60, 255}, func(s Second) int { return s.InTime }),
+		seriesOf("late", color.RGBA{220, 150, 0, 255}, func(s Second) int { return s.Late }),
+		seriesOf("declined", color.RGBA{60, 90, 200, 255}, func(s Second) int { return s.Declined }),
+		seriesOf("voided", color.RGBA{200, 40, 40, 255}, func(s Second) int { return s.Voided }),
+		seriesOf("lost", color.RGBA{0, 0, 0, 255}, func(s Second) int { return s.Lost })})
 	if err != nil {
 		return "", fmt.Errorf("report: %w", err)
 	}
 	buildChart, err := chart.LineChart("submissions at the newest build, a second", axes, []chart.Series{
-		seriesOf("submissions", color.RGBA{150, 60, 160, 255}, func(series Second) int { return series.Trial })})
+		seriesOf("submissions", color.RGBA{150, 60, 160, 255}, func(s Second) int { return s.Trial })})
 	if err != nil {
 		return "", fmt.Errorf("report: %w", err)
 	}
