--- a/lab/checker.go
+++ b/lab/checker.go
@@ -9,34 +9,34 @@
 	"dunegrade/api"
 )
 
-// Tolerances of the checker for the delay between a socket and the record, which is longer on a busy machine. They only
-// widen what is allowed, and never what counts towards a limit.
+// Tolerances of the checker for the delay between an event on a socket and its record, which is longer on a busy machine.
+// They widen the limits only; what counts towards a limit is measured without them.
 const (
-	answerTolerance         = 150 * time.Millisecond // a final answer after the client's deadline
-	lateSubmissionTolerance = 150 * time.Millisecond // a submission that was in flight when the txn ended
+	answerTolerance         = 150 * time.Millisecond // for a final answer after the client's deadline
+	lateSubmissionTolerance = 150 * time.Millisecond // for a submission that was in flight when the txn ended
 	drainTolerance          = 100 * time.Millisecond // in addition to the drain grace
-	exposureTolerance       = 200 * time.Millisecond // between an update sent to an edge and the edge's acting on it
+	exposureTolerance       = 200 * time.Millisecond // from the sending of an update to an edge until it takes effect there
 )
 
-// tolerances holds the tolerances of a checker. A day on a virtual clock needs only the delay of a message.
+// tolerances holds the tolerances of a checker. On a virtual clock, they need to cover only the delay of a message.
 type tolerances struct{ answer, lateSubmission, drain, exposure time.Duration }
 
 var socketTolerances = tolerances{answerTolerance, lateSubmissionTolerance, drainTolerance, exposureTolerance}
 
-// Violation is a violation of a rule, with the history of a txn that shows it.
+// Violation is a violation of a rule, with the history of the txn that violated it.
 type Violation struct {
-	Rule  int
-	At    time.Duration
-	Text  string
-	Story []string // the txn's events in order
+	Rule    int
+	At      time.Duration
+	Text    string
+	History []string // events of the txn in order; empty if the violation concerns no single txn
 }
 
 func (v Violation) String() string {
-	return fmt.Sprintf("rule %d at %.3fs: %s\n    %s", v.Rule, v.At.Seconds(), v.Text, strings.Join(v.Story, "\n    "))
+	return fmt.Sprintf("rule %d at %.3fs: %s\n    %s", v.Rule, v.At.Seconds(), v.Text, strings.Join(v.History, "\n    "))
 }
 
-// checker checks the rules against a record. From the edges it only uses their answers to clients, and nothing
-// that they report about themselves.
+// checker checks the rules against a record. Of what edges send, it uses only the answers to clients, and no reports on
+// the edges' own state.
 type checker struct {
 	day              *Day
 	rec              *Record
@@ -49,7 +49,7 @@
 	violations []Violation
 }
 
-// Check checks the five rules against what went over the sockets, and returns all violations by rule and time.
+// Check checks the five rules against the recorded socket traffic, and returns all violations, ordered by rule and time.
 func Check(day *Day, rec *Record) []Violation { return check(day, rec, socketTolerances) }
 
 func check(day *Day, rec *Record, allowed tolerances) []Violation {
@@ -98,7 +98,7 @@
 func (c *checker) addViolation(rule int, at time.Duration, txn *TxnRecord, format string, args ...any) {
 	v := Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...)}
 	if txn != nil {
-		v.Story = c.describeTxn(txn)
+		v.History = c.describeTxn(txn)
 	}
 	c.violations = append(c.violations, v)
 }
@@ -159,7 +159,7 @@
 			endedAt = min(endedAt, txn.LeftAt)
 		}
 		if txn.Failure != "" {
-			continue // the time of its end is not known
+			continue // the time at which the txn ended is unknown
 		}
 		for _, submission := range c.submissionsByTxn[txn.ID] {
 			if submission.ReceivedAt > endedAt+c.lateSubmission {
@@ -177,7 +177,7 @@
 		if product.Effect == "inquiry-like" {
 			continue
 		}
-		var firstExecution *SubmissionRecord // first submission that may have run, as far as the edge can know
+		var firstExecution *SubmissionRecord // first submission that may have run, from the edge's point of view
 		for _, submission := range c.submissionsByTxn[txn.ID] {
 			if firstExecution != nil && product.Effect == "once-only" {
 				c.addViolation(2, submission.ReceivedAt, txn, "once-only, sent again though it may have run")
@@ -205,18 +205,18 @@
 	}
 }
 
-// checkDrains checks rule 3: an edge submits nothing to a worker once the drain grace has passed since the edge was informed
-// that the worker drains or is gone.
+// checkDrains checks rule 3: after the edge has been informed that a worker drains or is gone, and the drain grace has
+// passed, it submits nothing to the worker.
 func (c *checker) checkDrains() {
 	type workerState struct {
-		at      time.Duration
-		gone    bool // or draining
-		started time.Duration
+		at        time.Duration // when the state was sent to the edge
+		leaving   bool          // whether the worker drains or is gone
+		startedAt time.Duration
 	}
 	for edge, updates := range c.workerUpdates {
 		// For each incarnation of the edge, collect the states of each worker that it was sent, in order.
-		for key, incarnation := range c.incarnations {
-			if key[0] != edge {
+		for id, incarnation := range c.incarnations {
+			if id[0] != edge {
 				continue
 			}
 			endedAt := incarnation.EndedAt
@@ -235,7 +235,7 @@
 						listed[updates[k].Worker] = true
 					}
 					for worker, states := range statesByWorker {
-						if !listed[worker] && !states[len(states)-1].gone {
+						if !listed[worker] && !states[len(states)-1].leaving {
 							statesByWorker[worker] = append(states, workerState{update.At, true, 0})
 						}
 					}
@@ -246,21 +246,21 @@
 			}
 			for _, submission := range c.rec.Submissions {
 				txn := c.txnsByID[submission.Txn]
-				if txn == nil || txn.Edge != edge || txn.Incarnation != key[1] {
+				if txn == nil || txn.Edge != edge || txn.Incarnation != id[1] {
 					continue
 				}
 				var latest *workerState
-				backUp := false
+				backUp := false // whether the edge may have been informed by then that the worker is up again
 				for i := range statesByWorker[submission.Worker] {
 					state := &statesByWorker[submission.Worker][i]
 					if state.at <= submission.ReceivedAt-c.day.DrainGrace-c.drain {
 						latest, backUp = state, false
-					} else if state.at <= submission.ReceivedAt+c.drain && !state.gone {
+					} else if state.at <= submission.ReceivedAt+c.drain && !state.leaving {
 						backUp = true
 					}
 				}
-				if latest != nil && latest.gone && !backUp {
-					c.addViolation(3, submission.ReceivedAt, txn, "sent to worker %s %v after the edge was told that it goes", submission.Worker,
+				if latest != nil && latest.leaving && !backUp {
+					c.addViolation(3, submission.ReceivedAt, txn, "sent to worker %s %v after the edge was informed that it drains or is gone", submission.Worker,
 						submission.ReceivedAt-latest.at)
 				}
 			}
@@ -268,8 +268,8 @@
 	}
 }
 
-// checkOverloads checks rule 4: no cold worker fails from overload. A failure counts if edges that had been informed of the
-// worker's start sent at least two thirds of the work.
+// checkOverloads checks rule 4: no cold worker fails from overload. A failure is a violation only if edges that had been
+// informed of the worker's start sent at least two thirds of the work.
 func (c *checker) checkOverloads() {
 	for _, failure := range c.rec.OverloadFailures {
 		totalWork, informedWork := time.Duration(0), time.Duration(0)
@@ -289,8 +289,8 @@
 	}
 }
 
-// possibleReleases returns the release updates that may have been the edge's newest at a time. The tolerance widens the
-// time both ways, and the drain grace widens it backwards, since a lower cap binds only after the grace.
+// possibleReleases returns the release updates that may have been the edge's newest at a time. The tolerance extends the
+// time in both directions. The drain grace extends it further back, because a lower cap binds only after the grace.
 func (c *checker) possibleReleases(edge int, incarnation Incarnation, at time.Duration) []EdgeUpdate {
 	var possible []EdgeUpdate
 	updates := c.releaseUpdates[edge]
@@ -300,7 +300,7 @@
 			continue
 		}
 		if i+1 < len(updates) && updates[i+1].At < earliest && updates[i+1].At >= incarnation.StartedAt {
-			continue // replaced before that time
+			continue // a newer update had replaced it
 		}
 		possible = append(possible, update)
 	}
@@ -348,7 +348,7 @@
 					onTrial = false
 				}
 				updateCap, stage := release.Cap, release.Stage
-				if build > release.Build { // not announced yet: the first stage applies
+				if build > release.Build { // not announced yet, so the first stage's cap applies
 					updateCap, stage = c.day.stageCaps()[0], 0
 				}
 				maxCap = max(maxCap, updateCap)
@@ -387,8 +387,8 @@
 	}
 }
 
-// effectiveBuild returns the build that counts for a submission: the one that ran it, or the last one on the edge's worker
-// list if the list did not show the new one yet.
+// effectiveBuild returns the build that a submission is counted for: the build that ran it, or the worker's last build on
+// the edge's worker list if the list did not show the new build yet.
 func (c *checker) effectiveBuild(edge int, incarnation Incarnation, submission *SubmissionRecord) int {
 	build := submission.Build
 	for _, update := range c.workerUpdates[edge] {
@@ -406,8 +406,8 @@
 	return build
 }
 
-// checkOneWayKeys checks the rest of rule 5: a key that the new build has answered is not sent to an earlier build unless the
-// new one goes back.
+// checkOneWayKeys checks the part of rule 5 on keys: a key that the new build has answered is not sent to an earlier build
+// unless the new build goes back.
 func (c *checker) checkOneWayKeys() {
 	if !c.day.OneWayKeys {
 		return
@@ -430,16 +430,16 @@
 					continue
 				}
 				incarnation := c.incarnations[[2]int{txn.Edge, txn.Incarnation}]
-				binds := true
-				// The key is bound only if every release state that the edge may have held since the answer binds it.
+				bound := true
+				// The key is bound only if every release update binds it that may have been the edge's newest since the answer.
 				for _, update := range c.releasesBetween(txn.Edge, incarnation, answer.AnsweredAt-c.tolerances.exposure,
 					submission.ReceivedAt+c.tolerances.exposure) {
 					release := update.Release
 					if release.Build != answer.Build || release.Phase != api.OnTrial && release.Phase != api.Released {
-						binds = false
+						bound = false
 					}
 				}
-				if binds {
+				if bound {
 					c.addViolation(5, submission.ReceivedAt, txn, "key %d, answered by build %d through this edge at %.3fs, sent to build %d", txn.Key,
 						answer.Build, answer.AnsweredAt.Seconds(), submission.Build)
 					break
@@ -449,18 +449,18 @@
 	}
 }
 
-// releasesBetween returns the release updates that may have been the edge's newest at some time from from to to.
-func (c *checker) releasesBetween(edge int, incarnation Incarnation, from, to time.Duration) []EdgeUpdate {
-	var found []EdgeUpdate
+// releasesBetween returns the release updates that may have been the edge's newest at some time from start to end.
+func (c *checker) releasesBetween(edge int, incarnation Incarnation, start, end time.Duration) []EdgeUpdate {
+	var possible []EdgeUpdate
 	updates := c.releaseUpdates[edge]
 	for i, update := range updates {
-		if update.At < incarnation.StartedAt || update.At > to {
+		if update.At < incarnation.StartedAt || update.At > end {
 			continue
 		}
-		if i+1 < len(updates) && updates[i+1].At < from {
+		if i+1 < len(updates) && updates[i+1].At < start {
 			continue
 		}
-		found = append(found, update)
+		possible = append(possible, update)
 	}
-	return found
+	return possible
 }
--- a/lab/checker_test.go
+++ b/lab/checker_test.go
@@ -98,10 +98,10 @@
 			r.addExtraSubmission(1, 700*ms, "old2", 1)
 			r.Txns[1].AnsweredAt = r.Txns[1].SentAt + 800*ms
 		}},
-		{"draining", 3, "after the edge was told", func(r *Record) {
+		{"draining", 3, "after the edge was informed", func(r *Record) {
 			r.Updates = append(r.Updates, EdgeUpdate{At: 4 * time.Second, Worker: "old1", State: "draining"})
 		}},
-		{"missing from a whole list", 3, "after the edge was told", func(r *Record) {
+		{"missing from a whole list", 3, "after the edge was informed", func(r *Record) {
 			r.Updates = append(r.Updates, EdgeUpdate{At: 4 * time.Second, FullList: true}, EdgeUpdate{At: 4 * time.Second, Worker: "old2", State: "up"})
 		}},
 		{"cold worker overloaded", 4, "was pushed over", func(r *Record) {
@@ -138,7 +138,7 @@
 			if len(violations) == 0 || !strings.Contains(violations[0].Text, c.text) {
 				t.Errorf("got %v, want %q", violations, c.text)
 			}
-			if len(violations) > 0 && c.rule != 4 && len(violations[0].Story) < 2 {
+			if len(violations) > 0 && c.rule != 4 && len(violations[0].History) < 2 {
 				t.Errorf("violation without the txn's events: %v", violations[0])
 			}
 		})
