--- a/lab/bench.go
+++ b/lab/bench.go
@@ -405,14 +405,14 @@
 // is 0, each connection sends one request after another; otherwise requests are scheduled ahead, and latency counts from
 // the scheduled time.
 func (plan BenchPlan) generateLoad(address string, size int, span time.Duration, rate float64) (*hdrhistogram.Histogram, error) {
-	all := hdrhistogram.New(1, 60_000_000, 3)
+	all := hdrhistogram.New(1, maxLoadLatencyMicros, 3)
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	var firstErr error
 	startTime := time.Now()
 	for i := 0; i < plan.Conns; i++ {
 		group.Go(func() {
-			h := hdrhistogram.New(1, 60_000_000, 3)
+			h := hdrhistogram.New(1, maxLoadLatencyMicros, 3)
 			err := loadConnection(address, size, startTime, span, rate/float64(plan.Conns), i, plan.Conns, h)
 			mu.Lock()
 			defer mu.Unlock()
--- a/lab/hostile.go
+++ b/lab/hostile.go
@@ -252,13 +252,13 @@
 // time in microseconds, and how many settled of those sent.
 func (plan BenchPlan) sendRegularTxns(address string, span time.Duration) (latencies *hdrhistogram.Histogram, settled, sent int) {
 	const conns, rate = 20, 500.0
-	latencies = hdrhistogram.New(1, 60_000_000, 3)
+	latencies = hdrhistogram.New(1, maxLoadLatencyMicros, 3)
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	startTime := time.Now()
 	for i := 0; i < conns; i++ {
 		group.Go(func() {
-			h := hdrhistogram.New(1, 60_000_000, 3)
+			h := hdrhistogram.New(1, maxLoadLatencyMicros, 3)
 			connSent, connSettled := 0, 0
 			var c net.Conn
 			buf := make([]byte, 2<<20)
--- a/lab/load.go
+++ b/lab/load.go
@@ -18,19 +18,22 @@
 	"dunegrade/chart"
 )
 
+// maxLoadLatencyMicros is the longest latency that the histograms of loads and benches distinguish.
+const maxLoadLatencyMicros = 60_000_000
+
 // LoadPlan describes an open-loop load on one HTTP target, or on two in turn. Txns are scheduled ahead, and their latency
 // counts from the scheduled time, so that a stall of the target counts for every txn that it delays (no coordinated
 // omission).
 type LoadPlan struct {
 	Targets []string      // URLs, one or two
 	Rates   []float64     // txns a second, one for each step
-	Ramp    bool          // whether the rate changes linearly to the next step's, rather than at the end of the step
+	Ramp    bool          // whether the rate changes linearly to the next step's; otherwise it changes at the end of the step
 	Span    time.Duration // of a step
 	Slice   time.Duration // length of a measured slice; two targets alternate by slices
 	Conns   int           // maximum connections to a target
 	Method  string
 	Body    int           // bytes of a request's body
-	Timeout time.Duration // after which a txn is given up
+	Timeout time.Duration // after which a txn has failed
 }
 
 // LoadSlice holds the results of one slice of the load on one target.
@@ -44,7 +47,7 @@
 	Bad          int                     // answered with another status, or not answered
 	Times        *hdrhistogram.Histogram `json:"-"` // microseconds from the scheduled time, of txns that succeeded
 	ServiceTimes *hdrhistogram.Histogram `json:"-"` // microseconds from sending, of txns that succeeded
-	elapsed      time.Duration
+	elapsed      time.Duration           // from the start of the slice until its last txn ended, or the slice's length if longer
 }
 
 // merge adds the counts, latencies and time of another slice.
@@ -59,7 +62,7 @@
 
 // newLoadSlice returns an empty slice.
 func newLoadSlice(target, step int, rate float64) *LoadSlice {
-	return &LoadSlice{Target: target, Step: step, Rate: rate, Times: hdrhistogram.New(1, 60_000_000, 3), ServiceTimes: hdrhistogram.New(1, 60_000_000, 3)}
+	return &LoadSlice{Target: target, Step: step, Rate: rate, Times: hdrhistogram.New(1, maxLoadLatencyMicros, 3), ServiceTimes: hdrhistogram.New(1, maxLoadLatencyMicros, 3)}
 }
 
 // Validate returns an error that describes what is wrong with the plan, if anything.
@@ -78,30 +81,30 @@
 	return nil
 }
 
-// dueTimes returns the scheduled times of the txns of step i between from and to, relative to from.
-func (p *LoadPlan) dueTimes(i int, from, to time.Duration) (due []time.Duration) {
-	first, last := p.Rates[i], p.Rates[i]
-	if p.Ramp && i+1 < len(p.Rates) {
-		last = p.Rates[i+1]
+// scheduledTimes returns the scheduled times of a step's txns between sliceStart and sliceEnd, relative to sliceStart.
+func (p *LoadPlan) scheduledTimes(step int, sliceStart, sliceEnd time.Duration) (times []time.Duration) {
+	firstRate, lastRate := p.Rates[step], p.Rates[step]
+	if p.Ramp && step+1 < len(p.Rates) {
+		lastRate = p.Rates[step+1]
 	}
-	// The number of txns scheduled until t is the integral of the rate: first t + (last-first) t²/(2 span).
-	slope := (last - first) / p.Span.Seconds()
-	scheduledBy := func(t float64) float64 { return first*t + slope*t*t/2 }
-	scheduledBefore := scheduledBy(from.Seconds())
+	// The number of txns scheduled until t is the integral of the rate: firstRate·t + (lastRate-firstRate)·t²/(2·span).
+	slope := (lastRate - firstRate) / p.Span.Seconds()
+	scheduledBy := func(t float64) float64 { return firstRate*t + slope*t*t/2 }
+	scheduledBefore := scheduledBy(sliceStart.Seconds())
 	for n := math.Ceil(scheduledBefore); ; n++ {
-		t := n / first
+		t := n / firstRate
 		if slope != 0 {
-			t = (math.Sqrt(first*first+2*slope*n) - first) / slope
+			t = (math.Sqrt(firstRate*firstRate+2*slope*n) - firstRate) / slope
 		}
 		scheduled := time.Duration(t * float64(time.Second))
-		if scheduled >= to || math.IsNaN(t) {
-			return due
+		if scheduled >= sliceEnd || math.IsNaN(t) {
+			return times
 		}
-		due = append(due, scheduled-from)
+		times = append(times, scheduled-sliceStart)
 	}
 }
 
-// RunLoad runs a plan, slice by slice. It calls report, if not nil, after each slice.
+// RunLoad runs a plan and returns the results of its slices. It calls report, if not nil, after each slice.
 func Load(ctx context.Context, p LoadPlan, report func(*LoadSlice)) ([]*LoadSlice, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -112,23 +115,23 @@
 		defer t.CloseIdleConnections()
 		clients[i] = &http.Client{Transport: t, Timeout: p.Timeout, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	}
-	var out []*LoadSlice
+	var results []*LoadSlice
 	sliceNumber := 0
-	for i := range p.Rates {
-		for from := time.Duration(0); from < p.Span; from += p.Slice {
-			to := min(p.Span, from+p.Slice)
-			for k := range p.Targets {
+	for step := range p.Rates {
+		for sliceStart := time.Duration(0); sliceStart < p.Span; sliceStart += p.Slice {
+			sliceEnd := min(p.Span, sliceStart+p.Slice)
+			for turn := range p.Targets {
 				if ctx.Err() != nil {
-					return out, ctx.Err()
+					return results, ctx.Err()
 				}
-				// The targets alternate in going first: a target that always went second would be measured with the load that
-				// the first has left on the machine.
-				target := (k + sliceNumber) % len(p.Targets)
-				dueTimes := p.dueTimes(i, from, to)
-				s := newLoadSlice(target, i, float64(len(dueTimes))/(to-from).Seconds())
-				p.runSlice(ctx, clients[target], dueTimes, s)
-				s.elapsed = max(s.elapsed, to-from)
-				out = append(out, s)
+				// The targets take turns in going first. A target that always went second would be measured together with the
+				// load that the first one has left on the machine.
+				target := (turn + sliceNumber) % len(p.Targets)
+				times := p.scheduledTimes(step, sliceStart, sliceEnd)
+				s := newLoadSlice(target, step, float64(len(times))/(sliceEnd-sliceStart).Seconds())
+				p.runSlice(ctx, clients[target], times, s)
+				s.elapsed = max(s.elapsed, sliceEnd-sliceStart)
+				results = append(results, s)
 				if report != nil {
 					report(s)
 				}
@@ -136,15 +139,15 @@
 			sliceNumber++
 		}
 	}
-	return out, nil
+	return results, nil
 }
 
 // runSlice sends the scheduled txns over all connections; each free connection takes the next txn.
-func (p *LoadPlan) runSlice(ctx context.Context, c *http.Client, dueTimes []time.Duration, s *LoadSlice) {
+func (p *LoadPlan) runSlice(ctx context.Context, c *http.Client, times []time.Duration, s *LoadSlice) {
 	startTime := time.Now()
-	queue := make(chan time.Duration, len(dueTimes))
-	for _, due := range dueTimes {
-		queue <- due
+	queue := make(chan time.Duration, len(times))
+	for _, scheduledAt := range times {
+		queue <- scheduledAt
 	}
 	close(queue)
 	var mu sync.Mutex
@@ -153,15 +156,15 @@
 		group.Go(func() {
 			result := newLoadSlice(0, 0, 0)
 			body := make([]byte, p.Body)
-			for due := range queue {
-				if wait := due - time.Since(startTime); wait > 0 {
+			for scheduledAt := range queue {
+				if wait := scheduledAt - time.Since(startTime); wait > 0 {
 					time.Sleep(wait)
 				}
 				if ctx.Err() != nil {
 					break
 				}
 				sentAt := time.Since(startTime)
-				if sentAt-due > p.Timeout { // its client would have given up
+				if sentAt-scheduledAt > p.Timeout { // a real client would have given up
 					result.Sent, result.Bad = result.Sent+1, result.Bad+1
 					continue
 				}
@@ -177,8 +180,8 @@
 					result.Bad++
 				default:
 					result.Succeeded++
-					result.Times.RecordValue(min(60_000_000, max(1, (now-due).Microseconds())))
-					result.ServiceTimes.RecordValue(min(60_000_000, max(1, (now-sentAt).Microseconds())))
+					result.Times.RecordValue(min(maxLoadLatencyMicros, max(1, (now-scheduledAt).Microseconds())))
+					result.ServiceTimes.RecordValue(min(maxLoadLatencyMicros, max(1, (now-sentAt).Microseconds())))
 				}
 			}
 			mu.Lock()
@@ -213,18 +216,18 @@
 	Fine      int     // txns that succeeded
 	Refused   int
 	Bad       int     // txns that failed in another way
-	P50       float64 // latency from the scheduled time, in microseconds
-	P99       float64
-	P999      float64
-	P50S      float64 // latency from sending, in microseconds
-	P99S      float64
+	P50       float64 // median latency from the scheduled time, in microseconds
+	P99       float64 // in microseconds
+	P999      float64 // in microseconds
+	P50S      float64 // median latency from sending, in microseconds
+	P99S      float64 // in microseconds
 }
 
 // LoadDifference compares the second target with the first at one step, by the ratios of paired slices. Its fields are
 // part of the JSON output.
 type LoadDifference struct {
 	Rate  float64 // of the step, in txns a second
-	What  string  // name of the compared figure
+	What  string  // name of the compared figure: fine a second (txns that succeeded per second), p50 or p99
 	Ratio float64 // geometric mean of second over first
 	Low   float64 // lower bound of the 95% confidence interval of Ratio
 	High  float64 // upper bound
