--- a/lab/bench.go
+++ b/lab/bench.go
@@ -27,6 +27,9 @@
 	"net/url"
 )
 
+// listReadTime is how long the benches wait for a new edge to read its worker list.
+const listReadTime = 300 * time.Millisecond
+
 // Subjects are the forwarders that the throughput bench measures, each in its own process. The subject direct has no
 // process: the load goes straight to the worker.
 var Subjects = []string{"direct", "gnet", "edge", "edge-traced", "edge-sampled", "fasthttp", "reverse-proxy"}
@@ -66,14 +69,14 @@
 	return fmt.Errorf("no subject %q", kind)
 }
 
-// fixedResponder answers each request with a fixed response, and those for /big with a larger one. It takes the first
-// empty line as the end of a request.
+// fixedResponder answers each request with a fixed response, and requests for /big with a larger one. It assumes that
+// requests have no body.
 type fixedResponder struct {
 	gnet.BuiltinEventEngine
 	response, largeResponse []byte
 }
 
-func (a *fixedResponder) OnTraffic(c gnet.Conn) gnet.Action {
+func (r *fixedResponder) OnTraffic(c gnet.Conn) gnet.Action {
 	in, _ := c.Peek(-1)
 	consumed := 0
 	for {
@@ -82,9 +85,9 @@
 			break
 		}
 		if bytes.HasPrefix(in[consumed:], []byte("GET /big")) {
-			c.Write(a.largeResponse)
+			c.Write(r.largeResponse)
 		} else {
-			c.Write(a.response)
+			c.Write(r.response)
 		}
 		consumed += end + 4
 	}
@@ -109,19 +112,19 @@
 	gnet.BuiltinEventEngine
 }
 
-// peerConn is the context of a connection: it holds the connection that the bytes are copied to.
-type peerConn struct{ peer gnet.Conn }
+// connContext is the gnet context of a connection. peer is the connection to which its bytes are copied.
+type connContext struct{ peer gnet.Conn }
 
-// OnOpen links a client's connection to the worker's, which was opened before on the same loop.
+// OnOpen links a client's connection to its connection to the worker, which was opened earlier on the same event loop.
 func (*forwarder) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
-	if p := c.Context().(*peerConn); p.peer != nil {
-		p.peer.Context().(*peerConn).peer = c
+	if p := c.Context().(*connContext); p.peer != nil {
+		p.peer.Context().(*connContext).peer = c
 	}
 	return nil, gnet.None
 }
 
 func (*forwarder) OnTraffic(c gnet.Conn) gnet.Action {
-	p := c.Context().(*peerConn)
+	p := c.Context().(*connContext)
 	in, _ := c.Peek(-1)
 	if p.peer != nil {
 		p.peer.Write(in)
@@ -131,16 +134,16 @@
 }
 
 func (*forwarder) OnClose(c gnet.Conn, _ error) gnet.Action {
-	if p := c.Context().(*peerConn); p.peer != nil {
+	if p := c.Context().(*connContext); p.peer != nil {
 		other := p.peer
 		p.peer = nil
-		other.Context().(*peerConn).peer = nil
+		other.Context().(*connContext).peer = nil
 		other.Close()
 	}
 	return gnet.None
 }
 
-// forward runs forwarders on as many event loops as BENCH_LOOPS names, which is the number of cores for the subject.
+// forward runs forwarders on BENCH_LOOPS event loops, one for each core that the subject may use.
 func forward(ctx context.Context, listen, worker string) error {
 	loops, _ := strconv.Atoi(os.Getenv("BENCH_LOOPS"))
 	var engines []*gnet.Client
@@ -170,7 +173,7 @@
 			continue
 		}
 		e := engines[n%len(engines)]
-		workerContext, clientContext := &peerConn{}, &peerConn{}
+		workerContext, clientContext := &connContext{}, &connContext{}
 		workerConn, err := e.EnrollContext(upstream, workerContext)
 		if err != nil {
 			return err
@@ -184,14 +187,14 @@
 
 // BenchPlan holds the parameters of a bench.
 type BenchPlan struct {
-	Self     string // path of this program
-	Out      string // directory of the edges' settings and traces
-	Rounds   int
+	Self     string        // path of this program
+	Out      string        // directory of the edges' settings and traces
+	Rounds   int           // measurements of each subject
 	Span     time.Duration // of each measurement
-	Conns    int
-	Rate     float64 // txns a second of the open-loop measurement
-	Sizes    []int   // of answers, in bytes
-	Loops    []int   // event loops of a subject
+	Conns    int           // connections of the load
+	Rate     float64       // txns a second of the open-loop measurement
+	Sizes    []int         // of answers, in bytes
+	Loops    []int         // event loops of a subject
 	Subjects []string
 }
 
@@ -202,18 +205,18 @@
 	AnswerBytes    int
 	PerCoreSecond  float64 // txns per second of CPU time, at full load
 	PerSecond      float64 // txns per second, at full load
-	P50            float64 // latency of the open loop, in microseconds
+	P50            float64 // median latency of the open-loop measurement, in microseconds
 	P99            float64 // in microseconds
-	AddedP50       float64 // P50 minus that of direct in the same round
-	AddedP99       float64 // P99 minus that of direct in the same round
+	AddedP50       float64 // P50 minus that of direct in the same round, in microseconds
+	AddedP99       float64 // P99 minus that of direct in the same round, in microseconds
 	RatioToEdge    float64 // of PerCoreSecond to the edge's in the same round
 	MinRatioToEdge float64 // minimum over the rounds
 	MaxRatioToEdge float64 // maximum over the rounds
 	P99RatioToEdge float64 // of P99 to the edge's in the same round
 }
 
-// Bench measures all subjects in turn, round by round, so that noise of the machine affects all of them alike. It writes a
-// line for each measurement to progress.
+// Bench measures all subjects in turn in each round, so that other load on the machine affects all of them alike. It writes
+// a line for each measurement to progress.
 func Bench(ctx context.Context, plan BenchPlan, progress io.Writer) ([]BenchRow, error) {
 	type key struct {
 		subject     string
@@ -235,9 +238,9 @@
 						stop()
 						return nil, ctx.Err()
 					}
-					k := key{subject, loops, size}
+					rowKey := key{subject, loops, size}
 					if round == 0 {
-						keys = append(keys, k)
+						keys = append(keys, rowKey)
 					}
 					s := sample{}
 					perCore, perSecond, h, err := plan.measure(subject, worker, size, loops)
@@ -257,7 +260,7 @@
 					if edge.perCore > 0 {
 						s.ratioToEdge, s.p99RatioToEdge = s.perCore/edge.perCore, s.p99/edge.p99
 					}
-					samples[k] = append(samples[k], s)
+					samples[rowKey] = append(samples[rowKey], s)
 					fmt.Fprintf(progress, "round %d: %-13s %d loops, %5d bytes: %7.0f per core-second, %7.0f per second, p50 %5.0f us, p99 %5.0f us\n", round+1,
 						subject, loops, size, s.perCore, s.perSecond, s.p50, s.p99)
 				}
@@ -266,20 +269,20 @@
 		}
 	}
 	var rows []BenchRow
-	for _, k := range keys {
+	for _, rowKey := range keys {
 		median := func(value func(sample) float64) float64 {
 			var values []float64
-			for _, s := range samples[k] {
+			for _, s := range samples[rowKey] {
 				values = append(values, value(s))
 			}
 			sort.Float64s(values)
 			return values[len(values)/2]
 		}
 		lowest, highest := math.Inf(1), 0.0
-		for _, s := range samples[k] {
+		for _, s := range samples[rowKey] {
 			lowest, highest = min(lowest, s.ratioToEdge), max(highest, s.ratioToEdge)
 		}
-		rows = append(rows, BenchRow{k.subject, k.loops, k.size, median(func(s sample) float64 { return s.perCore }),
+		rows = append(rows, BenchRow{rowKey.subject, rowKey.loops, rowKey.size, median(func(s sample) float64 { return s.perCore }),
 			median(func(s sample) float64 { return s.perSecond }), median(func(s sample) float64 { return s.p50 }),
 			median(func(s sample) float64 { return s.p99 }), median(func(s sample) float64 { return s.addedP50 }),
 			median(func(s sample) float64 { return s.addedP99 }), median(func(s sample) float64 { return s.ratioToEdge }), lowest, highest,
@@ -322,7 +325,7 @@
 	return nil, 0, fmt.Errorf("%v does not listen at %s", args, address)
 }
 
-// measure runs one subject: first at full load, for the throughput and CPU time, then at plan.Rate, for the latencies.
+// measure runs one subject, first at full load for the throughput and the CPU time, then at plan.Rate for the latencies.
 func (plan BenchPlan) measure(subject, worker string, size, loops int) (perCore, perSecond float64, h *hdrhistogram.Histogram, err error) {
 	address, pid := worker, 0
 	if subject != "direct" {
@@ -342,7 +345,7 @@
 			return
 		}
 		defer stop()
-		time.Sleep(300 * time.Millisecond) // the edge reads its worker list
+		time.Sleep(listReadTime)
 	}
 	if _, err = plan.generateLoad(address, size, plan.Span/3, 0); err != nil { // warm-up
 		return
@@ -361,8 +364,8 @@
 }
 
 // writeEdgeFiles writes the settings and the worker list of the edge that is measured, and returns the settings' path.
-// traced is the subject's name without its prefix edge, and selects the trace level.
-func (plan BenchPlan) writeEdgeFiles(listen, worker string, loops int, traced string) (string, error) {
+// levelSuffix is the subject's name without its prefix edge, and selects the trace level.
+func (plan BenchPlan) writeEdgeFiles(listen, worker string, loops int, levelSuffix string) (string, error) {
 	if err := os.MkdirAll(plan.Out, 0o755); err != nil {
 		return "", err
 	}
@@ -376,9 +379,9 @@
 		return "", err
 	}
 	traceForm := "(trace (on false))"
-	level := map[string]string{"-traced": "(level whole)", "-tailless": "(level whole) (tail none)", "-sampled": "(level sampled) (one-in 100)", "-decisions": "(level decisions)"}[traced]
+	level := map[string]string{"-traced": "(level whole)", "-tailless": "(level whole) (tail none)", "-sampled": "(level sampled) (one-in 100)", "-decisions": "(level decisions)"}[levelSuffix]
 	if level != "" {
-		traceForm = fmt.Sprintf("(trace (folder %q) (segment 64MiB) (total 256MiB) %s)", filepath.Join(plan.Out, "trace"+traced), level)
+		traceForm = fmt.Sprintf("(trace (folder %q) (segment 64MiB) (total 256MiB) %s)", filepath.Join(plan.Out, "trace"+levelSuffix), level)
 	}
 	text = fmt.Sprintf(`(edge %s (name "bench") (listen %q) (admin "127.0.0.1:18089") (loops %d) (log warn) (source (file %q)) (workers (connections 4096))
   (product "read" (sla 1s) (expiry 3s) (effect inquiry-like)) (route (product "read"))
@@ -386,7 +389,7 @@
 	return settingsPath, os.WriteFile(settingsPath, []byte(text), 0o644)
 }
 
-// cpuTime returns the CPU time that a process has used, from /proc, in steps of 10 ms.
+// cpuTime returns the CPU time that a process has used according to /proc, at a resolution of 10 ms.
 func cpuTime(pid int) time.Duration {
 	if pid == 0 {
 		return 0
@@ -401,9 +404,9 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// generateLoad sends requests for a span on plan.Conns connections and returns their latencies in microseconds. If rate
-// is 0, each connection sends one request after another; otherwise requests are scheduled ahead, and latency counts from
-// the scheduled time.
+// generateLoad sends requests for the duration span on plan.Conns connections, and returns their latencies in microseconds.
+// If rate is 0, each connection sends one request after another. Otherwise requests are scheduled ahead, and their latency
+// counts from the scheduled time.
 func (plan BenchPlan) generateLoad(address string, size int, span time.Duration, rate float64) (*hdrhistogram.Histogram, error) {
 	all := hdrhistogram.New(1, maxLoadLatencyMicros, 3)
 	var mu sync.Mutex
@@ -498,11 +501,11 @@
 		if r.RatioToEdge > 0 {
 			ratioToEdge = fmt.Sprintf("%.3f (%.3f to %.3f)", r.RatioToEdge, r.MinRatioToEdge, r.MaxRatioToEdge)
 		}
-		ratio := func(to *BenchRow) string {
-			if to == nil || to.PerCoreSecond == 0 || r.PerCoreSecond == 0 {
+		ratio := func(reference *BenchRow) string {
+			if reference == nil || reference.PerCoreSecond == 0 || r.PerCoreSecond == 0 {
 				return "-"
 			}
-			return fmt.Sprintf("%.2f", r.PerCoreSecond/to.PerCoreSecond)
+			return fmt.Sprintf("%.2f", r.PerCoreSecond/reference.PerCoreSecond)
 		}
 		fmt.Fprintf(w, "| %s | %d | %d | %.0f | %s | %s | %s | %.0f | %.0f | %.0f | %.2f |\n", r.Subject, r.Loops, r.AnswerBytes, r.PerCoreSecond,
 			ratio(find("reverse-proxy", r)), ratio(find("gnet", r)), ratioToEdge, r.P50, r.P99, r.AddedP99, r.P99RatioToEdge)
--- a/lab/hostile.go
+++ b/lab/hostile.go
@@ -23,7 +23,7 @@
 	Clients        int     // number of attackers
 	RegularTxns    int     // txns of the regular clients
 	RegularSettled int     // regular txns that settled
-	P50            float64 // latency of the regular txns, in ms
+	P50            float64 // median latency of the regular txns, in ms
 	P99            float64 // in ms
 	RSS            float64 // resident memory of the edge before the attack, in MiB
 	MaxRSS         float64 // maximum during the attack, in MiB
@@ -31,17 +31,17 @@
 	ClosedByEdge   int     // connections of attackers that the edge closed
 }
 
-// attack is a kind of hostile client. run is one client's loop: it lasts until ctx ends at the latest, and counts in closed
-// the connections that the edge closes.
+// attack is a kind of hostile client. run is the loop of one client. It returns when ctx ends or earlier, and adds the
+// connections that the edge closes to closed.
 type attack struct {
 	name    string
 	clients int
 	run     func(ctx context.Context, address string, closed *atomic.Int64)
 }
 
-// holdConnection opens a connection, sends first, and sends more at each interval if more is not empty. It reads and
-// discards the answers if read is set. It returns when ctx ends, or once a read or write shows that the edge has closed the
-// connection.
+// holdConnection opens a connection and sends the text first, then the text more at each interval unless it is empty. If
+// read is set, it reads and discards the answers. It returns when ctx ends, or when a read or write fails because the edge
+// has closed the connection.
 func holdConnection(ctx context.Context, address, first, more string, interval time.Duration, read bool, closed *atomic.Int64) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -79,7 +79,7 @@
 	<-ended
 }
 
-// reconnectLoop calls do with a new connection again and again, until ctx ends.
+// reconnectLoop opens one connection after another until ctx ends, and calls do with each.
 func reconnectLoop(ctx context.Context, address string, do func(c net.Conn)) {
 	for ctx.Err() == nil {
 		c, err := net.Dial("tcp", address)
@@ -96,7 +96,7 @@
 // getRequest is a valid request.
 const getRequest = "GET /ask HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// attacks starts with the case without attackers, for comparison.
+// attacks are the attacks in the order in which they run. The first has no attackers, for comparison.
 var attacks = []attack{
 	{"nobody", 0, nil},
 	{"idle connections", 10000, func(ctx context.Context, address string, closed *atomic.Int64) {
@@ -188,14 +188,14 @@
 		return row, err
 	}
 	defer stop()
-	time.Sleep(300 * time.Millisecond) // the edge reads its worker list
+	time.Sleep(listReadTime)
 	row = HostileRow{Attack: a.name, Clients: a.clients}
-	regular := func(span time.Duration) {
+	measureRegularTxns := func(span time.Duration) {
 		h, settled, sent := plan.sendRegularTxns(address, span)
 		row.RegularTxns, row.RegularSettled = sent, settled
 		row.P50, row.P99 = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000
 	}
-	regular(time.Second) // warm-up
+	measureRegularTxns(time.Second) // warm-up
 	row.RSS = residentMiB(pid)
 	attackCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -218,7 +218,7 @@
 			}
 		}
 	})
-	regular(plan.Span)
+	measureRegularTxns(plan.Span)
 	row.ClosedByEdge = int(closed.Load())
 	cancel()
 	close(stopSampling)
@@ -248,8 +248,8 @@
 	return settingsPath, os.WriteFile(settingsPath, []byte(text), 0o644)
 }
 
-// sendRegularTxns sends 500 txns a second on 20 connections, scheduled ahead. It returns their latencies from the scheduled
-// time in microseconds, and how many settled of those sent.
+// sendRegularTxns sends 500 txns a second on 20 connections, at times scheduled ahead. It returns their latencies from the
+// scheduled time in microseconds, and the numbers of txns settled and sent.
 func (plan BenchPlan) sendRegularTxns(address string, span time.Duration) (latencies *hdrhistogram.Histogram, settled, sent int) {
 	const conns, rate = 20, 500.0
 	latencies = hdrhistogram.New(1, maxLoadLatencyMicros, 3)
