--- a/lab/platform.go
+++ b/lab/platform.go
@@ -19,14 +19,14 @@
 
 const (
 	stepInterval        = 20 * time.Millisecond  // between updates of machines and releases
-	stepsPerSlowdown    = 5                      // steps between updates of the fleet's slowdown, every 100 ms
+	stepsPerSlowdown    = 5                      // steps between updates of the fleet's slowdown (100 ms)
 	streamPollInterval  = 10 * time.Millisecond  // between polls for new lines of a watch
 	bookmarkInterval    = 500 * time.Millisecond // silence of a watch after which a bookmark is sent
 	voteLifetime        = 4 * time.Second        // age up to which a vote counts
 	stalledVoteTimeout  = 5 * time.Second        // how long a stalled platform holds a request with a vote
-	shutdownTimeout     = 2 * time.Second
-	maxVoteBytes        = 64 << 10
-	stageShareTolerance = 1e-9 // rounding error allowed in a number of replicas
+	shutdownTimeout     = 2 * time.Second        // for the requests that are pending at the end of the run
+	maxVoteBytes        = 64 << 10               // size of a vote's request body
+	stageShareTolerance = 1e-9                   // rounding error of a stage's share times the number of replicas
 )
 
 // platform simulates the release platform: it manages workers, builds, stages and caps, counts votes, and serves the REST
@@ -45,28 +45,28 @@
 
 	mu               sync.Mutex
 	replicas         []*replicaState
-	workerChanges    []workerChange // the worker list as a log; an entry's index + 1 is its revision
-	releaseUpdates   []releaseUpdate
-	build            int // number of the newest build
-	previousBuild    int // number of the build that the newest one replaces
+	workerChanges    []workerChange  // log of the worker list; an entry's revision is its index + 1
+	releaseUpdates   []releaseUpdate // log of the release; an entry's revision is its index + 1
+	build            int             // number of the newest build
+	previousBuild    int             // number of the build that the newest one replaces
 	builds           map[int]fleet.Build
 	stage            int
 	phase            string
 	phaseSince       runTime
 	stageReadyAt     runTime            // when all machines of the stage were up; 0: not yet
 	latestVotes      map[int]VoteRecord // by sentry
-	voteTokens       float64            // of the token bucket that limits votes
+	voteTokens       float64            // tokens in the bucket that limits votes
 	tokensRefilledAt runTime
-	stalled          bool                    // whether the platform answers nothing
+	stalled          bool                    // whether the platform makes no progress and answers nothing
 	extraUpdateDelay time.Duration           // of release updates, on top of the day's
 	reports          map[string][]api.Report // reports of wrong answers that are not sent yet, by edge
 	tallies          []scheduledTally
 	talliedAt        runTime
-	stageElapsed     time.Duration // time on the stage's clock, with clocked votes
+	stageElapsed     time.Duration // time on the stage's clock, under the vote rule clocked
 	steppedAt        runTime
 	latestEntries    map[string]api.Worker
 	nextOffer        int                                   // index into the day's offers
-	stateHook        func(state string)                    // called in each state, which lasts until it returns; may be nil
+	stateHook        func(state string)                    // called on entry to each state, which lasts until the call returns; may be nil
 	runningHooks     int                                   // number of running calls of stateHook
 	corruptLine      func(w http.ResponseWriter, line any) // called before each line of a watch is written; may be nil
 	wentBackAt       map[int]runTime                       // when each build first went back
@@ -86,19 +86,19 @@
 	bootingWorker  *worker
 }
 
-// workerChange is a change of the worker list that edges see from a given time on.
+// workerChange is a change of the worker list. Edges receive it from the given time on.
 type workerChange struct {
 	at     runTime
 	worker api.Worker
 }
 
-// scheduledTally is a tally that edges see from a given time on.
+// scheduledTally is a tally. Edges receive it from the given time on.
 type scheduledTally struct {
 	at    runTime
 	tally api.Tally
 }
 
-// releaseUpdate is a state of the newest build's release that edges see from a given time on.
+// releaseUpdate is a state of the newest build's release. Edges receive it from the given time on.
 type releaseUpdate struct {
 	at      runTime
 	release api.Release
@@ -150,7 +150,7 @@
 	p.goroutines.Wait()
 }
 
-// awaitStateHooks waits for the running state hooks, which may still be stopping edges, and lets no other start.
+// awaitStateHooks waits for the running state hooks, which may still be stopping edges, and prevents further calls.
 func (p *platform) awaitStateHooks() {
 	p.mu.Lock()
 	p.stateHook = nil
@@ -158,14 +158,14 @@
 	p.stateHooks.Wait()
 }
 
-// addWorkerChange adds a change to the worker list, which edges see after delay. The caller holds the lock, unless the API
+// addWorkerChange adds a change to the worker list. Edges receive it after delay. The caller holds the lock, unless the API
 // is not served yet.
 func (p *platform) addWorkerChange(delay time.Duration, w *worker, state string) {
 	entry := api.Worker{ID: w.id, Address: w.address, Zone: "lab", Kind: "std", State: state, Weight: 1, Build: w.build.Number,
 		StartedAt: int64(w.startedAt)}
 	visibleAt := p.now() + delay
 	if n := len(p.workerChanges); n > 0 {
-		visibleAt = max(visibleAt, p.workerChanges[n-1].at) // changes stay in order
+		visibleAt = max(visibleAt, p.workerChanges[n-1].at) // keeps changes in order
 	}
 	p.workerChanges = append(p.workerChanges, workerChange{visibleAt, entry})
 }
@@ -191,8 +191,8 @@
 	return "after release"
 }
 
-// runStateHook calls the state hook in a goroutine. The platform stays in the state until the hook returns. The caller holds
-// the lock.
+// runStateHook calls the state hook, if any, in a goroutine. The platform stays in the state until the hook returns. The
+// caller holds the lock.
 func (p *platform) runStateHook() {
 	if p.stateHook == nil {
 		return
@@ -207,7 +207,7 @@
 	})
 }
 
-// addReleaseUpdate adds an update with the current state of the release, which edges see after delay. The caller holds the
+// addReleaseUpdate adds an update with the current state of the release. Edges receive it after delay. The caller holds the
 // lock, unless the API is not served yet.
 func (p *platform) addReleaseUpdate(delay time.Duration) {
 	p.runStateHook()
@@ -226,7 +226,7 @@
 		Phase: p.phase, Cap: exposureCap, Since: int64(p.phaseSince)}})
 }
 
-// logEvent adds a line to the run's log.
+// logEvent adds a line with the current time to the run's events.
 func (p *platform) logEvent(format string, args ...any) {
 	text := fmt.Sprintf("%6.2fs  ", p.now().Seconds()) + fmt.Sprintf(format, args...)
 	p.rec.mu.Lock()
@@ -261,8 +261,8 @@
 func (p *platform) step() {
 	now := p.now()
 	if p.nextOffer < len(p.day.Offers) && now >= p.day.Offers[p.nextOffer].At && p.phase != api.GoingBack && p.runningHooks == 0 {
-		if p.phase == api.OnTrial { // the next build replaces one on trial, which goes back first
-			p.sendBack("the next build is due")
+		if p.phase == api.OnTrial { // the build on trial goes back before the next one is offered
+			p.sendBack("the next build is offered")
 			return
 		}
 		p.offerBuild(p.day.Offers[p.nextOffer])
@@ -291,7 +291,7 @@
 
 // offerBuild puts the next build on trial. The caller holds the lock.
 func (p *platform) offerBuild(offer Offer) {
-	// The new build replaces the released one. After a withdrawal, that is still the build before.
+	// The new build replaces the released one. After a withdrawal, the released one is still previousBuild.
 	if p.phase == api.Released {
 		p.previousBuild = p.build
 	}
@@ -322,7 +322,8 @@
 	p.addWorkerChange(p.day.WorkerListDelay, w, api.Draining)
 }
 
-// stepReplica starts workers that have booted, stops drained ones, and replaces workers as the phase requires.
+// stepReplica starts a worker that has booted, stops one that has drained, and replaces workers as the phase requires. The
+// caller holds the lock.
 func (p *platform) stepReplica(now runTime, replica *replicaState) {
 	if replica.drainingWorker != nil && now >= replica.stopAt {
 		replica.drainingWorker.stop()
@@ -365,7 +366,7 @@
 }
 
 // stepTrial boots the workers of the stage, counts the votes, and advances the release or sends it back. elapsed is the time
-// since the last step.
+// since the last step. The caller holds the lock.
 func (p *platform) stepTrial(now runTime, elapsed time.Duration) {
 	wanted := min(len(p.replicas), int(math.Ceil(p.day.StageShares[p.stage]*float64(len(p.replicas))-stageShareTolerance)))
 	assigned, running := 0, 0
@@ -403,15 +404,15 @@
 			holdVotes++
 		}
 	}
-	advances := onVotes >= p.day.OnVotesNeeded && now-p.stageReadyAt >= p.day.BakeTime
+	stageDone := onVotes >= p.day.OnVotesNeeded && now-p.stageReadyAt >= p.day.BakeTime
 	if p.day.VoteRule == "single" {
-		advances = onVotes >= 1 && now-p.stageReadyAt >= p.day.BakeTime
+		stageDone = onVotes >= 1 && now-p.stageReadyAt >= p.day.BakeTime
 	}
 	if p.day.VoteRule == "clocked" {
 		if holdVotes < p.day.HoldVotesNeeded {
 			p.stageElapsed += elapsed
 		}
-		advances = p.stageElapsed >= p.day.StageTime
+		stageDone = p.stageElapsed >= p.day.StageTime
 	}
 	backVotesNeeded := p.day.BackVotesNeeded
 	if p.day.VoteRule == "single" {
@@ -421,7 +422,7 @@
 	case p.runningHooks > 0: // the state lasts until the hook returns
 	case backVotes >= backVotesNeeded:
 		p.sendBack("voted back")
-	case advances:
+	case stageDone:
 		if p.stage++; p.stage == len(p.day.StageShares) {
 			p.stage--
 			p.phase = api.Released
@@ -448,7 +449,7 @@
 		if replica.bootingWorker != nil && replica.bootingWorker.build.Number == p.build {
 			replica.bootingWorker = nil
 		}
-		// A worker that still runs the previous build stays.
+		// A worker that still runs the previous build keeps serving.
 		if replica.newWorker != nil && replica.newWorker.build.Number != p.build {
 			replica.oldWorker, replica.newWorker = replica.newWorker, nil
 		}
@@ -473,7 +474,7 @@
 	stalled := p.stalled
 	switch {
 	case stalled:
-		record.Counted = p.rng.Intn(2) == 0 // the vote is not answered, but may count nevertheless
+		record.Counted = p.rng.Intn(2) == 0 // the vote may count although it is not answered
 	case p.voteTokens < 1:
 		status = http.StatusTooManyRequests
 	case vote.Build != p.build || p.build == p.previousBuild || p.phase == api.GoingBack || p.phase == api.Withdrawn ||
@@ -523,7 +524,7 @@
 	return event
 }
 
-// parseEdgeIndex returns the index in an edge's name, or -1 if it has none.
+// parseEdgeIndex returns the index that an edge's name contains, or -1.
 func parseEdgeIndex(name string) int {
 	n, err := strconv.Atoi(strings.TrimPrefix(name, "edge-"))
 	if err != nil {
@@ -538,8 +539,8 @@
 		event.Release.Phase, event.Release.Cap}})
 }
 
-// stream writes the lines of a watch until the client closes it. It polls nextLines, with the lock held, for the lines to
-// write, and calls onSent for each line that was written.
+// stream writes the lines of a watch until the client closes it. It polls nextLines with the lock held, writes the lines
+// that it returns, and then calls onSent for each of them.
 func (p *platform) stream(w http.ResponseWriter, r *http.Request, nextLines func() []any, onSent func(line any)) {
 	flusher, canFlush := w.(http.Flusher)
 	if !canFlush || r.URL.Query().Get("watch") == "" {
@@ -588,6 +589,7 @@
 	}
 }
 
+// watchWorkers serves GET /v1/workers.
 func (p *platform) watchWorkers(w http.ResponseWriter, r *http.Request) {
 	edge := parseEdgeIndex(r.URL.Query().Get("edge"))
 	revision, _ := strconv.ParseUint(r.URL.Query().Get("revision"), 10, 64)
@@ -608,13 +610,13 @@
 					event.Workers = append(event.Workers, change.worker)
 				}
 			}
-			remaining := event.Workers[:0]
+			present := event.Workers[:0]
 			for _, entry := range event.Workers {
 				if entry.State != api.Gone {
-					remaining = append(remaining, entry)
+					present = append(present, entry)
 				}
 			}
-			event.Workers = remaining
+			event.Workers = present
 			revision = event.Revision
 			return []any{event}
 		}
@@ -640,6 +642,7 @@
 	})
 }
 
+// watchReleases serves GET /v1/releases.
 func (p *platform) watchReleases(w http.ResponseWriter, r *http.Request) {
 	edge := parseEdgeIndex(r.URL.Query().Get("edge"))
 	var revision uint64
@@ -658,6 +661,7 @@
 	})
 }
 
+// watchReports serves GET /v1/reports.
 func (p *platform) watchReports(w http.ResponseWriter, r *http.Request) {
 	edge := r.URL.Query().Get("edge")
 	p.stream(w, r, func() (lines []any) {
@@ -669,7 +673,7 @@
 	}, func(any) {})
 }
 
-// reportWrongAnswer reports an answer that a client found wrong to the edge that forwarded it.
+// reportWrongAnswer queues a report of a wrong answer for the edge that forwarded it.
 func (p *platform) reportWrongAnswer(edge int, product, worker string, age time.Duration) {
 	p.mu.Lock()
 	name := fmt.Sprintf("edge-%d", edge)
@@ -678,7 +682,7 @@
 	p.mu.Unlock()
 }
 
-// summary returns the builds offered, with the times at which they were released or went back.
+// summary returns the builds offered, with the times from the offer until they were released or went back.
 func (p *platform) summary() []BuildFigures {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -697,7 +701,8 @@
 	return figures
 }
 
-// emitTallies schedules the tallies since the last call, by build and product. The caller holds the lock.
+// emitTallies schedules the tallies since the last emission, by build and product, if TallyInterval has passed. The caller
+// holds the lock.
 func (p *platform) emitTallies(now runTime) {
 	if p.day.TallyInterval == 0 || now-p.talliedAt < p.day.TallyInterval {
 		return
@@ -721,6 +726,7 @@
 	}
 }
 
+// watchTallies serves GET /v1/tallies. A watch starts with the tallies that are emitted after it opens.
 func (p *platform) watchTallies(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	next := len(p.tallies)
