--- a/lab/clients.go
+++ b/lab/clients.go
@@ -27,23 +27,23 @@
 	goroutines        sync.WaitGroup
 	lastTxnID         atomic.Uint64
 	reportWrongAnswer func(edge int, product, worker string, age time.Duration)
-	runtimeRNGLock    sync.Mutex
-	runtimeRNG        *rand.Rand // used by the goroutines of txns, while rng draws the plans in order
+	runtimeRNGMu      sync.Mutex
+	runtimeRNG        *rand.Rand // for the goroutines of txns; rng is used only by run, so that a seed gives the same plans
 
-	// The script of the day changes the next three, which hold the bits of a float.
+	// Faults change the next three, which hold the bits of a float64.
 	rateFactor  atomic.Uint64 // multiplies the rate of txns
 	giveUpShare atomic.Uint64 // share of clients that leave before an answer or their deadline
 	badKeyShare atomic.Uint64 // share of keys whose txns are malformed
 
-	maxSendDelay atomic.Int64 // largest delay of a txn's sending past its scheduled time, in nanoseconds
+	maxSendDelay atomic.Int64 // maximum delay between a txn's scheduled time and its sending, in nanoseconds
 }
 
-// edgeEndpoint is an edge as its clients see it, with its idle connections.
+// edgeEndpoint is the address of an edge, with the clients' idle connections to it.
 type edgeEndpoint struct {
 	index       int
 	address     string
 	weight      float64
-	incarnation atomic.Int64 // number of the process now running
+	incarnation atomic.Int64 // number of the running process
 	mu          sync.Mutex
 	idle        []*clientConn
 }
@@ -52,10 +52,13 @@
 type clientConn struct {
 	net.Conn
 	reader   *bufio.Reader
-	requests int
+	requests int // sent so far
 }
 
-func loadFloat(a *atomic.Uint64) float64     { return math.Float64frombits(a.Load()) }
+// loadFloat returns a float64 that is stored as its bits.
+func loadFloat(a *atomic.Uint64) float64 { return math.Float64frombits(a.Load()) }
+
+// storeFloat stores a float64 as its bits.
 func storeFloat(a *atomic.Uint64, v float64) { a.Store(math.Float64bits(v)) }
 
 func newClients(day *Day, rec *Record, now func() runTime, reportWrongAnswer func(int, string, string, time.Duration)) *clients {
@@ -102,6 +105,7 @@
 	malformed     bool
 }
 
+// drawTxn makes the random choices of the next txn.
 func (c *clients) drawTxn() txnPlan {
 	plan := txnPlan{key: 1 + c.keyDistribution.Uint64()}
 	x := c.rng.Float64()
@@ -121,7 +125,7 @@
 	if c.rng.Float64() < loadFloat(&c.giveUpShare) {
 		plan.leaveAfter = time.Duration((0.1 + 0.8*c.rng.Float64()) * float64(p.SLA))
 	}
-	// Decided by key, as in practice: all txns of a key are malformed, or none.
+	// The key decides, as in practice: either all txns of a key are malformed or none.
 	plan.malformed = float64(plan.key*0x9e3779b97f4a7c15>>40)/(1<<24) < loadFloat(&c.badKeyShare)
 	return plan
 }
@@ -142,7 +146,7 @@
 	return c.edges[len(c.edges)-1]
 }
 
-// runTxn sends a txn, and retries it where that is safe, as clients do.
+// runTxn sends a txn, and retries it where that is safe.
 func (c *clients) runTxn(plan txnPlan) {
 	product := &c.day.Products[plan.product]
 	firstSentAt := c.now()
@@ -159,8 +163,8 @@
 		record.Revenue = product.Revenue
 		retryAfter := c.sendTry(plan, record)
 		c.rec.addTxn(record)
-		// A once-only txn is retried only if the edge was not reached or has declined it. A referenced one is retried while
-		// workers are sure to recognize it as a duplicate.
+		// A once-only txn is retried only if the edge was not reached or has declined it. A referenced txn is retried only
+		// while workers are sure to recognize it as a duplicate.
 		mayRetry := record.Failure == "refused" || record.Outcome == "declined" ||
 			product.Effect == "inquiry-like" && record.Status != 200 && record.LeftAt == 0 && !plan.malformed ||
 			product.Effect == "referenced" && record.Status != 200 && record.LeftAt == 0 && !plan.malformed &&
@@ -188,21 +192,21 @@
 	}
 	record.ReusedConn = conn.requests > 0
 	conn.requests++
-	// Waiting slightly past the deadline distinguishes an answer that is a little late from none.
+	// Waiting slightly past the deadline distinguishes a late answer from none.
 	wait := record.Deadline - c.now() + answerTolerance
 	if plan.leaveAfter > 0 {
 		wait = plan.leaveAfter
 	}
 	conn.SetDeadline(time.Now().Add(wait))
-	method, length := "GET", ""
+	method, lengthHeader := "GET", ""
 	if product.Effect != "inquiry-like" || product.BodyBytes > 0 {
-		method, length = "POST", "Content-Length: "+strconv.Itoa(product.BodyBytes)+"\r\n"
+		method, lengthHeader = "POST", "Content-Length: "+strconv.Itoa(product.BodyBytes)+"\r\n"
 	}
 	extraHeaders := ""
 	if product.Effect == "referenced" {
 		extraHeaders = fmt.Sprintf("Idempotency-Key: %d\r\n", record.FirstTryID)
 	}
-	if product.Effect != "inquiry-like" { // as where orders are traced: retries carry the trace ID of the first try
+	if product.Effect != "inquiry-like" { // as clients do that trace orders: retries carry the trace ID of the first try
 		extraHeaders += fmt.Sprintf("traceparent: 00-%016x%016x-%016x-01\r\n", uint64(c.day.Seed)+1, record.FirstTryID, record.ID)
 	}
 	malformedHeader := ""
@@ -210,7 +214,7 @@
 		malformedHeader = "Lab-Bad: 1\r\n"
 	}
 	head := fmt.Sprintf("%s /%s/%d HTTP/1.1\r\nHost: lab\r\n%s%sLab-Txn: %d\r\nLab-Edge: %d\r\nLab-Key: %d\r\nLab-Product: %d\r\n"+
-		"Lab-Work-Ns: %d\r\nLab-Cost-Ms: %.3f\r\n%sx-envoy-upstream-rq-timeout-ms: %d\r\n\r\n", method, product.Name, plan.key, length,
+		"Lab-Work-Ns: %d\r\nLab-Cost-Ms: %.3f\r\n%sx-envoy-upstream-rq-timeout-ms: %d\r\n\r\n", method, product.Name, plan.key, lengthHeader,
 		extraHeaders, record.ID, plan.edge.index, plan.key, plan.product, int64(plan.work), float64(plan.costHint)/1e6, malformedHeader,
 		(record.Deadline-record.SentAt)/time.Millisecond)
 	request := append(make([]byte, 0, len(head)+product.BodyBytes), head...)
@@ -258,12 +262,12 @@
 
 // randFloat returns a random number in [0, 1). It is safe for concurrent use.
 func (c *clients) randFloat() float64 {
-	c.runtimeRNGLock.Lock()
-	defer c.runtimeRNGLock.Unlock()
+	c.runtimeRNGMu.Lock()
+	defer c.runtimeRNGMu.Unlock()
 	return c.runtimeRNG.Float64()
 }
 
-// recordFailure records a txn whose connection ended or whose client stopped waiting.
+// recordFailure records that a txn's connection ended or that its client stopped waiting, and closes the connection.
 func (c *clients) recordFailure(conn *clientConn, record *TxnRecord, err error, plan txnPlan) {
 	conn.Close()
 	if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
@@ -304,13 +308,14 @@
 	return idle
 }
 
+// putIdle keeps a connection for reuse.
 func (e *edgeEndpoint) putIdle(c *clientConn) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.idle = append(e.idle, c)
 }
 
-// closeIdle closes all idle connections, for an edge that has stopped.
+// closeIdle closes all idle connections. It is called after the edge has stopped.
 func (e *edgeEndpoint) closeIdle() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/lab/record.go
+++ b/lab/record.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// runTime is a time on the run's clock, or a span of it, in nanoseconds since the run's start. Clients, workers and the
-// platform share this clock.
+// runTime is a time on the run's clock, or a duration. The clock counts from the start of the day. Clients, workers and the
+// platform share it.
 type runTime = time.Duration
 
 // TxnRecord is one try of a txn as its client saw it. A time of 0 means that the event did not happen.
@@ -23,12 +23,12 @@
 	LeftAt        runTime // when the client closed the connection
 	Status        int
 	Outcome       string // declined or voided, from the edge's response header
-	Failure       string // refused: no connection; broken: the connection ended without an answer
+	Failure       string // refused: no connection to the edge; broken: the connection ended without an answer
 	ReusedConn    bool   // whether the connection had carried earlier txns
 	ExtraBytes    bool   // whether bytes followed the answer
 	ForeignAnswer bool   // whether the answer belongs to another txn
-	Malformed     bool   // whether the client sent a request that every worker fails
-	Build         int    // build that answered; 0: unknown
+	Malformed     bool   // whether the request is one that fails at every worker
+	Build         int    // number of the build that answered; 0: unknown
 	WrongAnswer   bool   // whether the content of the answer was wrong
 	IsRetry       bool
 	Revenue       float64
@@ -42,26 +42,27 @@
 	Build           int
 	WorkerStartedAt runTime
 	ReceivedAt      runTime
-	TookEffect      bool // the worker started the job, so its effect took place
-	Duplicate       bool // answered as a duplicate, without running the job
-	Rejected        bool // turned away before the worker read the txn
-	Result          string
+	TookEffect      bool   // whether the worker started the job, so that its effect took place
+	Duplicate       bool   // whether the worker answered the submission as a duplicate, without running the job
+	Rejected        bool   // whether the worker refused the submission without reading it
+	Result          string // ok, failed, wrong, dropped, garbage, cancelled, bad, turned-away, silent or down; empty while it runs
 	FinishedAt      runTime
 }
 
-// EdgeUpdate is one update that the platform sent to an edge. At is when its bytes were written.
+// EdgeUpdate is one update that the platform sent to an edge: the start of a full worker list, an entry of a list, or a
+// release state.
 type EdgeUpdate struct {
 	Edge     int
-	At       runTime
-	FullList bool // marks the start of a full worker list; workers not on it are gone
+	At       runTime // when the update was written to the connection
+	FullList bool    // whether a full worker list follows; workers not on it are gone
 	Worker   string
 	State    string
 	Started  runTime
 	Build    int
-	Release  *ReleaseState
+	Release  *ReleaseState // nil: the update is on workers
 }
 
-// ReleaseState is the state of the newest build's release as sent to an edge.
+// ReleaseState is the state of the newest build's release that an edge was sent.
 type ReleaseState struct {
 	Build, Stage int
 	Phase        string
@@ -93,7 +94,7 @@
 	Verdict string
 	Build   int
 	Stage   int
-	Counted bool
+	Counted bool // whether the platform accepted the vote
 }
 
 // Record holds everything that went over the sockets of a run. Its methods are safe for concurrent use.
@@ -105,9 +106,9 @@
 	Incarnations     []Incarnation
 	OverloadFailures []OverloadFailure
 	Votes            []VoteRecord
-	Marks            []string // log of the run for the report
+	Marks            []string // lines of the run's log, for the report
 	builds           []BuildFigures
-	maxSendDelay     time.Duration // largest delay of a txn's sending past its scheduled time
+	maxSendDelay     time.Duration // maximum delay between a txn's scheduled time and its sending
 }
 
 func (r *Record) addTxn(t *TxnRecord) {
--- a/lab/workers.go
+++ b/lab/workers.go
@@ -15,12 +15,12 @@
 	"dunegrade/fleet"
 )
 
-// submissionDecay is the factor by which counts of recent submissions shrink at each call of updateSlowdown. At 10 calls a
-// second, submissions count for about a second.
+// submissionDecay multiplies the counts of recent submissions at each call of updateSlowdown. At 10 calls a second, a
+// submission counts for about a second.
 const submissionDecay = 0.9
 
-// workerFleet holds all workers of a run, which serve HTTP on loopback sockets. One lock guards all their machines, which
-// are models and return at once.
+// workerFleet holds all workers of a run, which serve HTTP on loopback sockets. One lock guards all their machines; they
+// are simulated and never block.
 type workerFleet struct {
 	day               *Day
 	rec               *Record
@@ -43,37 +43,37 @@
 // tally counts a sample of the answers of one build to one product since the platform last sent its tallies.
 type tally struct {
 	answers, failures int
-	totalTime         time.Duration // of the answers that are no failures
+	totalTime         time.Duration // of the answers that did not fail
 }
 
 // worker is one worker process of the fleet.
 type worker struct {
-	fleet        *workerFleet
-	id           string
-	replica      int
-	address      string
-	build        fleet.Build
-	speed        float64
-	fault        fleet.MachineFault
-	listener     net.Listener
-	machine      *fleet.Machine
-	startedAt    runTime // 0: before the run, hence warm
-	running      bool
-	silent       bool          // accepts connections and requests, but processes and answers none
-	garbageRate  float64       // share of the answers that are not HTTP
-	connectDelay time.Duration // before a new connection is served
-	rng          *rand.Rand
-	conns        map[*edgeConn]bool
-	jobs         map[uint64]*job
-	timer        *time.Timer
-	overloaded   bool // whether its failure from overload has been recorded
+	fleet           *workerFleet
+	id              string
+	replica         int // index of the replica that the worker serves as
+	address         string
+	build           fleet.Build
+	speed           float64
+	fault           fleet.MachineFault
+	listener        net.Listener
+	machine         *fleet.Machine
+	startedAt       runTime // 0: before the run, so the worker is warm
+	running         bool
+	silent          bool          // whether the worker accepts connections but neither processes nor answers requests
+	garbageRate     float64       // share of the answers that are not HTTP
+	connectDelay    time.Duration // until a new connection is served
+	rng             *rand.Rand
+	conns           map[*edgeConn]bool
+	jobs            map[uint64]*job
+	timer           *time.Timer // fires when the next job ends
+	failureRecorded bool        // whether the worker's failure from overload has been recorded
 }
 
 // job is a submission that the machine has accepted.
 type job struct {
 	submission *SubmissionRecord
 	conn       *edgeConn // nil: closed by the edge
-	isHead     bool
+	isHead     bool      // whether the request is a HEAD request, whose response has no body
 }
 
 // edgeConn is one connection from an edge.
@@ -99,7 +99,8 @@
 	return w
 }
 
-// start makes the worker listen and serve. It warms up first if cold is set. A restarted worker keeps its address.
+// start makes the worker listen and serve. If cold is set, it starts at its cold capacity. A restarted worker keeps its
+// address.
 func (w *worker) start(cold bool) error {
 	address := w.address
 	if address == "" {
@@ -111,7 +112,7 @@
 	}
 	w.fleet.mu.Lock()
 	defer w.fleet.mu.Unlock()
-	w.address, w.listener, w.running, w.silent, w.overloaded = ln.Addr().String(), ln, true, false, false
+	w.address, w.listener, w.running, w.silent, w.failureRecorded = ln.Addr().String(), ln, true, false, false
 	w.startedAt = 0
 	if cold {
 		w.startedAt = max(1, w.fleet.now())
@@ -148,6 +149,7 @@
 	clear(w.jobs)
 }
 
+// reset closes the connection with a TCP reset.
 func (c *edgeConn) reset() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -165,8 +167,8 @@
 	}
 }
 
-// setSilent makes the worker unresponsive, or responsive again. In the latter case its connections are reset and the jobs
-// that it holds are lost.
+// setSilent makes the worker unresponsive, or responsive again. When it becomes responsive, its connections are reset and
+// its jobs are lost.
 func (w *worker) setSilent(silent bool) {
 	w.fleet.mu.Lock()
 	defer w.fleet.mu.Unlock()
@@ -210,8 +212,8 @@
 	}
 }
 
-// serve reads requests; the answers are written when the machine completes the jobs. While a job is pending, the next read
-// detects that the edge closes the connection.
+// serve reads requests. The responses are written when the machine completes the jobs. While a job is pending, the next
+// read detects that the edge has closed the connection.
 func (w *worker) serve(c *edgeConn) {
 	in := bufio.NewReader(c)
 	for {
@@ -253,8 +255,9 @@
 	c.currentJob = 0
 }
 
-// isReset reports whether the edge has reset the connection. A request can wait in the socket buffer while the worker
-// delays a new connection, and reads like any other request long after the edge has cancelled it.
+// isReset reports whether the edge has reset the connection. While the worker delays a new connection, its first request
+// waits in the socket buffer. It can still be read after the edge has cancelled it, so the read alone does not detect the
+// cancellation.
 func (c *edgeConn) isReset() bool {
 	t, ok := c.Conn.(*net.TCPConn)
 	if !ok {
@@ -326,8 +329,8 @@
 		record.Rejected, record.Result = true, "turned-away"
 		reply = formatResponse(503, "Dunegrade-Unseen: 1\r\n", nil, record, w, false, j.isHead)
 	case fleet.MachineDown:
-		if !w.overloaded {
-			w.overloaded = true
+		if !w.failureRecorded {
+			w.failureRecorded = true
 			workByEdge := map[int]time.Duration{}
 			for edge, sum := range w.machine.RecentWork() {
 				workByEdge[edge] = time.Duration(sum)
@@ -354,7 +357,7 @@
 	}
 }
 
-// pendingResponse is a response to be written once the fleet's lock is released.
+// pendingResponse is a response that is written after the fleet's lock has been released.
 type pendingResponse struct {
 	conn *edgeConn
 	data []byte
@@ -396,7 +399,7 @@
 	}
 }
 
-// completeJob records the end of a job and passes its response to send. The caller holds the fleet's lock.
+// completeJob records the end of a job, and passes its response, if any, to send. The caller holds the fleet's lock.
 func (w *worker) completeJob(done fleet.CompletedJob, send func(*edgeConn, []byte)) {
 	j := w.jobs[done.ID]
 	if j == nil {
@@ -442,28 +445,30 @@
 	send(c, formatResponse(status, "", &load, record, w, wrongAnswer, j.isHead))
 }
 
+// responseBody is the body of every response.
 var responseBody = []byte("0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcde\n")
 
-func formatResponse(status int, extra string, load *fleet.LoadReport, record *SubmissionRecord, w *worker, wrongAnswer, isHead bool) []byte {
-	out := make([]byte, 0, 512)
-	out = fmt.Appendf(out, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\nLab-Txn: %d\r\nLab-Build: %d\r\nLab-Worker: %s\r\n%s", status,
-		http.StatusText(status), len(responseBody), record.Txn, w.build.Number, w.id, extra)
+// formatResponse returns an HTTP response. extraHeaders holds complete header lines, and load may be nil.
+func formatResponse(status int, extraHeaders string, load *fleet.LoadReport, record *SubmissionRecord, w *worker, wrongAnswer, isHead bool) []byte {
+	response := make([]byte, 0, 512)
+	response = fmt.Appendf(response, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\nLab-Txn: %d\r\nLab-Build: %d\r\nLab-Worker: %s\r\n%s", status,
+		http.StatusText(status), len(responseBody), record.Txn, w.build.Number, w.id, extraHeaders)
 	if wrongAnswer {
-		out = append(out, "Lab-Wrong: 1\r\n"...)
+		response = append(response, "Lab-Wrong: 1\r\n"...)
 	}
 	if load != nil {
-		out = fmt.Appendf(out, "endpoint-load-metrics: TEXT cpu_utilization=%.3f, named_metrics.queue=%.0f, named_metrics.busy=%.0f\r\n",
+		response = fmt.Appendf(response, "endpoint-load-metrics: TEXT cpu_utilization=%.3f, named_metrics.queue=%.0f, named_metrics.busy=%.0f\r\n",
 			load.Util, load.Queue, load.Busy)
 	}
-	out = append(out, "\r\n"...)
+	response = append(response, "\r\n"...)
 	if !isHead {
-		out = append(out, responseBody...)
+		response = append(response, responseBody...)
 	}
-	return out
+	return response
 }
 
-// updateSlowdown sets the slowdown that a build with the flaw SlowsFleet causes on all machines, in proportion to its share
-// of the recent traffic. It is called every 100 ms.
+// updateSlowdown sets the slowdown of all machines that a build with the flaw SlowsFleet causes, in proportion to the
+// build's share of the recent submissions. It is called every 100 ms.
 func (f *workerFleet) updateSlowdown() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
