--- a/lab/compare.go
+++ b/lab/compare.go
@@ -18,7 +18,7 @@
 }
 
 // RunComparison performs all runs at the same time, each with its own fleet, so that a busy machine affects all of them
-// alike. It writes their reports and returns their figures in order.
+// alike. It writes their reports and returns their figures in the order of runs.
 func SideBySide(ctx context.Context, runs []Contender) ([]*Figures, error) {
 	figures, errs := make([]*Figures, len(runs)), make([]error, len(runs))
 	var group sync.WaitGroup
@@ -52,7 +52,7 @@
 	return total
 }
 
-// WriteComparisonTable writes the figures of runs as a table in markdown.
+// WriteComparisonTable writes the figures of runs as a Markdown table.
 func Markdown(w io.Writer, rows []*Figures) {
 	fmt.Fprintln(w, "| day | seed | edge | txns | revenue in time | worst 5 s | harm | bad builds back after | good builds released after | submissions per txn | rules violated |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
--- a/lab/embed.go
+++ b/lab/embed.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// embeddedDays holds the days that are built into the program.
+// embeddedDays holds the files of the days that are built into the program.
 //
 //go:embed days/*.sexp
 var embeddedDays embed.FS
--- a/lab/importer.go
+++ b/lab/importer.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// benchDay holds the imported fields of a day that the simulation bench has generated. Times are in microseconds.
+// benchDay holds the fields that are imported from a day of the simulation bench. Times are in microseconds.
 type benchDay struct {
 	Site             string   `json:"site"`
 	Kind             string   `json:"kind"`
@@ -76,24 +76,23 @@
 		Mode      string  `json:"how"`
 	} `json:"troubles"`
 	Rollout struct {
-		Replicas         int       `json:"places"`
-		BakeTime         float64   `json:"bake"`
-		BesideOld        bool      `json:"beside"`
-		BootTime         float64   `json:"boot"`
-		ExposureByClass  bool      `json:"by_class"`
-		VotesPerSecond   float64   `json:"calls_per_s"`
-		Caps             []float64 `json:"caps"`
-		VoteRule         string    `json:"control"`
-		DrainTime        float64   `json:"drain"`
-		WrongReportShare float64   `json:"flag_share"`
-		WrongReportDelay float64   `json:"flag_late"`
-		FreeSubmissions  float64   `json:"free"`
-		GuardedStages    int       `json:"guarded"`
-		OneWayKeys       bool      `json:"one_way"`
-		PushInterval     float64   `json:"push"`
-		StageTime        float64   `json:"step"`
-		TallyInterval    float64   `json:"tally"`
-
+		Replicas           int       `json:"places"`
+		BakeTime           float64   `json:"bake"`
+		BesideOld          bool      `json:"beside"`
+		BootTime           float64   `json:"boot"`
+		ExposureByClass    bool      `json:"by_class"`
+		VotesPerSecond     float64   `json:"calls_per_s"`
+		Caps               []float64 `json:"caps"`
+		VoteRule           string    `json:"control"`
+		DrainTime          float64   `json:"drain"`
+		WrongReportShare   float64   `json:"flag_share"`
+		WrongReportDelay   float64   `json:"flag_late"`
+		FreeSubmissions    float64   `json:"free"`
+		GuardedStages      int       `json:"guarded"`
+		OneWayKeys         bool      `json:"one_way"`
+		PushInterval       float64   `json:"push"`
+		StageTime          float64   `json:"step"`
+		TallyInterval      float64   `json:"tally"`
 		TallySampleShare   float64   `json:"tally_sample"`
 		ReleaseUpdateDelay float64   `json:"told_late"`
 		Window             float64   `json:"window"`
@@ -122,16 +121,16 @@
 	return (time.Duration(v) * time.Microsecond).Round(10 * time.Microsecond)
 }
 
-// importedFlaws maps the bench's flaws of builds to those of package fleet. A strength of 0 to 1 is scaled linearly to the
-// range from minStrength to maxStrength.
+// importedFlaws maps the bench's flaws of builds to those of package fleet. The bench's strengths from 0 to 1 map linearly
+// to the range from minStrength to maxStrength.
 var importedFlaws = map[string]struct {
 	kind                     string
 	minStrength, maxStrength float64
 }{"": {"good", 0, 0}, "errors": {"errors", 0.04, 0.36}, "slow": {"slow", 1.7, 3.7}, "class": {"product", 0.25, 0.9}, "load": {"load", 1.7, 3.7},
 	"late": {"late", 0.04, 0.36}, "wrong": {"wrong", 0.04, 0.36}, "shared": {"slows-all", 1.5, 3}}
 
-// ImportDay converts a day that the bench has generated into the text of a day of this package, within the given limits. It
-// lists what cannot be converted in comments at the head of the text, and returns the same list in omitted.
+// ImportDay reads a day of the simulation bench from a file and converts it to the text of a day of this package, within
+// the given limits. Comments at the head of the text list everything that could not be converted, as does omitted.
 func Import(path string, limits Scales) (text string, omitted []string, err error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -164,7 +163,8 @@
 	for _, class := range d.Classes {
 		workSum, shareSum = workSum+class.Share*class.Work, shareSum+class.Share
 	}
-	// The load of each machine is kept; limits.Rate, which one computer can generate, bounds the number of machines.
+	// The load per machine stays that of the bench's day. limits.Rate bounds the number of machines, because one computer can
+	// only generate a limited rate.
 	ratePerMachine := d.Traffic.Load * float64(kind.Cores) * speedSum / float64(len(d.Servers)) * 1e6 / (workSum / shareSum)
 	machines = max(3, min(machines, int(limits.Rate/ratePerMachine)))
 	rate := ratePerMachine * float64(machines)
