--- a/lab/checker_test.go
+++ b/lab/checker_test.go
@@ -8,20 +8,22 @@
 
 const ms = time.Millisecond
 
+// checkDay is the day of the records that the tests check.
 const checkDay = `(day "check" (length 20s) (fleet (machines 4) (cold 3s)) (traffic (rate 10))
   (product "ask" (share 40%) (sla 200ms) (expiry 1s) (effect inquiry-like))
   (product "book" (share 30%) (sla 200ms) (expiry 1s) (effect referenced) (memory 500ms))
   (product "pay" (share 30%) (sla 200ms) (expiry 1s) (effect once-only))
   (platform (stages 0.1 1) (slack 1) (window 4s) (free 2) (one-way true) (guarded-stages 1) (grace 500ms)))`
 
-// Indexes of the products of checkDay.
+// Indexes of the products of checkDay. The txns of compliantRecord have them in turn.
 const (
 	ask = iota
 	book
 	pay
 )
 
-// compliantRecord returns a record without violations: of an edge, two workers of build 1 and one of build 2 on trial.
+// compliantRecord returns checkDay and a record of it without violations, with one edge, two workers of build 1 and one of
+// build 2, which is on trial.
 func compliantRecord(t *testing.T) (*Day, *Record) {
 	day, err := ParseDay("check.sexp", checkDay)
 	if err != nil {
@@ -35,7 +37,7 @@
 		txn := &TxnRecord{ID: uint64(i + 1), FirstTryID: uint64(i + 1), Product: i % 3, Key: uint64(i % 7), SentAt: sentAt,
 			Deadline: sentAt + time.Second, AnsweredAt: sentAt + 30*ms, Status: 200, Build: 1}
 		worker, build := "old1", 1
-		if i%30 == 0 { // a txn of product ask
+		if i%30 == 0 { // always a txn of product ask
 			worker, build, txn.Build, txn.Key = "new", 2, 2, uint64(1000+i)
 		}
 		rec.Txns = append(rec.Txns, txn)
@@ -82,9 +84,9 @@
 		}},
 		{"late answer", 1, "after the client's patience", func(r *Record) { r.Txns[4].AnsweredAt = r.Txns[4].Deadline + 200*ms }},
 		{"two answers", 1, "more than one answer", func(r *Record) { r.Txns[4].ExtraBytes = true }},
-		{"another's answer", 1, "another txn's", func(r *Record) { r.Txns[4].ForeignAnswer = true }},
-		{"sent after its end", 1, "after its end", func(r *Record) { r.addExtraSubmission(3, 500*ms, "old1", 1) }},
-		{"a killed edge excuses only its own", 1, "ended without an answer", func(r *Record) {
+		{"answer of another txn", 1, "another txn's", func(r *Record) { r.Txns[4].ForeignAnswer = true }},
+		{"submission after the txn has ended", 1, "after its end", func(r *Record) { r.addExtraSubmission(3, 500*ms, "old1", 1) }},
+		{"another edge was killed", 1, "ended without an answer", func(r *Record) {
 			r.Incarnations = append(r.Incarnations, Incarnation{Edge: 1, Number: 1, StartedAt: 0,
 				EndedAt: r.Txns[4].SentAt + 10*ms, Killed: true})
 			r.Txns[4].AnsweredAt, r.Txns[4].Failure = 0, "broken"
@@ -93,15 +95,15 @@
 		{"once-only declined after it was sent", 2, "declined though it may have run", func(r *Record) {
 			r.Txns[2].Status, r.Txns[2].Outcome = 503, "declined"
 		}},
-		{"once-only effect twice by a client's retry", 2, "took place 2 times", func(r *Record) { r.Txns[5].FirstTryID = r.Txns[2].FirstTryID }},
-		{"referenced beyond its memory", 2, "workers remember", func(r *Record) {
+		{"once-only effect took place twice through a client's retry", 2, "took place 2 times", func(r *Record) { r.Txns[5].FirstTryID = r.Txns[2].FirstTryID }},
+		{"referenced txn sent again after the dedup memory", 2, "workers remember", func(r *Record) {
 			r.addExtraSubmission(1, 700*ms, "old2", 1)
 			r.Txns[1].AnsweredAt = r.Txns[1].SentAt + 800*ms
 		}},
-		{"draining", 3, "after the edge was informed", func(r *Record) {
+		{"submission to a draining worker", 3, "after the edge was informed", func(r *Record) {
 			r.Updates = append(r.Updates, EdgeUpdate{At: 4 * time.Second, Worker: "old1", State: "draining"})
 		}},
-		{"missing from a whole list", 3, "after the edge was informed", func(r *Record) {
+		{"submission to a worker missing from a full list", 3, "after the edge was informed", func(r *Record) {
 			r.Updates = append(r.Updates, EdgeUpdate{At: 4 * time.Second, FullList: true}, EdgeUpdate{At: 4 * time.Second, Worker: "old2", State: "up"})
 		}},
 		{"cold worker overloaded", 4, "was pushed over", func(r *Record) {
@@ -110,21 +112,21 @@
 		{"cold worker overloaded, mostly by informed edges", 4, "was pushed over", func(r *Record) {
 			r.OverloadFailures = []OverloadFailure{{"new", 1, 5 * time.Second, map[int]time.Duration{0: 2 * time.Second, 1: time.Second}}}
 		}},
-		{"over the cap", 5, "allowed", func(r *Record) {
+		{"exposure over the cap", 5, "allowed", func(r *Record) {
 			for i := 3; i < 60; i += 3 {
 				r.Submissions[i].Worker, r.Submissions[i].Build = "new", 2
 			}
 		}},
-		{"a build not announced counts as in its first stage", 5, "allowed", func(r *Record) {
+		{"exposure of an unannounced build over the first cap", 5, "allowed", func(r *Record) {
 			for i := 3; i < 60; i += 3 {
 				r.Submissions[i].Worker, r.Submissions[i].Build = "new", 3
 			}
 		}},
-		{"at a cap of 0", 5, "at a cap of 0", func(r *Record) {
+		{"submission at a cap of 0", 5, "at a cap of 0", func(r *Record) {
 			r.Updates = append(r.Updates, EdgeUpdate{At: 2 * time.Second, Release: &ReleaseState{2, 0, "going-back", 0}})
 		}},
-		{"an effect in a guarded stage", 5, "guarded stage", func(r *Record) { r.Submissions[31].Build, r.Submissions[31].Worker = 2, "new" }},
-		{"a key that the new build has answered", 5, "answered by build 2", func(r *Record) { r.Txns[40].Key = r.Txns[30].Key }},
+		{"txn with an effect in a guarded stage", 5, "guarded stage", func(r *Record) { r.Submissions[31].Build, r.Submissions[31].Worker = 2, "new" }},
+		{"key sent back to the old build", 5, "answered by build 2", func(r *Record) { r.Txns[40].Key = r.Txns[30].Key }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d, r := compliantRecord(t)
@@ -136,7 +138,7 @@
 				}
 			}
 			if len(violations) == 0 || !strings.Contains(violations[0].Text, c.text) {
-				t.Errorf("got %v, want %q", violations, c.text)
+				t.Errorf("got violations %v, want the first to contain %q", violations, c.text)
 			}
 			if len(violations) > 0 && c.rule != 4 && len(violations[0].History) < 2 {
 				t.Errorf("violation without the txn's events: %v", violations[0])
@@ -145,8 +147,9 @@
 	}
 }
 
-// TestCheckerExcuses guards against a checker that blames an edge for what it could not know or prevent.
-func TestCheckerExcuses(t *testing.T) {
+// TestCheckerAcceptsUnavoidableEvents guards against a checker that reports a violation where the edge could not know or
+// prevent the event.
+func TestCheckerAcceptsUnavoidableEvents(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(r *Record)
@@ -155,17 +158,17 @@
 			r.Incarnations[0].EndedAt, r.Incarnations[0].Killed = r.Txns[199].SentAt+10*ms, true
 			r.Txns[199].AnsweredAt, r.Txns[199].Failure = 0, "broken"
 		}},
-		{"a client that wrote as an idle connection closed", func(r *Record) {
+		{"txn sent while a stopping edge closed its idle connection", func(r *Record) {
 			r.Incarnations[0].StopRequestedAt, r.Incarnations[0].EndedAt = r.Txns[199].SentAt-5*ms, r.Txns[199].SentAt+50*ms
 			r.Txns[199].AnsweredAt, r.Txns[199].Failure = 0, "broken"
 			r.Submissions = r.Submissions[:199]
 		}},
-		{"a worker that is up again", func(r *Record) {
+		{"submission to a worker that is up again", func(r *Record) {
 			r.Updates = append(r.Updates, EdgeUpdate{At: 4 * time.Second, Worker: "old2", State: "gone"},
 				EdgeUpdate{At: 6 * time.Second, Worker: "old2", State: "up", Started: 9})
 			r.Submissions[199].Worker = "old2"
 		}},
-		{"a key after the build went back", func(r *Record) {
+		{"key sent to the old build after the new one went back", func(r *Record) {
 			r.Updates = append(r.Updates, EdgeUpdate{At: 9 * time.Second, Release: &ReleaseState{2, 0, "going-back", 0}})
 			r.Txns[199].Key = r.Txns[30].Key
 			r.Submissions[180].Build = 1
@@ -184,8 +187,9 @@
 	}
 }
 
-func TestDayRefused(t *testing.T) {
-	for _, c := range []struct{ from, to, want string }{
+// TestParseDayRejectsInvalidDays guards against a day with an inconsistent or misspelt setting that runs anyway.
+func TestParseDayRejectsInvalidDays(t *testing.T) {
+	for _, c := range []struct{ original, replacement, want string }{
 		{"(share 40%)", "(share 50%)", "shares that sum to 1"},
 		{"(stages 0.1 1)", "(stages 0.5 0.5)", "stages that rise"},
 		{"(memory 500ms)", "", "(memory ...)"},
@@ -194,8 +198,8 @@
 		{"(traffic", "(trouble flood) (traffic", "one of bad-requests"},
 		{"(traffic", `(offer (flaw product) (product "x")) (traffic`, "with the name of one"},
 	} {
-		if _, err := ParseDay("d", strings.Replace(checkDay, c.from, c.to, 1)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: got %v", c.to, err)
+		if _, err := ParseDay("d", strings.Replace(checkDay, c.original, c.replacement, 1)); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%q instead of %q: got error %v, want %q", c.replacement, c.original, err, c.want)
 		}
 	}
 }
--- a/lab/days_test.go
+++ b/lab/days_test.go
@@ -18,7 +18,7 @@
 	"dunegrade/trace"
 )
 
-// TestMain runs an edge instead of the tests if LAB_EDGE is set: a day starts the test binary as its edge processes.
+// TestMain runs an edge instead of the tests if LAB_EDGE is set, because a day starts the test binary as its edge processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("LAB_EDGE") != "" {
 		os.Exit(edge.Serve(os.Args[1]))
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// shortDay is a format with the day's name, its length, and its offers and faults.
+// shortDay is a format string for a day; its arguments are the day's name, its length, and its offers and faults.
 const shortDay = `(day %q (seed 3) (length %s) (sentries (processes 2))
   (fleet (machines 6) (cores 2) (slots 24) (cold 1500ms) (cold-from 0.35) (boot 300ms))
   (product "read" (share 55%%) (work 10ms) (sla 300ms) (expiry 1s) (effect inquiry-like))
@@ -53,7 +53,7 @@
 	for i, c := range r.Clocks {
 		header, first := runs[i].Headers[0], runs[0].Headers[0]
 		if offset := time.Duration(math.Abs(c.Offset - float64(header.Wall-header.Start-first.Wall+first.Start))); c.Unsure >= 0 && offset > time.Duration(c.Unsure) {
-			t.Errorf("run %d: clock estimate is off by %v; reported: %v", i, offset, c)
+			t.Errorf("run %d: the clock estimate is off by %v, more than its stated error: %v", i, offset, c)
 		}
 	}
 	bySockets, byTraces := map[int]bool{}, map[int]bool{}
@@ -66,7 +66,7 @@
 	if r.Txns < 100 || !maps.Equal(bySockets, byTraces) {
 		var text strings.Builder
 		r.Print(&text)
-		t.Errorf("rules violated by the sockets: %v, by the traces: %v\n%s", bySockets, byTraces, text.String())
+		t.Errorf("rules violated according to the socket traffic: %v; according to the traces: %v\n%s", bySockets, byTraces, text.String())
 	}
 }
 
@@ -74,11 +74,11 @@
 // settings that differ from the platform's and so violate rules; both checkers must find the same rules violated.
 func TestTracesAndSocketsShowSameViolations(t *testing.T) {
 	if testing.Short() {
-		t.Skip("plays days for seconds each")
+		t.Skip("runs days of several seconds")
 	}
 	for _, c := range []struct {
-		name, script, from, to string
-		rule                   int
+		name, script, setting, wrongSetting string
+		rule                                int // rule that the wrong setting violates; 0: none for certain
 	}{
 		{"exposure", "(offer (at 500ms) (flaw good))", "(window 3s)", "(window 30ms)", 5},
 		{"memory", "(trouble slow (at 500ms) (for 4s) (many 6) (size 60))", "(memory 2s)", "(memory 300ms)", 0},
@@ -105,7 +105,7 @@
 				}
 				data, err := os.ReadFile(settings)
 				if err == nil {
-					os.WriteFile(settings, []byte(strings.ReplaceAll(string(data), c.from, c.to)), 0o644)
+					os.WriteFile(settings, []byte(strings.ReplaceAll(string(data), c.setting, c.wrongSetting)), 0o644)
 				}
 				cmd := exec.Command(os.Args[0], settings)
 				cmd.Env = append(os.Environ(), "LAB_EDGE=1")
@@ -117,7 +117,7 @@
 			}
 			violations := Check(day, rec)
 			if c.rule > 0 && !slices.ContainsFunc(violations, func(v Violation) bool { return v.Rule == c.rule }) {
-				t.Errorf("the sockets do not show a violation of rule %d", c.rule)
+				t.Errorf("the socket traffic shows no violation of rule %d", c.rule)
 			}
 			checkTraces(t, day, violations, dir, correctSettings)
 		})
@@ -129,7 +129,7 @@
 // for a busy machine.
 func TestTroubles(t *testing.T) {
 	if testing.Short() {
-		t.Skip("plays days for seconds each")
+		t.Skip("runs days of several seconds")
 	}
 	const offerFormat = "(offer (at 500ms) (flaw %s)) "
 	for _, c := range []struct {
@@ -201,17 +201,17 @@
 			// Replaying the edges' traces must give the same decisions, also those of an edge that was killed.
 			runs, err := trace.Lives([]string{filepath.Join(dir, "state", "trace")})
 			if err != nil || len(runs) < day.Sentries {
-				t.Errorf("%d runs recorded, %v", len(runs), err)
+				t.Errorf("%d runs of edges recorded, want at least %d; error %v", len(runs), day.Sentries, err)
 			}
 			for _, traceRun := range runs {
 				if replayed, err := trace.Replay(traceRun); err != nil || replayed.Differs != "" || replayed.Actions == 0 {
-					t.Errorf("sentry %d replays as %+v, %v", traceRun.Sentry, replayed, err)
+					t.Errorf("the trace of sentry %d replays differently or not at all: %+v, error %v", traceRun.Sentry, replayed, err)
 				}
 			}
 			for i := 0; i < day.Sentries; i++ {
 				log, err := os.ReadFile(filepath.Join(dir, fmt.Sprintf("edge-%d.log", i)))
 				if err != nil || strings.Contains(string(log), "panic") || strings.Contains(string(log), "voided by the host") {
-					t.Errorf("log of edge %d: %v\n%s", i, err, log)
+					t.Errorf("unreadable log, panic or txn voided by the host at edge %d; error %v, log:\n%s", i, err, log)
 				}
 			}
 		})
--- a/lab/load_test.go
+++ b/lab/load_test.go
@@ -12,17 +12,18 @@
 	"go.uber.org/goleak"
 )
 
-// startTarget starts a server that answers with do, which gets the number of the request from 1 on, and returns its URL.
-func startTarget(t *testing.T, do func(n int64, w http.ResponseWriter)) string {
+// startTarget starts a server whose requests are answered by handle, which receives the number of the request, from 1 on.
+// It returns the server's URL.
+func startTarget(t *testing.T, handle func(n int64, w http.ResponseWriter)) string {
 	var n atomic.Int64
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { do(n.Add(1), w) }))
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { handle(n.Add(1), w) }))
 	t.Cleanup(s.Close)
 	return s.URL
 }
 
-// TestLoadCountsFromWhenTxnsWereDue guards against coordinated omission: a single stall of the target must raise the
+// TestLoadLatencyCountsFromScheduledTime guards against coordinated omission: a single stall of the target must raise the
 // latency of every txn scheduled during it, not only of the txn in progress.
-func TestLoadCountsFromWhenTxnsWereDue(t *testing.T) {
+func TestLoadLatencyCountsFromScheduledTime(t *testing.T) {
 	url := startTarget(t, func(n int64, w http.ResponseWriter) {
 		if n == 20 {
 			time.Sleep(400 * time.Millisecond) // the stall
@@ -31,11 +32,11 @@
 	plan := LoadPlan{Targets: []string{url}, Rates: []float64{200}, Span: time.Second, Slice: time.Second, Conns: 1, Method: "GET", Timeout: 5 * time.Second}
 	slices, err := Load(context.Background(), plan, nil)
 	if err != nil || len(slices) != 1 || slices[0].Sent != 200 || slices[0].Succeeded != 200 {
-		t.Fatalf("%+v, %v", slices, err)
+		t.Fatalf("got slices %+v, error %v; want one slice with 200 txns sent and succeeded", slices, err)
 	}
 	fromSchedule, fromSending := slices[0].Times.ValueAtQuantile(85), slices[0].ServiceTimes.ValueAtQuantile(85)
 	if fromSchedule < 100_000 || fromSending > fromSchedule/2 {
-		t.Errorf("p85 is %d us from the scheduled time, %d from sending", fromSchedule, fromSending)
+		t.Errorf("p85 is %d us from the scheduled time and %d us from sending; want at least 100000 and at most half of that", fromSchedule, fromSending)
 	}
 }
 
@@ -60,7 +61,7 @@
 	}
 	rows, diffs := SumLoad(plan, slices)
 	if len(rows) != 4 || rows[1].Refused == 0 || rows[1].Bad == 0 || rows[0].Refused+rows[0].Bad > 0 || rows[0].Rate < 130 || rows[0].Rate > 170 {
-		t.Errorf("rows %+v", rows)
+		t.Errorf("unexpected rows %+v", rows)
 	}
 	found := false
 	for _, d := range diffs {
@@ -75,22 +76,22 @@
 	LoadTable(&text, rows, diffs)
 	page, err := LoadPage(plan, slices, text.String())
 	if err != nil || strings.Count(page, "<svg") != 2 || !strings.Contains(text.String(), "95% interval") {
-		t.Errorf("page of %d bytes, %v:\n%s", len(page), err, text.String())
+		t.Errorf("incomplete page or table; the page has %d bytes, error %v, table:\n%s", len(page), err, text.String())
 	}
 }
 
-// TestLoadGivesUpOverdueTxns guards against a run that lasts longer than planned because the target cannot serve the load:
+// TestLoadFailsOverdueTxns guards against a run that lasts longer than planned because the target cannot serve the load:
 // txns that are late by more than the timeout must fail unsent. Invalid plans must be refused.
-func TestLoadGivesUpOverdueTxns(t *testing.T) {
+func TestLoadFailsOverdueTxns(t *testing.T) {
 	url := startTarget(t, func(int64, http.ResponseWriter) { time.Sleep(50 * time.Millisecond) })
 	plan := LoadPlan{Targets: []string{url}, Rates: []float64{500}, Span: 500 * time.Millisecond, Slice: time.Second, Conns: 2, Method: "GET", Timeout: 200 * time.Millisecond}
 	slices, err := Load(context.Background(), plan, nil)
 	if err != nil || slices[0].Sent != 250 || slices[0].Bad < 100 || slices[0].elapsed > 3*time.Second {
-		t.Errorf("%+v, %v", slices, err)
+		t.Errorf("got slices %+v, error %v; want 250 txns sent, at least 100 failed, within 3 s", slices, err)
 	}
 	for _, invalid := range []LoadPlan{{}, {Targets: []string{url}, Rates: []float64{-1}, Span: 1, Slice: 1, Conns: 1}, {Targets: []string{url}, Span: 1, Slice: 1, Conns: 1}} {
 		if _, err := Load(context.Background(), invalid, nil); err == nil {
-			t.Errorf("no error for %+v", invalid)
+			t.Errorf("no error for the invalid plan %+v", invalid)
 		}
 	}
 }
--- a/lab/sockets_test.go
+++ b/lab/sockets_test.go
@@ -22,12 +22,12 @@
 	"dunegrade/api"
 )
 
-// socketFaults are faults in what an edge reads and writes other than txns. Each is injected in every state that a release
-// goes through.
+// socketFaults are faults of an edge's process and of its inputs and files other than txns. Each is injected in every state
+// of a release.
 var socketFaults = []struct {
 	name         string
 	inject       func(r *run, state string) bool // reports whether the fault took place
-	logText      string                          // text that the log of an edge must contain
+	logText      string                          // text that the log of some edge must contain
 	stopsEdge    bool                            // whether the fault itself stops an edge
 	usesListFile bool                            // whether the edges read workers and release from a list file
 }{
@@ -132,11 +132,11 @@
 		r.platform.mu.Unlock()
 		for failures() == before && r.sleepUntil(r.now()+10*ms) {
 		}
-		savedAt := func() (at time.Time) { // zero if no list is saved yet
+		savedAt := func() (modTime time.Time) { // zero if no list is saved yet
 			if info, err := os.Stat(strings.TrimSuffix(path, ".new")); err == nil {
-				at = info.ModTime()
+				modTime = info.ModTime()
 			}
-			return at
+			return modTime
 		}
 		previous, failed := savedAt(), failures() > before
 		if os.Remove(path) != nil {
@@ -199,7 +199,7 @@
 	}, "", false, false},
 }
 
-// apiSource matches the source in an edge's settings.
+// apiSource matches the (source ...) form in an edge's settings.
 var apiSource = regexp.MustCompile(`\(source \(api "[^"]*"\)\)`)
 
 // writeListLoop writes the list file ten times a second.
@@ -267,8 +267,8 @@
 // writeLine writes a line of a watch.
 func writeLine(w http.ResponseWriter, line any) { json.NewEncoder(w).Encode(line) }
 
-// corruptLines has corrupt called before each line of a watch is written, for 400 ms and until it has called done. It
-// reports whether done was called before the end of the day.
+// corruptLines makes the platform call corrupt before it writes a line of a watch, for at least 400 ms and until corrupt has
+// called done. It reports whether done was called before the end of the day.
 func (r *run) corruptLines(corrupt func(w http.ResponseWriter, line any, done func())) bool {
 	var done atomic.Bool // watches are written concurrently
 	setCorruptLine := func(hook func(http.ResponseWriter, any)) {
@@ -289,9 +289,9 @@
 // state, and checks the rules by the recorded socket traffic.
 func TestFaultsAgainstStagesOnSockets(t *testing.T) {
 	if testing.Short() {
-		t.Skip("plays days for seconds each")
+		t.Skip("runs days of several seconds")
 	}
-	for _, row := range socketFaults {
+	for _, fault := range socketFaults {
 		for _, c := range []struct {
 			build, length, script string
 			states                []string
@@ -300,12 +300,12 @@
 			{"bad", "16s", "(offer (at 300ms) (flaw errors) (strength 0.7)) (offer (at 5s) (flaw good))",
 				[]string{"first stage", "going back", "withdrawn", "next build after one withdrawn"}},
 		} {
-			t.Run(row.name+", "+c.build+" build", func(t *testing.T) {
+			t.Run(fault.name+", "+c.build+" build", func(t *testing.T) {
 				t.Parallel()
-				text := strings.Replace(fmt.Sprintf(shortDay, row.name, c.length, c.script), "(window", "(push 300ms) (window", 1)
+				text := strings.Replace(fmt.Sprintf(shortDay, fault.name, c.length, c.script), "(window", "(push 300ms) (window", 1)
 				dir := t.TempDir()
 				fileSource := ""
-				if row.usesListFile { // a list file takes no votes, and edges read it once a second
+				if fault.usesListFile { // a list file takes no votes, and edges read it once a second
 					text = strings.NewReplacer("(bake", "(votes clocked) (stage-time 700ms) (grace 1500ms) (bake", `(length 16s)`, `(length 25s)`).Replace(text)
 					fileSource = fmt.Sprintf("(source (file %q))", filepath.Join(dir, "list.sexp"))
 				}
@@ -315,31 +315,31 @@
 				}
 				injected := map[string]bool{} // no lock: states follow one another
 				r := &Runner{Day: day, Out: dir, Edge: func(settings string) *exec.Cmd {
-					if data, err := os.ReadFile(settings); row.usesListFile && err == nil {
+					if data, err := os.ReadFile(settings); fault.usesListFile && err == nil {
 						os.WriteFile(settings, apiSource.ReplaceAll(data, []byte(fileSource)), 0o644)
 					}
 					cmd := exec.Command(os.Args[0], settings)
 					cmd.Env = append(os.Environ(), "LAB_EDGE=1")
 					return cmd
 				}}
-				if row.usesListFile {
+				if fault.usesListFile {
 					r.beforeEdges = func(r *run) {
 						r.writeListFile(r.platform)
 						r.group.Go(r.writeListLoop)
 					}
 				}
 				r.stateHook = func(r *run, state string) {
-					if !r.sleepUntil(r.now() + 100*ms) { // the state has settled in
+					if !r.sleepUntil(r.now() + 100*ms) { // gives the state time to take effect
 						return
 					}
 					var group sync.WaitGroup
 					drained := false
-					if state == "stage change" && !row.stopsEdge { // an edge drains and restarts during the fault
+					if state == "stage change" && !fault.stopsEdge { // an edge drains and restarts during the fault
 						group.Go(func() {
 							drained = r.stopEdge(r.edges[1], syscall.SIGTERM) == nil && r.restartEdge(r.edges[1])
 						})
 					}
-					tookPlace := row.inject(r, state)
+					tookPlace := fault.inject(r, state)
 					group.Wait()
 					r.platform.mu.Lock()
 					sameState := r.platform.state() == state
@@ -352,7 +352,7 @@
 					t.Fatal(err)
 				}
 				states := c.states
-				if !row.stopsEdge && c.build == "good" {
+				if !fault.stopsEdge && c.build == "good" {
 					states = append([]string{"drain of the edge"}, states...)
 				}
 				for _, s := range states {
@@ -367,15 +367,15 @@
 				for i := 0; i < day.Sentries; i++ {
 					log, err := os.ReadFile(filepath.Join(dir, fmt.Sprintf("edge-%d.log", i)))
 					if err != nil || strings.Contains(string(log), "panic") || strings.Contains(string(log), "voided by the host") {
-						t.Errorf("log of edge %d: %v\n%s", i, err, log)
+						t.Errorf("unreadable log, panic or txn voided by the host at edge %d; error %v, log:\n%s", i, err, log)
 					}
 					logs += string(log)
 				}
-				if !strings.Contains(logs, row.logText) {
-					t.Errorf("no edge logged %q", row.logText)
+				if !strings.Contains(logs, fault.logText) {
+					t.Errorf("no edge logged %q", fault.logText)
 				}
 				if f := Sum(day, rec, "dunegrade", nil); f.Revenue < 0.3 || f.Txns < 100 {
-					t.Errorf("revenue %.2f of %d txns", f.Revenue, f.Txns)
+					t.Errorf("revenue %.2f of %d txns; want at least 0.3 of at least 100", f.Revenue, f.Txns)
 				}
 			})
 		}
--- a/lab/stages_test.go
+++ b/lab/stages_test.go
@@ -12,6 +12,7 @@
 	"dunegrade/logic"
 )
 
+// stagesDay is the day of the tests on a virtual clock. Its scripts and faults are in stageCases and faultCases.
 const stagesDay = `(day "stages" (seed 5) (length 40s) (sentries (processes 3))
   (fleet (machines 8) (cores 2) (slots 24) (cold 2s) (cold-from 0.35) (boot 300ms) (fall-multiple 2) (fall-after 1s))
   (product "read" (share 55%) (work 10ms) (sla 300ms) (expiry 1s) (effect inquiry-like))
@@ -75,12 +76,12 @@
 // faultDuration is how long each fault lasts.
 const faultDuration = 3 * time.Second
 
-// faultyWorkers returns the workers that a fault affects. They run both builds where there are two.
+// faultyWorkers returns the workers that a fault affects. They include workers of both builds if two builds run.
 func (d *virtualDay) faultyWorkers() []*virtualWorker {
 	return []*virtualWorker{d.replicas[0], d.replicas[5], d.replicas[6]}
 }
 
-// setFault sets a fault of the affected workers, and clears it after faultDuration.
+// setFault calls set with true for each of faultyWorkers, and with false after faultDuration.
 func (d *virtualDay) setFault(set func(w *virtualWorker, on bool)) {
 	for _, w := range d.faultyWorkers() {
 		set(w, true)
@@ -88,7 +89,7 @@
 	}
 }
 
-// restartWorker stops a worker and starts it again, so that faults of the worker list have changes to affect.
+// restartWorker stops a worker and starts it again, so that the worker list changes while a fault affects it.
 func (d *virtualDay) restartWorker() {
 	w := d.replicas[7]
 	d.schedule(300*ms, func() { w.stopProcess(api.Gone) })
@@ -99,11 +100,11 @@
 	})
 }
 
-// faultCases are the faults.
+// faultCases are the faults that are injected in each of stageCases.
 var faultCases = []struct {
 	name         string
 	inject       func(d *virtualDay)
-	countKeys    string // keys of faultCounts, separated by |, of which one must be counted
+	countKeys    string // keys of faultCounts, separated by |; at least one count must be positive
 	impossibleIn string // state cases, separated by commas, in which the fault cannot occur
 }{
 	{"list changes late", func(d *virtualDay) {
@@ -204,7 +205,7 @@
 	{"worker hangs", func(d *virtualDay) {
 		d.setFault(func(w *virtualWorker, on bool) {
 			d.faultCounts["worker hung"]++
-			if !on && w.running { // the operator restarts a worker that hung
+			if !on && w.running { // an operator restarts the worker
 				w.stopProcess(api.Gone)
 				if slices.Contains(d.replicas, w) {
 					d.schedule(200*ms, func() { w.restart(w.build) })
@@ -288,7 +289,8 @@
 	}, "client left", ""},
 }
 
-func runVirtualDay(t *testing.T, script, inject func(d *virtualDay), at runTime) *virtualDay {
+// runVirtualDay runs stagesDay with a script, and calls inject at the given time of the day.
+func runVirtualDay(t *testing.T, script, inject func(d *virtualDay), injectAt runTime) *virtualDay {
 	day, err := ParseDay("stages.sexp", stagesDay)
 	if err != nil {
 		t.Fatal(err)
@@ -296,12 +298,12 @@
 	d := newVirtualDay(day)
 	d.workerListDelay, d.releaseUpdateDelay = day.WorkerListDelay, day.ReleaseUpdateDelay
 	script(d)
-	d.scheduleAt(at, func() { inject(d) })
+	d.scheduleAt(injectAt, func() { inject(d) })
 	d.run()
 	return d
 }
 
-// settledShareAtEnd returns the share of the txns of the last three seconds that were settled.
+// settledShareAtEnd returns the share of settled txns among those sent in the last three seconds of the day.
 func (d *virtualDay) settledShareAtEnd() float64 {
 	asked, settled := 0.0, 0.0
 	for _, txn := range d.rec.Txns {
@@ -336,14 +338,14 @@
 						fault.inject(d)
 					}, stageCase.at)
 					if phase != stageCase.phase || stage != stageCase.stage {
-						t.Fatalf("the fault began in phase %d, stage %d", phase, stage)
+						t.Fatalf("the fault began in phase %d, stage %d; want phase %d, stage %d", phase, stage, stageCase.phase, stageCase.stage)
 					}
 					count := 0
 					for _, key := range strings.Split(fault.countKeys, "|") {
 						count += d.faultCounts[key]
 					}
 					if count == 0 {
-						t.Errorf("the fault did not occur: %v", d.faultCounts)
+						t.Errorf("the fault had no effect; counts: %v", d.faultCounts)
 					}
 					d.checkRules(t)
 					// All builds are good, so none may be voted back.
@@ -351,7 +353,7 @@
 						t.Errorf("votes for 'back' on a good build at %v", d.backVotesAt)
 					}
 					if settled := d.settledShareAtEnd(); settled < 0.93 {
-						t.Errorf("%.3f settled in the last 3 s", settled)
+						t.Errorf("share of txns settled in the last 3 s: %.3f; want at least 0.93", settled)
 					}
 					for _, s := range d.sentries { // silent or resting workers must be in use again
 						for _, decision := range s.module.Explain(0, 0, 0) {
@@ -366,7 +368,7 @@
 	}
 }
 
-// checkRules reports violations of the five rules, and runs with too few txns.
+// checkRules fails the test on violations of the five rules, and on days with too few txns.
 func (d *virtualDay) checkRules(t *testing.T) {
 	t.Helper()
 	violations := check(d.day, d.rec, virtualTolerances)
@@ -378,7 +380,7 @@
 		t.Errorf("%v", violation)
 	}
 	if len(d.rec.Txns) < 2000 {
-		t.Errorf("only %d txns", len(d.rec.Txns))
+		t.Errorf("%d txns; want at least 2000", len(d.rec.Txns))
 	}
 }
 
@@ -402,7 +404,7 @@
 		rule    int
 		violate func(d *virtualDay)
 	}{
-		{"an answer dropped", 1, func(d *virtualDay) {
+		{"answer dropped", 1, func(d *virtualDay) {
 			for k := runTime(0); k < 300*ms; k += ms {
 				d.schedule(k, func() {
 					for _, txn := range d.sentries[0].listTxns(false) {
@@ -411,17 +413,17 @@
 				})
 			}
 		}},
-		{"sent again after its answer", 2, func(d *virtualDay) {
+		{"once-only txn sent again after its answer", 2, func(d *virtualDay) {
 			submit(d, 2, true, d.replicas[3], 1)
 		}},
-		{"sent to a worker that drains", 3, func(d *virtualDay) {
+		{"submission to a draining worker", 3, func(d *virtualDay) {
 			w := d.replicas[4]
 			w.setState(api.Draining)
 			for k := runTime(0); k < 300*ms; k += ms {
 				d.schedule(time.Second+k, func() { submit(d, 0, false, w, 1) })
 			}
 		}},
-		{"a cold worker overloaded", 4, func(d *virtualDay) {
+		{"cold worker overloaded", 4, func(d *virtualDay) {
 			w := d.replicas[4]
 			w.stopProcess(api.Gone)
 			w.restart(w.build)
@@ -436,7 +438,7 @@
 				}
 			})
 		}},
-		{"over the cap", 5, func(d *virtualDay) {
+		{"exposure over the cap", 5, func(d *virtualDay) {
 			for k := runTime(0); k < 300*ms; k += ms {
 				d.schedule(time.Second+k, func() { submit(d, 0, false, d.replicas[0], 1) })
 			}
@@ -444,18 +446,18 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := runVirtualDay(t, func(d *virtualDay) { d.scheduleAt(5*time.Second, func() { d.startStage(0) }) }, c.violate, 6*time.Second)
-			got := map[int]bool{}
+			violatedRules := map[int]bool{}
 			for _, v := range check(d.day, d.rec, virtualTolerances) {
-				got[v.Rule] = true
+				violatedRules[v.Rule] = true
 			}
-			if !got[c.rule] {
-				t.Errorf("no violation of rule %d was found, only of %v", c.rule, got)
+			if !violatedRules[c.rule] {
+				t.Errorf("violated rules: %v; want rule %d among them", violatedRules, c.rule)
 			}
 		})
 	}
 }
 
-// TestVirtualDaysRepeat guards against nondeterminism: two runs of a day must give the same answers.
+// TestVirtualDaysRepeat guards against nondeterminism: two runs of a day must give the same answers at the same times.
 func TestVirtualDaysRepeat(t *testing.T) {
 	runDay := func() string {
 		d := runVirtualDay(t, stageCases[4].script, faultCases[9].inject, stageCases[4].at)
