--- a/lab/virtual_test.go
+++ b/lab/virtual_test.go
@@ -14,19 +14,20 @@
 	"dunegrade/logic"
 )
 
-// A virtual day runs the decision module itself against the fleet's machines on a virtual clock. Without sockets and
-// goroutines, each run of a day is the same. Clients, workers and the platform record what they see, and the checker of the
-// days on sockets checks the record. The test acts as the edge does around the module: it ends a submission that is pending
-// at the txn's expiry. It does not answer a txn that the module then leaves unanswered, so that the checker finds it.
+// A virtual day runs the decision module against the fleet's simulated machines on a virtual clock. It uses no sockets or
+// goroutines, so every run of a day is the same. The simulated clients, workers and platform fill a Record, which is checked
+// like that of a day on sockets. Like the edge, the simulated host ends the submissions that are pending at a txn's expiry.
+// Unlike the edge, it does not answer a txn that the module then leaves unanswered, so that the checker reports it.
 
 const (
-	messageDelay     = time.Millisecond   // one way
-	moduleTimeOffset = 1000 * time.Second // module time at the start of the day
+	messageDelay     = time.Millisecond   // of a message in one direction
+	moduleTimeOffset = 1000 * time.Second // time on the module's clock at the start of the day
 )
 
+// virtualTolerances are the tolerances of the checker on a virtual clock.
 var virtualTolerances = tolerances{answer: 5 * ms, lateSubmission: 5 * ms, drain: 5 * ms, exposure: 5 * ms}
 
-// virtualEvent is a function to be run at a time. Events at the same time run in order of their sequence numbers.
+// virtualEvent is a function that runs at a given time. Events at the same time run in order of their sequence numbers.
 type virtualEvent struct {
 	at       runTime
 	sequence int
@@ -79,7 +80,7 @@
 	votesLost          bool
 	leaveShare         float64 // share of clients that leave early
 
-	faultCounts map[string]int // shows that a fault took effect
+	faultCounts map[string]int // effects of faults by kind, which show that a fault took effect
 	backVotesAt []runTime      // times of the votes to go back
 }
 
@@ -98,7 +99,7 @@
 	replica     int
 }
 
-// virtualTxn is a txn as its sentry's host holds it.
+// virtualTxn is the state of a txn in its sentry's host.
 type virtualTxn struct {
 	id          logic.TxnID
 	record      *TxnRecord
@@ -111,13 +112,13 @@
 type virtualSubmission struct {
 	txn          *virtualTxn
 	sentry       *virtualSentry
-	number       int
+	number       int // index among the submissions of the txn
 	sentAt       runTime
 	record       *SubmissionRecord
 	worker       *virtualWorker
 	ended        bool
-	job          uint64
-	disconnected bool // whether the sentry has closed the connection
+	job          uint64 // ID of the machine's job
+	disconnected bool   // whether the sentry has closed the connection
 }
 
 // virtualSentry is a sentry: the decision module with a simulated host.
@@ -135,6 +136,7 @@
 	handlingEvent      bool
 }
 
+// newVirtualDay returns a run of a day whose workers and sentries have started.
 func newVirtualDay(day *Day) *virtualDay {
 	d := &virtualDay{day: day, rec: &Record{}, rng: rand.New(rand.NewSource(day.Seed)), sharedState: fleet.NewSharedState(),
 		workers: map[string]*virtualWorker{}, faultCounts: map[string]int{}, rate: day.Rate, newestBuild: 2}
@@ -170,7 +172,7 @@
 // moduleTime returns the present time on the module's clock.
 func (d *virtualDay) moduleTime() logic.Nanos { return logic.Nanos(moduleTimeOffset + d.now) }
 
-// run runs the day to its end, and some time longer for the pending txns.
+// run runs the day to its end, and 3 s longer for the pending txns.
 func (d *virtualDay) run() {
 	interarrivalTime := func() runTime { return runTime(d.rng.ExpFloat64() / d.rate * float64(time.Second)) }
 	var sendNext func()
@@ -198,10 +200,10 @@
 
 // sendTxn sends a txn to a random sentry, or the next one that accepts txns.
 func (d *virtualDay) sendTxn() {
-	x := d.rng.Float64()
+	draw := d.rng.Float64()
 	product := 0
-	for product < len(d.day.Products)-1 && x >= d.day.Products[product].Share {
-		x -= d.day.Products[product].Share
+	for product < len(d.day.Products)-1 && draw >= d.day.Products[product].Share {
+		draw -= d.day.Products[product].Share
 		product++
 	}
 	key := uint64(1 + d.rng.Intn(d.day.Keys))
@@ -250,7 +252,7 @@
 
 // ---- Sentries ----
 
-// start starts an incarnation of the sentry, without state or with the worker list and release that it saved.
+// start starts an incarnation of the sentry, with the worker list and release that the previous one saved if restored is set.
 func (s *virtualSentry) start(restored bool) {
 	d := s.day
 	if restored && !s.stopped {
@@ -282,7 +284,7 @@
 	})
 }
 
-// kill ends the process at once. Its clients' connections break.
+// kill ends the process at once. The connections of its clients and workers break.
 func (s *virtualSentry) kill() {
 	if s.stopped {
 		return
@@ -300,7 +302,7 @@
 	}
 }
 
-// listTxns returns the txns in order of their IDs, with or without those that have ended.
+// listTxns returns the txns in the order of their IDs. Txns that have ended are left out unless includeEnded is set.
 func (s *virtualSentry) listTxns(includeEnded bool) (txns []*virtualTxn) {
 	for _, txn := range s.txns {
 		if includeEnded || !txn.ended {
@@ -311,7 +313,7 @@
 	return txns
 }
 
-// stopProcess ends the incarnation. Unless killed is set, it had been asked to stop.
+// stopProcess ends the incarnation, and records whether it was killed or had been asked to stop.
 func (s *virtualSentry) stopProcess(killed bool) {
 	s.stopped = true
 	incarnation := &s.day.rec.Incarnations[s.incarnation]
@@ -321,7 +323,7 @@
 	}
 }
 
-// handleEvent passes an event to the module. Events that the module causes meanwhile follow after it.
+// handleEvent passes an event to the module. Events that the module causes while it handles one are queued.
 func (s *virtualSentry) handleEvent(event func()) {
 	if s.stopped {
 		return
@@ -339,7 +341,7 @@
 	s.handlingEvent = false
 }
 
-// expireTxn acts as the host does at a txn's expiry.
+// expireTxn ends all pending submissions of a txn, as the host does at the txn's expiry.
 func (s *virtualSentry) expireTxn(txn *virtualTxn) {
 	for _, submission := range txn.submissions {
 		s.endSubmission(submission, logic.TimedOut, nil)
@@ -383,7 +385,7 @@
 	})
 }
 
-// Submit and the methods that follow implement the module's interface to its host.
+// Submit and the exported methods that follow implement logic.Sink.
 func (s *virtualSentry) Submit(id logic.TxnID, worker logic.WorkerID, timeout logic.Nanos) {
 	txn, d := s.txns[id], s.day
 	if txn == nil {
@@ -394,6 +396,7 @@
 	d.schedule(messageDelay, func() { d.submitToWorker(submission, string(worker)) })
 }
 
+// Cancel ends a submission as cancelled.
 func (s *virtualSentry) Cancel(id logic.TxnID, number int) {
 	if txn := s.txns[id]; txn != nil && number < len(txn.submissions) {
 		submission := txn.submissions[number]
@@ -429,7 +432,7 @@
 func (s *virtualSentry) SendToPeer(to int, data []byte) {}
 func (s *virtualSentry) Log(string)                     {}
 
-// Vote sends a vote to the platform. It only replies with the current release, since the script sets the stages.
+// Vote sends a vote to the platform. The platform only replies with the current release, because the script sets the stages.
 func (s *virtualSentry) Vote(verdict logic.Verdict, rel logic.RelID, stage int) {
 	d, incarnation := s.day, s.incarnation
 	d.faultCounts["vote"]++
@@ -450,8 +453,8 @@
 	})
 }
 
-// updateRelease sends the sentry a release update. An update that the sentry must ignore is not recorded, so that the checker
-// finds a violation if the sentry acts on it.
+// updateRelease sends the sentry a release update. An update that the sentry must ignore is passed with recorded unset, so
+// that the checker reports a violation if the sentry acts on it.
 func (s *virtualSentry) updateRelease(update logic.ReleaseUpdate, recorded bool) {
 	if s.stopped {
 		return
@@ -464,9 +467,11 @@
 	s.handleEvent(func() { s.module.ReleaseUpdate(s.day.moduleTime(), update) })
 }
 
+// phaseNames maps the module's phases to those of the platform's API.
 var phaseNames = map[logic.Phase]string{logic.OnTrial: api.OnTrial, logic.GoingBack: api.GoingBack, logic.Released: api.Released,
 	logic.Withdrawn: api.Withdrawn}
 
+// moduleStates maps the worker states of the platform's API to the module's.
 var moduleStates = map[string]logic.State{api.Up: logic.Up, api.Draining: logic.Draining, api.Gone: logic.Gone}
 
 // moduleWorker converts an entry of the worker list to the module's type.
@@ -516,7 +521,7 @@
 
 // ---- Workers ----
 
-// bootWorker starts a process under a new ID.
+// bootWorker starts a worker process under a new ID.
 func (d *virtualDay) bootWorker(replica, build int, startedAt runTime) *virtualWorker {
 	d.lastID++
 	w := &virtualWorker{day: d, id: fmt.Sprintf("w%03d", d.lastID), replica: replica, jobs: map[uint64]*virtualSubmission{}}
@@ -538,7 +543,7 @@
 	}
 }
 
-// stopProcess ends the process at once. Its jobs are lost. The worker list shows the new state unless state is empty.
+// stopProcess ends the process at once. Its jobs are lost. If state is not empty, it is announced as the worker's new state.
 func (w *virtualWorker) stopProcess(state string) {
 	d := w.day
 	if w.running = false; state != "" {
@@ -551,7 +556,7 @@
 	slices.Sort(lostJobs)
 	for _, id := range lostJobs {
 		submission := w.jobs[id]
-		submission.record.TookEffect = true // it may have, as far as its sentry knows
+		submission.record.TookEffect = true // the sentry must assume that the effect took place
 		d.schedule(messageDelay, func() {
 			d.faultCounts["connection broken"]++
 			submission.sentry.endSubmission(submission, logic.Disconnected, nil)
@@ -598,7 +603,7 @@
 	}
 }
 
-// workerList returns the current worker list, without the workers for which skip returns true.
+// workerList returns the current worker list. It leaves out workers for which skip, if not nil, returns true.
 func (d *virtualDay) workerList(skip func(*virtualWorker) bool) []api.Worker {
 	var entries []api.Worker
 	for _, id := range d.listOrder {
@@ -651,7 +656,7 @@
 	}
 }
 
-// scheduleCompletion schedules the handling of the machine's next job end.
+// scheduleCompletion schedules the handling of the jobs that the machine completes next.
 func (w *virtualWorker) scheduleCompletion() {
 	d, machine := w.day, w.machine
 	completesAt := runTime(machine.NextCompletion())
@@ -717,7 +722,7 @@
 	d.pushRelease()
 }
 
-// startStage brings the newest build to a stage: workers with it replace the stage's share of the replicas' workers.
+// startStage brings the newest build to a stage, and replaces the workers of the stage's share of the replicas.
 func (d *virtualDay) startStage(stage int) {
 	d.setRelease(logic.ReleaseUpdate{Rel: logic.RelID(d.newestBuild), Stage: stage, Phase: logic.OnTrial, Cap: d.day.stageCaps()[stage]})
 	wanted := int(d.day.StageShares[stage]*float64(len(d.replicas)) + 0.999)
@@ -758,7 +763,7 @@
 	}
 }
 
-// withdrawBuild withdraws the newest build, which has gone back. The next stage is one of the next build.
+// withdrawBuild withdraws the newest build, which has gone back. Later stages are those of the next build.
 func (d *virtualDay) withdrawBuild() {
 	d.setRelease(logic.ReleaseUpdate{Rel: logic.RelID(d.newestBuild), Stage: d.release.Stage, Phase: logic.Withdrawn})
 	d.newestBuild++
@@ -769,7 +774,8 @@
 	d.setRelease(logic.ReleaseUpdate{Rel: logic.RelID(d.newestBuild), Stage: len(d.day.StageShares) - 1, Phase: logic.Released, Cap: 1})
 }
 
-// drainSentry stops a sentry as SIGTERM does, and starts it again with its saved state.
+// drainSentry stops a sentry as SIGTERM does: it takes no more txns and ends once it holds none. Then it starts again with
+// its saved state.
 func (d *virtualDay) drainSentry(s *virtualSentry) {
 	s.accepting = false
 	incarnation := s.incarnation
