--- a/lab/checker.go
+++ b/lab/checker.go
@@ -21,6 +21,7 @@
 // tolerances holds the tolerances of a checker. On a virtual clock, they need to cover only the delay of a message.
 type tolerances struct{ answer, lateSubmission, drain, exposure time.Duration }
 
+// socketTolerances are the tolerances for a day on sockets.
 var socketTolerances = tolerances{answerTolerance, lateSubmissionTolerance, drainTolerance, exposureTolerance}
 
 // Violation is a violation of a rule, with the history of the txn that violated it.
@@ -31,6 +32,7 @@
 	History []string // events of the txn in order; empty if the violation concerns no single txn
 }
 
+// String returns the violation with the history of its txn.
 func (v Violation) String() string {
 	return fmt.Sprintf("rule %d at %.3fs: %s\n    %s", v.Rule, v.At.Seconds(), v.Text, strings.Join(v.History, "\n    "))
 }
@@ -52,6 +54,7 @@
 // Check checks the five rules against the recorded socket traffic, and returns all violations, ordered by rule and time.
 func Check(day *Day, rec *Record) []Violation { return check(day, rec, socketTolerances) }
 
+// check is Check with the given tolerances.
 func check(day *Day, rec *Record, allowed tolerances) []Violation {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
@@ -95,6 +98,7 @@
 	return c.violations
 }
 
+// addViolation adds a violation of a rule. txn may be nil.
 func (c *checker) addViolation(rule int, at time.Duration, txn *TxnRecord, format string, args ...any) {
 	v := Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...)}
 	if txn != nil {
--- a/lab/days_test.go
+++ b/lab/days_test.go
@@ -134,8 +134,8 @@
 	const offerFormat = "(offer (at 500ms) (flaw %s)) "
 	for _, c := range []struct {
 		name, length, script string
-		revenue              float64 // minimum
-		back                 bool    // whether build 2 must go back
+		minRevenue           float64 // minimum share of the revenue asked for
+		mustGoBack           bool    // whether build 2 must go back
 	}{
 		{"crash", "5s", "(trouble crash (at 1s) (for 2s) (many 2))", 0.6, false},
 		{"vanish", "5s", "(trouble vanish (at 1s) (for 2s) (many 1))", 0.6, false},
@@ -186,12 +186,12 @@
 			}
 			violations := Check(day, rec)
 			figures := Sum(day, rec, "dunegrade", violations)
-			if len(violations) > 0 || figures.Revenue < c.revenue || figures.Txns < 100 {
+			if len(violations) > 0 || figures.Revenue < c.minRevenue || figures.Txns < 100 {
 				var text strings.Builder
 				figures.Table(&text)
 				t.Errorf("%s\n%s", text.String(), strings.Join(rec.Marks, "\n"))
 			}
-			if c.back && (len(figures.Builds) == 0 || figures.Builds[0].Back == 0) {
+			if c.mustGoBack && (len(figures.Builds) == 0 || figures.Builds[0].Back == 0) {
 				t.Errorf("the bad build did not go back: %+v", figures.Builds)
 			}
 			if _, err := WriteReport(dir, figures, rec.Marks); err != nil {
--- a/lab/platform.go
+++ b/lab/platform.go
@@ -104,6 +104,7 @@
 	release api.Release
 }
 
+// newPlatform returns a platform on which build 1 is released. It is not running yet.
 func newPlatform(day *Day, rec *Record, workers *workerFleet, now func() runTime) *platform {
 	p := &platform{day: day, rec: rec, workers: workers, now: now, rng: rand.New(rand.NewSource(day.Seed + 17)), quit: make(chan struct{}),
 		build: 1, previousBuild: 1, builds: map[int]fleet.Build{1: {Number: 1, Flaw: fleet.NoFlaw, Speed: 1}}, phase: api.Released,
@@ -141,6 +142,7 @@
 	return nil
 }
 
+// close stops the API and waits for the platform's goroutines. The workers keep running.
 func (p *platform) close() {
 	close(p.quit)
 	ctx, stop := context.WithTimeout(context.Background(), shutdownTimeout)
--- a/lab/sockets_test.go
+++ b/lab/sockets_test.go
@@ -284,9 +284,9 @@
 	return done.Load()
 }
 
-// TestFaultsAgainstStagesOnSockets guards against faults of an edge's inputs, files or process that break a rule only in some
-// state of a release. For each fault it runs a day with a good build and one with a bad build, injects the fault in every
-// state, and checks the rules by the recorded socket traffic.
+// TestFaultsAgainstStagesOnSockets guards against faults of an edge's inputs, files or process that lead to a violation only
+// in some state of a release. For each fault it runs a day with a good build and one with a bad build, injects the fault in
+// every state, and checks the rules by the recorded socket traffic.
 func TestFaultsAgainstStagesOnSockets(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs days of several seconds")
--- a/lab/stages_test.go
+++ b/lab/stages_test.go
@@ -25,11 +25,11 @@
 // stageCases are the states in which a fault may begin. Each has a script that leads to the state, the time at which the
 // fault begins, and the phase and stage that the release must be in then.
 var stageCases = []struct {
-	name   string
-	script func(d *virtualDay)
-	at     runTime
-	phase  logic.Phase
-	stage  int
+	name    string
+	script  func(d *virtualDay)
+	faultAt runTime
+	phase   logic.Phase
+	stage   int
 }{
 	{"start", func(d *virtualDay) {}, 0, logic.Released, 2},
 	{"restart on a saved list", func(d *virtualDay) {
@@ -336,7 +336,7 @@
 					d := runVirtualDay(t, stageCase.script, func(d *virtualDay) {
 						phase, stage = d.release.Phase, d.release.Stage
 						fault.inject(d)
-					}, stageCase.at)
+					}, stageCase.faultAt)
 					if phase != stageCase.phase || stage != stageCase.stage {
 						t.Fatalf("the fault began in phase %d, stage %d; want phase %d, stage %d", phase, stage, stageCase.phase, stageCase.stage)
 					}
@@ -459,8 +459,8 @@
 
 // TestVirtualDaysRepeat guards against nondeterminism: two runs of a day must give the same answers at the same times.
 func TestVirtualDaysRepeat(t *testing.T) {
-	runDay := func() string {
-		d := runVirtualDay(t, stageCases[4].script, faultCases[9].inject, stageCases[4].at)
+	runDay := func() string { // of the case "stage change" with the fault "worker crashes"
+		d := runVirtualDay(t, stageCases[4].script, faultCases[9].inject, stageCases[4].faultAt)
 		var b strings.Builder
 		for _, txn := range d.rec.Txns {
 			fmt.Fprintln(&b, txn.ID, txn.AnsweredAt, txn.Status, txn.Build)
--- a/lab/virtual_test.go
+++ b/lab/virtual_test.go
@@ -252,7 +252,8 @@
 
 // ---- Sentries ----
 
-// start starts an incarnation of the sentry, with the worker list and release that the previous one saved if restored is set.
+// start starts an incarnation of the sentry. If restored is set, the incarnation begins with the worker list and the release
+// that the previous one saved.
 func (s *virtualSentry) start(restored bool) {
 	d := s.day
 	if restored && !s.stopped {
--- a/lab/workers.go
+++ b/lab/workers.go
@@ -182,6 +182,7 @@
 	}
 }
 
+// accept serves the connections of a listener until the listener is closed.
 func (w *worker) accept(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
@@ -274,12 +275,13 @@
 	return socketError != 0
 }
 
+// headerUint returns the number in a header, or 0 if there is none.
 func headerUint(r *http.Request, name string) uint64 {
 	n, _ := strconv.ParseUint(r.Header.Get(name), 10, 64)
 	return n
 }
 
-// handleRequest submits a request to the machine.
+// handleRequest submits a request to the machine. It answers at once if the machine does not accept the job.
 func (w *worker) handleRequest(c *edgeConn, r *http.Request) {
 	f := w.fleet
 	now := f.now()
