--- a/api/check.go
+++ b/api/check.go
@@ -28,14 +28,14 @@
 	case w.ID == "":
 		return &ValidationError{"a worker's id", `""`, "a non-empty string"}
 	case w.State == "":
-		return &ValidationError{prefix + "state", `""`, "a state such as " + Up}
+		return &ValidationError{prefix + "state", `""`, "a state such as " + WorkerUp}
 	case w.Build < 0 || w.Build > MaxBuild:
 		return &ValidationError{prefix + "build", strconv.Itoa(w.Build), fmt.Sprintf("an integer from 0 to %d", MaxBuild)}
 	case w.Cell < 0:
 		return &ValidationError{prefix + "cell", strconv.Itoa(w.Cell), "an integer of at least 0"}
 	case !(w.Weight >= 0):
 		return &ValidationError{prefix + "weight", fmt.Sprint(w.Weight), "a number of at least 0"}
-	case w.State == Up && (err != nil || ParsePort(port) <= 0):
+	case w.State == WorkerUp && (err != nil || ParsePort(port) <= 0):
 		return &ValidationError{prefix + "address", strconv.Quote(w.Address), "an address and port"}
 	}
 	return nil
@@ -53,7 +53,7 @@
 		return &ValidationError{prefix + "cap", fmt.Sprint(r.Cap), "a number from 0 to 1"}
 	}
 	switch r.Phase {
-	case OnTrial, GoingBack, Released, Withdrawn:
+	case PhaseOnTrial, PhaseGoingBack, PhaseReleased, PhaseWithdrawn:
 		return nil
 	}
 	return &ValidationError{prefix + "phase", strconv.Quote(r.Phase), "one of on-trial, going-back, released, withdrawn"}
--- a/api/types.go
+++ b/api/types.go
@@ -15,16 +15,16 @@
 
 // Event types.
 const (
-	Whole    = "whole"    // replaces the client's state
-	Change   = "change"   // updates the client's state
-	Bookmark = "bookmark" // a keepalive that carries the current revision
+	EventSnapshot = "whole"    // replaces the client's state
+	EventChange   = "change"   // updates the client's state
+	EventBookmark = "bookmark" // a keepalive that carries the current revision
 )
 
 // Worker states.
 const (
-	Up       = "up"       // serves txns
-	Draining = "draining" // gets no new txns and will stop soon
-	Gone     = "gone"     // has stopped
+	WorkerUp       = "up"       // serves txns
+	WorkerDraining = "draining" // gets no new txns and will stop soon
+	WorkerGone     = "gone"     // has stopped
 )
 
 // Worker is an entry of the worker list.
@@ -52,10 +52,10 @@
 
 // Release phases.
 const (
-	OnTrial   = "on-trial"   // its exposure is limited to Release.Cap
-	GoingBack = "going-back" // its workers return to the preceding build
-	Released  = "released"   // its exposure is not limited
-	Withdrawn = "withdrawn"  // all its workers have returned to the preceding build
+	PhaseOnTrial   = "on-trial"   // its exposure is limited to Release.Cap
+	PhaseGoingBack = "going-back" // its workers return to the preceding build
+	PhaseReleased  = "released"   // its exposure is not limited
+	PhaseWithdrawn = "withdrawn"  // all its workers have returned to the preceding build
 )
 
 // Release is the newest build and its rollout state.
@@ -96,12 +96,12 @@
 
 // Tally holds the platform's counts for one build and product over a past period, from a sample of all submissions.
 type Tally struct {
-	Type    string `json:"type"`
-	Build   int    `json:"build"`
-	Product string `json:"product"`
-	Many    int    `json:"many"` // submissions in the sample
-	Bad     int    `json:"bad"`  // submissions in the sample that did not settle
-	Mean    int64  `json:"mean"` // mean time of the settled submissions, in nanoseconds
+	Type        string `json:"type"`
+	Build       int    `json:"build"`
+	Product     string `json:"product"`
+	Submissions int    `json:"many"` // submissions in the sample
+	NotSettled  int    `json:"bad"`  // submissions in the sample that did not settle
+	Mean        int64  `json:"mean"` // mean time of the settled submissions, in nanoseconds
 }
 
 // Report states that a client found an answer wrong. It is sent to the edge that forwarded the answer.
--- a/cmd/dunegrade/main.go
+++ b/cmd/dunegrade/main.go
@@ -79,7 +79,7 @@
 	if strings.ContainsAny(name, "/.") {
 		return lab.ReadDay(name)
 	}
-	return lab.Embedded(name)
+	return lab.EmbeddedDay(name)
 }
 
 // runDay runs a day against real edges of a kind and writes its report to outDir. It prints the progress and a table of the
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	runner := &lab.Runner{Day: day, Out: filepath.Join(outDir, "edges"), Edge: func(settings string) *exec.Cmd {
+	runner := &lab.Runner{Day: day, Out: filepath.Join(outDir, "edges"), EdgeCommand: func(settings string) *exec.Cmd {
 		if edgeKind == "dunegrade" {
 			return exec.Command(executable, "edge", settings)
 		}
@@ -104,13 +104,13 @@
 		fmt.Printf("%s: %v, %d machines, %d edges (%s), %g txns a second, seed %d\n", day.Name, day.Length.Round(time.Millisecond), day.Machines,
 			day.Sentries, edgeKind, day.Rate, day.Seed)
 		fmt.Println("  time  build stage phase        txns  in time  late  declined  voided  lost  at the newest build")
-		runner.Live = func(snapshot lab.Snapshot) {
-			for _, event := range snapshot.Marks {
+		runner.OnProgress = func(snapshot lab.Snapshot) {
+			for _, event := range snapshot.Events {
 				fmt.Println("          " + event)
 			}
 			fmt.Printf("%5.0fs  %5d %5d %-11s %5d  %7d %5d  %8d  %6d %5d  %d\n", snapshot.At.Seconds(), snapshot.Build,
-				snapshot.Stage, snapshot.Phase, snapshot.Asked, snapshot.InTime, snapshot.Late, snapshot.Decline,
-				snapshot.Voided, snapshot.Lost, snapshot.Trial)
+				snapshot.Stage, snapshot.Phase, snapshot.Asked, snapshot.InTime, snapshot.Late, snapshot.Declined,
+				snapshot.Voided, snapshot.Lost, snapshot.NewBuildSubmissions)
 		}
 	}
 	record, err := runner.Run(ctx)
@@ -118,8 +118,8 @@
 		return err
 	}
 	violations := lab.Check(day, record)
-	figures := lab.Sum(day, record, edgeKind, violations)
-	page, err := lab.WriteReport(outDir, figures, record.Marks)
+	figures := lab.ComputeFigures(day, record, edgeKind, violations)
+	page, err := lab.WriteReport(outDir, figures, record.Events)
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 		}
 		os.Stdout.Write(data)
 	} else {
-		figures.Table(os.Stdout)
+		figures.WriteTable(os.Stdout)
 		fmt.Println("report:", page)
 	}
 	if len(violations) > 0 {
@@ -159,7 +159,7 @@
 	var rows []*lab.Figures
 	for _, name := range c.Days {
 		for seedOffset := 0; seedOffset < c.Seeds; seedOffset++ {
-			var runs []lab.Contender
+			var runs []lab.ComparisonRun
 			for _, edgeKind := range c.Edges {
 				day, err := findDay(name)
 				if err != nil {
@@ -171,22 +171,22 @@
 				if edgeKind != "dunegrade" {
 					args = []string{"lab", "rival", edgeKind}
 				}
-				runs = append(runs, lab.Contender{Kind: edgeKind, Day: day,
+				runs = append(runs, lab.ComparisonRun{Kind: edgeKind, Day: day,
 					Out: filepath.Join(c.Out, fmt.Sprintf("%s-%d-%s", day.Name, day.Seed, edgeKind)),
-					Edge: func(settings string) *exec.Cmd {
+					EdgeCommand: func(settings string) *exec.Cmd {
 						return exec.Command(executable, append(args[:len(args):len(args)], settings)...)
 					}})
 			}
-			results, err := lab.SideBySide(ctx, runs)
+			results, err := lab.RunComparison(ctx, runs)
 			if err != nil {
 				return err
 			}
 			rows = append(rows, results...)
 		}
 	}
-	lab.Markdown(os.Stdout, rows)
+	lab.WriteComparisonTable(os.Stdout, rows)
 	for _, figures := range rows {
-		if figures.Edge == "dunegrade" && figures.Breaks() > 0 {
+		if figures.Edge == "dunegrade" && figures.ViolationCount() > 0 {
 			return errRuleViolated
 		}
 	}
@@ -202,7 +202,7 @@
 }
 
 func (c *importCmd) Run() error {
-	text, omitted, err := lab.Import(c.Day, lab.Scales{Machines: c.Machines, Sentries: c.Sentries, Rate: c.Rate})
+	text, omitted, err := lab.ImportDay(c.Day, lab.ImportLimits{Machines: c.Machines, Sentries: c.Sentries, Rate: c.Rate})
 	if err != nil {
 		return inputError{err}
 	}
@@ -234,12 +234,12 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	rows, err := lab.Bench(ctx, lab.BenchPlan{Self: executable, Out: c.Out, Rounds: c.Rounds, Span: c.Span, Conns: c.Conns, Rate: c.Rate, Sizes: c.Sizes,
+	rows, err := lab.Bench(ctx, lab.BenchPlan{Executable: executable, Out: c.Out, Rounds: c.Rounds, Duration: c.Span, Conns: c.Conns, Rate: c.Rate, AnswerSizes: c.Sizes,
 		Loops: c.Loops, Subjects: c.Only}, os.Stderr)
 	if err != nil {
 		return err
 	}
-	lab.BenchTable(os.Stdout, rows)
+	lab.WriteBenchTable(os.Stdout, rows)
 	return nil
 }
 
@@ -268,28 +268,28 @@
 }
 
 func (c *loadCmd) Run() error {
-	plan := lab.LoadPlan{Targets: []string{c.URL}, Rates: c.Rates, Ramp: c.Ramp, Span: c.Span, Slice: c.Slice, Conns: c.Conns, Method: c.Method, Body: c.Body,
+	plan := lab.LoadPlan{Targets: []string{c.URL}, Rates: c.Rates, Ramp: c.Ramp, StepDuration: c.Span, SliceDuration: c.Slice, Conns: c.Conns, Method: c.Method, Body: c.Body,
 		Timeout: c.Timeout}
 	if c.Against != "" {
 		plan.Targets = append(plan.Targets, c.Against)
 	}
-	if err := plan.Check(); err != nil {
+	if err := plan.Validate(); err != nil {
 		return inputError{err}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	slices, err := lab.Load(ctx, plan, func(slice *lab.LoadSlice) {
+	slices, err := lab.RunLoad(ctx, plan, func(slice *lab.LoadSlice) {
 		if !c.JSON {
 			fmt.Fprintf(os.Stderr, "%s: %6.0f offered, %6.0f successful a second, %d refused, %d failed, p99 %d us\n",
-				plan.Targets[slice.Target], slice.Rate, slice.PerSecond(), slice.Refused, slice.Bad, slice.Times.ValueAtQuantile(99))
+				plan.Targets[slice.Target], slice.Rate, slice.PerSecond(), slice.Refused, slice.Failed, slice.Latencies.ValueAtQuantile(99))
 		}
 	})
 	if err != nil {
 		return err
 	}
-	rows, differences := lab.SumLoad(plan, slices)
+	rows, differences := lab.SummarizeLoad(plan, slices)
 	var text strings.Builder
-	lab.LoadTable(&text, rows, differences)
+	lab.WriteLoadTable(&text, rows, differences)
 	if c.HTML != "" {
 		page, err := lab.LoadPage(plan, slices, text.String())
 		if err != nil {
@@ -321,11 +321,11 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	rows, err := lab.Hostile(ctx, lab.BenchPlan{Self: executable, Out: c.Out, Span: c.Span}, os.Stderr)
+	rows, err := lab.HostileBench(ctx, lab.BenchPlan{Executable: executable, Out: c.Out, Duration: c.Span}, os.Stderr)
 	if err != nil {
 		return err
 	}
-	lab.HostileTable(os.Stdout, rows)
+	lab.WriteHostileTable(os.Stdout, rows)
 	return nil
 }
 
@@ -344,7 +344,7 @@
 }
 
 func (c *demoCmd) Run() error {
-	day, err := lab.Embedded("demo")
+	day, err := lab.EmbeddedDay("demo")
 	if err != nil {
 		return err
 	}
@@ -354,7 +354,7 @@
 type daysCmd struct{}
 
 func (daysCmd) Run() error {
-	for _, name := range lab.EmbeddedNames() {
+	for _, name := range lab.EmbeddedDayNames() {
 		fmt.Println(name)
 	}
 	return nil
@@ -373,7 +373,7 @@
 	Settings string `arg:"" type:"path"`
 }
 
-func (c *rivalCmd) Run() error { os.Exit(lab.ServeRival(c.Kind, c.Settings)); return nil }
+func (c *rivalCmd) Run() error { os.Exit(lab.ServeComparisonEdge(c.Kind, c.Settings)); return nil }
 
 func main() {
 	var cli struct {
--- a/cmd/dunegrade/trace.go
+++ b/cmd/dunegrade/trace.go
@@ -36,8 +36,8 @@
 
 // openRuns returns the recorded runs of sentries in files and directories. The output calls the id of a run its life.
 // openRuns prints an error for files that cannot be read and skips them. It fails if no run is left.
-func openRuns(paths []string) ([]*trace.Life, error) {
-	runs, err := trace.Lives(paths)
+func openRuns(paths []string) ([]*trace.Run, error) {
+	runs, err := trace.FindRuns(paths)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "dunegrade:", err)
 	}
@@ -83,16 +83,16 @@
 		return fmt.Errorf("no txn matches %q", c.Txn)
 	}
 	var clocks []trace.Clock
-	if len(trace.LivesOf(stories)) > 1 {
-		if trace.SizeOf(runs) <= maxClockCompareBytes {
-			if clocks, err = trace.Clocks(runs, func(string, trace.Damage) {}); err != nil {
+	if len(trace.RunsOf(stories)) > 1 {
+		if trace.TotalSize(runs) <= maxClockCompareBytes {
+			if clocks, err = trace.EstimateClocks(runs, func(string, trace.Damage) {}); err != nil {
 				return err
 			}
 		} else {
 			fmt.Fprintln(os.Stderr, "dunegrade: the sentries' clocks are not compared, as the files are too large for it; see trace merge")
 		}
 	}
-	timeline := trace.Join(stories, runs, clocks)
+	timeline := trace.NewTimeline(stories, runs, clocks)
 	if c.SVG != "" {
 		file, err := os.Create(c.SVG)
 		if err != nil {
@@ -120,7 +120,7 @@
 		return nil
 	}
 	for _, story := range stories {
-		statuses, err := trace.Why(story)
+		statuses, err := trace.ExplainLastDecision(story)
 		if err != nil {
 			return fmt.Errorf("%s: %w", story.Name(), err)
 		}
@@ -179,7 +179,7 @@
 				Edge, Life string
 				Sentry     uint32
 				Why        string `json:",omitempty"`
-				*trace.Replayed
+				*trace.ReplayResult
 			}{run.Edge, fmt.Sprintf("%016x", run.ID), run.Sentry, errText, result}); err != nil {
 				return err
 			}
@@ -209,14 +209,14 @@
 }
 
 // whatIf prints how the decisions on the recorded events differ under the settings of the file at path.
-func whatIf(runs []*trace.Life, path string, asJSON bool) error {
+func whatIf(runs []*trace.Run, path string, asJSON bool) error {
 	edgeConfig, err := config.ReadEdge(path)
 	if err != nil {
 		return inputError{err}
 	}
 	for _, run := range runs {
 		settings := map[string]any{}
-		for name, value := range edgeConfig.Module {
+		for name, value := range edgeConfig.ModuleSettings {
 			settings[name] = value
 		}
 		settings["index"] = float64(run.Sentry)
@@ -341,7 +341,7 @@
 		return err
 	}
 	for _, run := range runs {
-		path := filepath.Join(c.O, fmt.Sprintf("%s-s%d-%016x-cut%s", run.Edge, run.Sentry, run.ID, trace.Suffix))
+		path := filepath.Join(c.O, fmt.Sprintf("%s-s%d-%016x-cut%s", run.Edge, run.Sentry, run.ID, trace.SegmentSuffix))
 		file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 		if err != nil {
 			return err
@@ -396,7 +396,7 @@
 	}
 	for i, run := range runs {
 		// The file's name must not reveal its source either.
-		path := filepath.Join(c.O, fmt.Sprintf("anonymous-%d%s", i, trace.Suffix))
+		path := filepath.Join(c.O, fmt.Sprintf("anonymous-%d%s", i, trace.SegmentSuffix))
 		file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 		if err != nil {
 			return err
@@ -440,9 +440,9 @@
 		return err
 	}
 	var clocks []trace.Clock
-	merged := &trace.Merged{}
+	merged := &trace.MergeResult{}
 	if c.O == "" {
-		if clocks, err = trace.Clocks(runs, reportDamage); err != nil {
+		if clocks, err = trace.EstimateClocks(runs, reportDamage); err != nil {
 			return err
 		}
 	} else {
@@ -489,14 +489,14 @@
 }
 
 // checkRules checks the five rules on recorded runs and prints the violations.
-func (c *verifyCmd) checkRules(runs []*trace.Life) error {
-	options := trace.RulesPlan{Cores: c.Cores}
+func (c *verifyCmd) checkRules(runs []*trace.Run) error {
+	options := trace.RulesOptions{Cores: c.Cores}
 	if c.With != "" {
 		edgeConfig, err := config.ReadEdge(c.With)
 		if err != nil {
 			return inputError{err}
 		}
-		options.Settings = edgeConfig.Module
+		options.Settings = edgeConfig.ModuleSettings
 	}
 	report, err := trace.CheckRules(runs, options, reportDamage)
 	if err != nil {
@@ -607,7 +607,7 @@
 		defer file.Close()
 	}
 	if c.Format == "otlp" {
-		clocks, err := trace.Clocks(runs, func(string, trace.Damage) {})
+		clocks, err := trace.EstimateClocks(runs, func(string, trace.Damage) {})
 		if err != nil {
 			return err
 		}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -24,8 +24,8 @@
 	for name, want := range map[string]any{"products.count": 2.0, "products.1.memory": 1.75e9, "products.1.effect": "referenced",
 		"release.caps.0": 0.12, "release.shares.2": 1.0, "release.window": 6e9, "sentries": 1.0, "allow.copies": true,
 		"discovery": "push", "rules.cold-from": 0.3} {
-		if e.Module[name] != want {
-			t.Errorf("%s: got %v, want %v", name, e.Module[name], want)
+		if e.ModuleSettings[name] != want {
+			t.Errorf("%s: got %v, want %v", name, e.ModuleSettings[name], want)
 		}
 	}
 	if e.Routes[1].Product != 1 || e.Products[0].Expiry != time.Second || e.ClientLimits.MaxHeadBytes != 16<<10 {
--- a/config/edge.go
+++ b/config/edge.go
@@ -43,8 +43,8 @@
 	ShutdownDelay time.Duration
 	// DrainTimeout bounds the drain that follows ShutdownDelay.
 	DrainTimeout time.Duration
-	// Module holds the settings of the decision module by name.
-	Module map[string]any
+	// ModuleSettings holds the settings of the decision module by name.
+	ModuleSettings map[string]any
 }
 
 // ClientLimits holds the limits on client connections. MaxConnections and OverflowConnections apply to the process,
@@ -144,7 +144,7 @@
 
 // ParseEdge is like ReadEdge, but for the text of a settings file; file is the file name for error messages.
 func ParseEdge(file, text string) (*Edge, error) {
-	r, err := Read(file, text)
+	r, err := Parse(file, text)
 	if err != nil {
 		return nil, err
 	}
@@ -153,7 +153,7 @@
 
 // readEdge reads and validates all settings. It returns all errors together.
 func readEdge(r *Reader) (*Edge, error) {
-	e := &Edge{Module: map[string]any{}}
+	e := &Edge{ModuleSettings: map[string]any{}}
 	f := r.Root().RequireField("edge")
 	r.Root().RejectUnknown()
 	e.readProcess(f)
@@ -291,7 +291,7 @@
 	if len(forms) == 0 {
 		f.RequireField("product")
 	}
-	m := e.Module
+	m := e.ModuleSettings
 	m["products.count"] = float64(len(forms))
 	for i, form := range forms {
 		name := form.TakeName("a product's name")
@@ -379,7 +379,7 @@
 // readModuleSettings reads the remaining settings of the decision module into ModuleSettings. It relies on the products, on
 // WorkerLimits and on the settings of the process, which have to be read before.
 func (e *Edge) readModuleSettings(f *Form) {
-	m := e.Module
+	m := e.ModuleSettings
 	duration := func(form *Form, name string, fallback, maximum time.Duration) {
 		m[form.name+"."+name] = float64(form.Duration(name, fallback, 0, maximum))
 	}
--- a/config/form.go
+++ b/config/form.go
@@ -99,11 +99,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return Read(path, string(text))
+	return Parse(path, string(text))
 }
 
-// Read parses the text of a file; file is the file name for error messages. The error is FileErrors.
-func Read(file, text string) (*Reader, error) {
+// Parse parses the text of a file; file is the file name for error messages. The error is FileErrors.
+func Parse(file, text string) (*Reader, error) {
 	doc, err := grammar.ParseString(file, text)
 	if err != nil {
 		syntaxErr := FileError{File: file, Line: 1, Column: 1, Found: "text that is not an S-expression",
--- a/config/list.go
+++ b/config/list.go
@@ -15,7 +15,7 @@
 // ParseWorkerList reads the text of a list file; file is the file name for error messages. The error is FileErrors if the
 // text is invalid.
 func ParseWorkerList(file, text string) (*WorkerList, error) {
-	r, err := Read(file, text)
+	r, err := Parse(file, text)
 	if err != nil {
 		return nil, err
 	}
@@ -42,7 +42,7 @@
 		seen[id] = true
 		workerList.Workers = append(workerList.Workers, api.Worker{ID: id, Address: worker.address("address", true),
 			Zone: worker.Text("zone", ""), Kind: worker.Text("kind", ""), Cell: int(worker.Int("cell", 0, 0, 1<<30)),
-			State:  worker.OneOf("state", api.Up, api.Up, api.Draining, api.Gone),
+			State:  worker.OneOf("state", api.WorkerUp, api.WorkerUp, api.WorkerDraining, api.WorkerGone),
 			Weight: worker.Float("weight", 1, 0, 1e9), Build: int(worker.Int("build", 1, 0, api.MaxBuild)),
 			StartedAt: worker.timestamp("started")})
 		worker.RejectUnknown()
@@ -56,7 +56,7 @@
 	}
 	workerList.Release = api.Release{Build: int(release.Int("build", 1, 0, api.MaxBuild)),
 		Stage: int(release.Int("stage", 0, 0, api.MaxStage)),
-		Phase: release.OneOf("phase", api.Released, api.OnTrial, api.GoingBack, api.Released, api.Withdrawn),
+		Phase: release.OneOf("phase", api.PhaseReleased, api.PhaseOnTrial, api.PhaseGoingBack, api.PhaseReleased, api.PhaseWithdrawn),
 		Cap:   release.Float("cap", 1, 0, 1), Since: release.timestamp("since")}
 	release.RejectUnknown()
 	f.RejectUnknown()
--- a/edge/call.go
+++ b/edge/call.go
@@ -102,7 +102,7 @@
 		delete(l.externalIDs, c.externalID)
 	}
 	if c.traced {
-		l.recorder.Done(l.now, c.id())
+		l.recorder.TxnDone(l.now, c.id())
 	}
 	if c.client != nil {
 		if c.client.call == c {
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -143,12 +143,12 @@
 		t.Fatal(err)
 	}
 	if len(workers) > 0 {
-		e := api.WorkersEvent{Type: api.Whole, Revision: 1, Now: 1}
+		e := api.WorkersEvent{Type: api.EventSnapshot, Revision: 1, Now: 1}
 		for i, w := range workers {
-			e.Workers = append(e.Workers, api.Worker{ID: fmt.Sprintf("w%d", i), Address: w.Addr().String(), State: api.Up, Build: 1})
+			e.Workers = append(e.Workers, api.Worker{ID: fmt.Sprintf("w%d", i), Address: w.Addr().String(), State: api.WorkerUp, Build: 1})
 		}
 		r.p.Workers(e)
-		r.p.Release(api.ReleaseEvent{Release: api.Release{Build: 1, Phase: api.Released, Cap: 1}})
+		r.p.Release(api.ReleaseEvent{Release: api.Release{Build: 1, Phase: api.PhaseReleased, Cap: 1}})
 		r.waitForLoops()
 	}
 	t.Cleanup(func() {
@@ -571,7 +571,7 @@
 	a, b := newStubWorker(t, echo), newStubWorker(t, echo)
 	r := startEdge(t, "", a, b)
 	r.roundTrip(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
-	r.p.Workers(api.WorkersEvent{Type: api.Change, Revision: 2, Workers: []api.Worker{{ID: "w0", Address: a.Addr().String(), State: api.Draining, Build: 1}}})
+	r.p.Workers(api.WorkersEvent{Type: api.EventChange, Revision: 2, Workers: []api.Worker{{ID: "w0", Address: a.Addr().String(), State: api.WorkerDraining, Build: 1}}})
 	r.waitForLoops()
 	before := a.requests.Load()
 	r.roundTrip(strings.Repeat(get("/ask"), 20), strings.Fields(strings.Repeat("GET ", 20))...)
--- a/edge/harden_test.go
+++ b/edge/harden_test.go
@@ -50,7 +50,7 @@
 
 // upWorker returns a valid list entry of a worker in state up.
 func upWorker(id string, build int) api.Worker {
-	return api.Worker{ID: id, Address: "127.0.0.1:1", State: api.Up, Build: build, Weight: 1}
+	return api.Worker{ID: id, Address: "127.0.0.1:1", State: api.WorkerUp, Build: build, Weight: 1}
 }
 
 // A malformed entry of a worker list must not change its worker, and must not prevent valid entries, such as another worker's
@@ -69,15 +69,15 @@
 		{"weight below zero", func(w *api.Worker) { w.Weight = -1 }, ""},
 		{"no state", func(w *api.Worker) { w.State = "" }, "not up"},
 		{"an unknown state", func(w *api.Worker) { w.State = "resting" }, "not up"},
-		{"malformed and draining", func(w *api.Worker) { w.Build, w.State = 70000, api.Draining }, "not up"},
+		{"malformed and draining", func(w *api.Worker) { w.Build, w.State = 70000, api.WorkerDraining }, "not up"},
 	} {
-		for _, mode := range []string{api.Change, api.Whole} {
+		for _, mode := range []string{api.EventChange, api.EventSnapshot} {
 			t.Run(c.name+" "+mode, func(t *testing.T) {
 				r := startEdge(t, "")
-				r.p.Workers(api.WorkersEvent{Type: api.Whole, Revision: 1, Now: 1, Workers: []api.Worker{upWorker("a", 1), upWorker("b", 1), upWorker("c", 1)}})
-				r.p.Release(api.ReleaseEvent{Release: api.Release{Build: 1, Phase: api.Released, Cap: 1}})
+				r.p.Workers(api.WorkersEvent{Type: api.EventSnapshot, Revision: 1, Now: 1, Workers: []api.Worker{upWorker("a", 1), upWorker("b", 1), upWorker("c", 1)}})
+				r.p.Release(api.ReleaseEvent{Release: api.Release{Build: 1, Phase: api.PhaseReleased, Cap: 1}})
 				bad, draining, unknown := upWorker("a", 1), upWorker("b", 1), upWorker("d", 70000)
-				draining.State = api.Draining
+				draining.State = api.WorkerDraining
 				c.corrupt(&bad)
 				r.p.Workers(api.WorkersEvent{Type: mode, Revision: 2, Now: 1, Workers: []api.Worker{bad, draining, unknown, upWorker("c", 1)}})
 				got := r.unusableReasons()
@@ -95,7 +95,7 @@
 // A malformed release update must not take effect: a cap of 40, meant as a percentage, would allow everything, and a negative
 // one nothing. An update that is older than the release in force must not raise its exposure.
 func TestMalformedReleaseUpdatesAreIgnored(t *testing.T) {
-	valid := api.Release{Build: 2, Stage: 1, Phase: api.OnTrial, Cap: 0.4, Since: 100}
+	valid := api.Release{Build: 2, Stage: 1, Phase: api.PhaseOnTrial, Cap: 0.4, Since: 100}
 	for _, c := range []struct {
 		name string
 		next func(r *api.Release)
@@ -108,11 +108,11 @@
 		{"build out of range", func(r *api.Release) { r.Build = 1 << 20 }, false},
 		{"unknown phase", func(r *api.Release) { r.Phase = "paused" }, false},
 		{"the next stage", func(r *api.Release) { r.Stage, r.Cap, r.Since = 2, 1, 200 }, true},
-		{"going back", func(r *api.Release) { r.Phase, r.Cap, r.Since = api.GoingBack, 0, 200 }, true},
+		{"going back", func(r *api.Release) { r.Phase, r.Cap, r.Since = api.PhaseGoingBack, 0, 200 }, true},
 		{"outdated: an earlier stage with a higher cap", func(r *api.Release) { r.Stage, r.Cap, r.Since = 0, 0.9, 50 }, false},
 		{"outdated: an earlier stage with a lower cap", func(r *api.Release) { r.Stage, r.Cap, r.Since = 0, 0.1, 50 }, true},
-		{"outdated: the previous build", func(r *api.Release) { *r = api.Release{Build: 1, Phase: api.Released, Cap: 1, Since: 50} }, false},
-		{"a build announced by mistake is taken back", func(r *api.Release) { *r = api.Release{Build: 1, Phase: api.Released, Cap: 1, Since: 200} }, true},
+		{"outdated: the previous build", func(r *api.Release) { *r = api.Release{Build: 1, Phase: api.PhaseReleased, Cap: 1, Since: 50} }, false},
+		{"a build announced by mistake is taken back", func(r *api.Release) { *r = api.Release{Build: 1, Phase: api.PhaseReleased, Cap: 1, Since: 200} }, true},
 		{"an update without a time, as from a file", func(r *api.Release) { r.Stage, r.Cap = 0, 0.9 }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -137,7 +137,7 @@
 	t.Run("a vote reply after the build was withdrawn", func(t *testing.T) {
 		p := New(parseTestConfig(t, ""), zap.NewNop())
 		withdrawn := valid
-		withdrawn.Phase, withdrawn.Cap, withdrawn.Since = api.Withdrawn, 0, 300
+		withdrawn.Phase, withdrawn.Cap, withdrawn.Since = api.PhaseWithdrawn, 0, 300
 		p.acceptRelease(withdrawn, func() {})
 		if p.acceptRelease(valid, func() {}) {
 			t.Error("the withdrawn trial is in force again")
@@ -150,7 +150,7 @@
 func TestReleaseUpdatesAreForwardedInOrder(t *testing.T) {
 	p := New(parseTestConfig(t, ""), zap.NewNop())
 	forwarded := false
-	p.acceptRelease(api.Release{Build: 2, Phase: api.OnTrial, Cap: 0.4}, func() {
+	p.acceptRelease(api.Release{Build: 2, Phase: api.PhaseOnTrial, Cap: 0.4}, func() {
 		if forwarded = true; p.mu.TryLock() {
 			p.mu.Unlock()
 			t.Error("another update could overtake it")
@@ -175,7 +175,7 @@
 // be blamed for the failures of the old one.
 func TestWorkerStartIdentifiesProcess(t *testing.T) {
 	const sec = int64(time.Second)
-	first := api.Worker{ID: "a", Address: "127.0.0.1:1", State: api.Up, Build: 1}
+	first := api.Worker{ID: "a", Address: "127.0.0.1:1", State: api.WorkerUp, Build: 1}
 	withStart := first
 	withStart.StartedAt = 90 * sec
 	for _, c := range []struct {
@@ -192,7 +192,7 @@
 		{"another address with the same start", &withStart, func(w *api.Worker) { w.Address = "127.0.0.1:2" }, 0, true},
 		{"another build, without a start", &first, func(w *api.Worker) { w.Build = 2 }, 0, true},
 		{"another build and start", &withStart, func(w *api.Worker) { w.Build, w.StartedAt = 2, 103*sec }, 2 * logic.Second, true},
-		{"draining, without an address", &withStart, func(w *api.Worker) { w.Address, w.State = "", api.Draining }, 15 * logic.Second, false},
+		{"draining, without an address", &withStart, func(w *api.Worker) { w.Address, w.State = "", api.WorkerDraining }, 15 * logic.Second, false},
 		{"an id that appears later, without a start", nil, func(w *api.Worker) {}, 0, false},
 		{"an id that appears later, with a start", nil, func(w *api.Worker) { w.StartedAt = 100 * sec }, 5 * logic.Second, false},
 		{"a start in the future", nil, func(w *api.Worker) { w.StartedAt = 200 * sec }, 0, false},
@@ -227,11 +227,11 @@
 func TestRemovedWorkersAreForgotten(t *testing.T) {
 	r := startEdge(t, "")
 	for i := 0; i < 300; i++ {
-		e := api.WorkersEvent{Type: api.Whole, Revision: uint64(i), Now: 1, Workers: []api.Worker{upWorker(fmt.Sprintf("w%d", i), 1)}}
+		e := api.WorkersEvent{Type: api.EventSnapshot, Revision: uint64(i), Now: 1, Workers: []api.Worker{upWorker(fmt.Sprintf("w%d", i), 1)}}
 		if i%2 == 0 { // every other worker is removed by a change event
 			removed := upWorker(fmt.Sprintf("w%d", i-1), 1)
-			removed.State = api.Gone
-			e.Type, e.Workers = api.Change, append(e.Workers, removed)
+			removed.State = api.WorkerGone
+			e.Type, e.Workers = api.EventChange, append(e.Workers, removed)
 		}
 		r.p.Workers(e)
 	}
@@ -340,7 +340,7 @@
 	l.post(func() { starts <- l.workerStarts["b"] })
 	now := time.Now().Add(-time.Hour).UnixNano()
 	b := r.p.workers["b"]
-	r.p.Workers(api.WorkersEvent{Type: api.Whole, Revision: 1, Now: now, Workers: []api.Worker{b}})
+	r.p.Workers(api.WorkersEvent{Type: api.EventSnapshot, Revision: 1, Now: now, Workers: []api.Worker{b}})
 	l.post(func() { starts <- l.workerStarts["b"] })
 	if restored, listed := <-starts, <-starts; restored != listed {
 		t.Errorf("the start of the same process is %+v, then %+v", restored, listed)
@@ -351,11 +351,11 @@
 func TestMalformedWorkerEntryIsNotSaved(t *testing.T) {
 	dir := t.TempDir()
 	p := New(parseTestConfig(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
-	for _, state := range []string{api.Up, "", "resting", api.Draining} {
-		p.Workers(api.WorkersEvent{Type: api.Whole, Now: 1, Workers: []api.Worker{upWorker("a", 1), upWorker("b", 1)}})
+	for _, state := range []string{api.WorkerUp, "", "resting", api.WorkerDraining} {
+		p.Workers(api.WorkersEvent{Type: api.EventSnapshot, Now: 1, Workers: []api.Worker{upWorker("a", 1), upWorker("b", 1)}})
 		bad := upWorker("a", 70000)
 		bad.State = state
-		p.Workers(api.WorkersEvent{Type: api.Change, Now: 1, Workers: []api.Worker{bad}})
+		p.Workers(api.WorkersEvent{Type: api.EventChange, Now: 1, Workers: []api.Worker{bad}})
 		p.saveState(false)
 		if list, _ := New(parseTestConfig(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop()).restoreState(); list == nil || len(list.Workers) != 2 {
 			t.Errorf("after a malformed entry with state %q: restored %v", state, list)
@@ -375,7 +375,7 @@
 				for n := 0; n < 1+(i*31+k*17)%200; n++ {
 					list = append(list, upWorker(fmt.Sprintf("w%d-%d-%d", i, k, n), 1))
 				}
-				p.Workers(api.WorkersEvent{Type: api.Whole, Now: 1, Workers: list})
+				p.Workers(api.WorkersEvent{Type: api.EventSnapshot, Now: 1, Workers: list})
 				p.saveState(false)
 				restarted := New(parseTestConfig(t, fmt.Sprintf("(state %q)", dir)), zap.NewNop())
 				if got, _ := restarted.restoreState(); got == nil {
@@ -406,7 +406,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.p.Workers(api.WorkersEvent{Type: api.Change, Now: 1, Workers: []api.Worker{upWorker("later", 1)}})
+	r.p.Workers(api.WorkersEvent{Type: api.EventChange, Now: 1, Workers: []api.Worker{upWorker("later", 1)}})
 	r.p.saveState(false)
 	after, err := os.ReadFile(r.p.statePath())
 	if err != nil || string(after) != string(before) {
@@ -427,7 +427,7 @@
 	if err := os.Mkdir(p.statePath()+".new", 0o700); err != nil {
 		t.Fatal(err)
 	}
-	p.Workers(api.WorkersEvent{Type: api.Whole, Now: 1, Workers: []api.Worker{upWorker("a", 1)}})
+	p.Workers(api.WorkersEvent{Type: api.EventSnapshot, Now: 1, Workers: []api.Worker{upWorker("a", 1)}})
 	waitFor(t, "the failure in the log", func() bool { return logs.FilterMessage("the last list could not be kept").Len() > 0 })
 	if err := os.Remove(p.statePath() + ".new"); err != nil {
 		t.Fatal(err)
@@ -518,7 +518,7 @@
 	if a, b := await(t, requested), await(t, requested); a != "0" || b != "0" {
 		t.Errorf("watches start at revisions %s and %s, want 0 and 0", a, b)
 	}
-	if got := await(t, h.lists); got.Type != api.Whole {
+	if got := await(t, h.lists); got.Type != api.EventSnapshot {
 		t.Errorf("got %+v after an event of unknown type, want a whole list", got)
 	}
 }
@@ -578,7 +578,7 @@
 	go func() {
 		<-requested
 		l := r.p.loops[0]
-		l.post(func() { l.sentry = logic.New(l.now, 1, l.p.cfg.Module, l) })
+		l.post(func() { l.sentry = logic.New(l.now, 1, l.p.cfg.ModuleSettings, l) })
 	}()
 	began := time.Now()
 	answers, _ := r.roundTrip(post("/pay"), "POST")
--- a/edge/loop.go
+++ b/edge/loop.go
@@ -154,7 +154,7 @@
 
 // newLoop returns the process's loop i, not yet started.
 func newLoop(p *Process, i int) *loop {
-	sentryIndex := int(p.cfg.Module["index"].(float64)) + i
+	sentryIndex := int(p.cfg.ModuleSettings["index"].(float64)) + i
 	// Each sentry has a seed of its own, so that no two share a random sequence.
 	seed := int64(xxhash.Sum64(binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil,
 		uint64(p.cfg.Seed)), uint64(sentryIndex))) >> 1)
@@ -196,7 +196,7 @@
 	l.post(func() {
 		l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
 			settings := map[string]any{}
-			for k, v := range l.p.cfg.Module {
+			for k, v := range l.p.cfg.ModuleSettings {
 				settings[k] = v
 			}
 			settings["index"] = float64(l.sentryIndex)
@@ -242,7 +242,7 @@
 	for i := range l.p.cfg.Products {
 		h.Products = append(h.Products, l.p.cfg.Products[i].Name)
 	}
-	l.recorder, err = trace.NewTailed(trace.Disk(t.Dir), t.TailDir, trace.Keep{SegmentBytes: t.SegmentBytes, SegmentAge: t.SegmentAge,
+	l.recorder, err = trace.NewRecorderWithTail(trace.OSDirectory(t.Dir), t.TailDir, trace.Retention{SegmentBytes: t.SegmentBytes, SegmentAge: t.SegmentAge,
 		TotalBytes: t.TotalBytes}, h, settings, l.log)
 	return err
 }
@@ -251,7 +251,7 @@
 func (l *loop) deliverWorkers(mode logic.ListMode, list []logic.Worker) {
 	l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
 		if l.recorder != nil {
-			l.recorder.List(now, mode, list)
+			l.recorder.UpdateWorkers(now, mode, list)
 		}
 		l.sentry.UpdateWorkers(now, mode, list)
 	}})
@@ -260,7 +260,7 @@
 func (l *loop) deliverRelease(u logic.ReleaseUpdate) {
 	l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
 		if l.recorder != nil {
-			l.recorder.News(now, u)
+			l.recorder.ReleaseUpdate(now, u)
 		}
 		l.sentry.ReleaseUpdate(now, u)
 	}})
@@ -287,7 +287,7 @@
 func (l *loop) deliverPeerMessage(sender int, data []byte) {
 	l.dispatch(event{kind: evFunc, run: func(now logic.Nanos) {
 		if l.recorder != nil {
-			l.recorder.Told(now, sender, data)
+			l.recorder.PeerMessage(now, sender, data)
 		}
 		l.sentry.PeerMessage(now, sender, data)
 	}})
@@ -411,7 +411,7 @@
 		if t.token == 0 { // the module's housekeeping tick
 			l.publishStats()
 			if l.recorder != nil {
-				l.recorder.Flush(l.now)
+				l.recorder.FlushStale(l.now)
 			}
 		}
 		l.enqueue(event{kind: evTimer, token: t.token})
@@ -488,7 +488,7 @@
 		l.resumeReads = l.resumeReads[:0]
 	}
 	if l.recorder != nil {
-		l.recorder.Settle()
+		l.recorder.WritePending()
 	}
 	l.processing = false
 }
@@ -634,7 +634,7 @@
 // SendToPeer implements logic.Sink.
 func (l *loop) SendToPeer(receiver int, data []byte) {
 	if l.recorder != nil {
-		l.recorder.Tell(l.now, receiver, data)
+		l.recorder.SendToPeer(l.now, receiver, data)
 	}
 	l.p.sendToPeer(l.sentryIndex, receiver, data)
 }
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -17,7 +17,7 @@
 
 // listenPeers opens the socket for messages from other sentries, if messages are allowed.
 func (p *Process) listenPeers() error {
-	if !p.cfg.Module["allow.messages"].(bool) {
+	if !p.cfg.ModuleSettings["allow.messages"].(bool) {
 		return nil // even if the configuration contains addresses
 	}
 	for _, a := range p.cfg.Peers {
@@ -27,7 +27,7 @@
 		}
 		p.peerAddrs = append(p.peerAddrs, u)
 	}
-	own := p.peerAddrs[int(p.cfg.Module["index"].(float64))]
+	own := p.peerAddrs[int(p.cfg.ModuleSettings["index"].(float64))]
 	var err error
 	if p.cfg.PeerListen != "" {
 		if own, err = net.ResolveUDPAddr("udp", p.cfg.PeerListen); err != nil {
--- a/edge/pg.go
+++ b/edge/pg.go
@@ -35,7 +35,7 @@
 	// ParseStatement parses a statement into dst. An error is sent to the client.
 	ParseStatement(statement []byte, dst *StatementInfo) *pgwire.ProtocolError
 	// ParseLoad parses a load report into dst, and reports whether it is valid.
-	Load(report []byte, dst *logic.Load) bool
+	ParseLoad(report []byte, dst *logic.Load) bool
 	// EncodeStartup returns the startup message for workers and the name of the parameter that carries load reports.
 	EncodeStartup() (message []byte, loadParam string)
 }
@@ -431,5 +431,5 @@
 // parseLoad parses the load report that came with the answer.
 func (pw *pgWorker) parseLoad() {
 	wc := pw.wc
-	wc.hasLoad = pw.parser.Load != nil && pw.proto.dialect.Load(pw.parser.Load, &wc.load) && plausibleLoad(&wc.load)
+	wc.hasLoad = pw.parser.Load != nil && pw.proto.dialect.ParseLoad(pw.parser.Load, &wc.load) && plausibleLoad(&wc.load)
 }
--- a/edge/saved_state.go
+++ b/edge/saved_state.go
@@ -161,7 +161,7 @@
 	}
 	now := time.Now().UnixNano()
 	age := max(0, now-state.Saved)
-	list = &api.WorkersEvent{Type: api.Whole, Now: now, Workers: state.Workers}
+	list = &api.WorkersEvent{Type: api.EventSnapshot, Now: now, Workers: state.Workers}
 	if state.Clock != 0 {
 		list.Now = state.Clock + age
 	}
--- a/edge/source.go
+++ b/edge/source.go
@@ -74,15 +74,15 @@
 				return fmt.Errorf("malformed event: %w", err)
 			}
 			switch e.Type {
-			case api.Bookmark:
+			case api.EventBookmark:
 				return nil
-			case api.Change:
+			case api.EventChange:
 				// A change that skips a revision applies to a list that this edge does not have.
 				if current := revision; e.Revision != current+1 {
 					revision = 0
 					return fmt.Errorf("change to revision %d after revision %d: requesting the whole list", e.Revision, current)
 				}
-			case api.Whole:
+			case api.EventSnapshot:
 			default: // its effect on the list is unknown
 				revision = 0
 				return fmt.Errorf("event of type %q, want whole, change or bookmark: requesting the whole list", e.Type)
@@ -98,7 +98,7 @@
 			if err := json.Unmarshal(line, &e); err != nil {
 				return fmt.Errorf("malformed event: %w", err)
 			}
-			if e.Type != api.Bookmark {
+			if e.Type != api.EventBookmark {
 				handler.Release(e)
 			}
 			return nil
@@ -110,7 +110,7 @@
 			if err := json.Unmarshal(line, &e); err != nil {
 				return fmt.Errorf("malformed event: %w", err)
 			}
-			if e.Type != api.Bookmark {
+			if e.Type != api.EventBookmark {
 				handler.Report(e)
 			}
 			return nil
@@ -122,7 +122,7 @@
 			if err := json.Unmarshal(line, &t); err != nil {
 				return fmt.Errorf("malformed event: %w", err)
 			}
-			if t.Type != api.Bookmark {
+			if t.Type != api.EventBookmark {
 				handler.Tally(t)
 			}
 			return nil
@@ -257,6 +257,6 @@
 		return
 	}
 	now := time.Now().UnixNano()
-	handler.Workers(api.WorkersEvent{Type: api.Whole, Revision: revision, Now: now, Workers: list.Workers})
-	handler.Release(api.ReleaseEvent{Type: api.Whole, Revision: revision, Now: now, Release: list.Release})
+	handler.Workers(api.WorkersEvent{Type: api.EventSnapshot, Revision: revision, Now: now, Workers: list.Workers})
+	handler.Release(api.ReleaseEvent{Type: api.EventSnapshot, Revision: revision, Now: now, Release: list.Release})
 }
--- a/edge/source_test.go
+++ b/edge/source_test.go
@@ -169,7 +169,7 @@
 		t.Errorf("got list %+v, want 2 workers", got)
 	}
 	await(t, h.releases)
-	if got := await(t, h.releases); got.Release.Cap != 0.1 || got.Release.Phase != api.OnTrial {
+	if got := await(t, h.releases); got.Release.Cap != 0.1 || got.Release.Phase != api.PhaseOnTrial {
 		t.Errorf("got release %+v, want a build on trial with a cap of 0.1", got)
 	}
 }
--- a/edge/trace_test.go
+++ b/edge/trace_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	segments := func(dir string) int {
-		files, _ := filepath.Glob(filepath.Join(dir, "*"+trace.Suffix))
+		files, _ := filepath.Glob(filepath.Join(dir, "*"+trace.SegmentSuffix))
 		return len(files)
 	}
 	sendUntil("a first segment", func() bool { return segments(dir) > 0 })
@@ -62,7 +62,7 @@
 	if logged("traces cannot be written") != 1 || logged("traces are written again") != 1 {
 		t.Errorf("want each change logged once, got %v", logs.All())
 	}
-	all, err := trace.Lives([]string{aside, dir})
+	all, err := trace.FindRuns([]string{aside, dir})
 	if err != nil || len(all) != 1 {
 		t.Fatalf("%d runs, %v", len(all), err)
 	}
@@ -94,7 +94,7 @@
 				}
 				e.done <- nil
 			}
-			all, err := trace.Lives([]string{dir})
+			all, err := trace.FindRuns([]string{dir})
 			if err != nil || len(all) != 2 {
 				t.Fatalf("%d runs, %v", len(all), err)
 			}
--- a/edge/updates.go
+++ b/edge/updates.go
@@ -25,9 +25,9 @@
 				continue
 			}
 			switch w.State {
-			case api.Up:
+			case api.WorkerUp:
 			case "": // an empty state would make the saved list invalid as a whole at the next start
-				current.State = api.Draining
+				current.State = api.WorkerDraining
 			default:
 				current.State = w.State
 			}
@@ -36,11 +36,11 @@
 		valid = append(valid, w)
 	}
 	e.Workers = valid
-	if e.Type == api.Whole {
+	if e.Type == api.EventSnapshot {
 		clear(p.workers)
 	}
 	for _, w := range e.Workers {
-		if w.State == api.Gone {
+		if w.State == api.WorkerGone {
 			delete(p.workers, w.ID)
 		} else {
 			p.workers[w.ID] = w
@@ -49,7 +49,7 @@
 	p.clockOffset = e.Now - time.Now().UnixNano()
 	p.mu.Unlock()
 	mode := logic.Changes
-	if e.Type == api.Whole {
+	if e.Type == api.EventSnapshot {
 		mode = logic.Whole
 	}
 	for _, l := range p.loops {
@@ -60,7 +60,7 @@
 }
 
 // stateByName translates worker states for the module.
-var stateByName = map[string]logic.State{api.Up: logic.Up, api.Draining: logic.Draining, api.Gone: logic.Gone}
+var stateByName = map[string]logic.State{api.WorkerUp: logic.Up, api.WorkerDraining: logic.Draining, api.WorkerGone: logic.Gone}
 
 // applyWorkerList passes a list event to the module, translated to its ids and to the local clock.
 func (l *loop) applyWorkerList(mode logic.ListMode, e api.WorkersEvent) {
@@ -112,7 +112,7 @@
 // process without a new reported start counts as started now.
 func (l *loop) workerStartTime(id logic.WorkerID, w api.Worker, platformNow int64) logic.Nanos {
 	previous, known := l.workerStarts[id]
-	if known && (w.State != api.Up || previous.reported == w.StartedAt && previous.address == w.Address && previous.build == w.Build) {
+	if known && (w.State != api.WorkerUp || previous.reported == w.StartedAt && previous.address == w.Address && previous.build == w.Build) {
 		return previous.startedAt
 	}
 	start := workerStart{reported: w.StartedAt, address: w.Address, build: w.Build}
@@ -153,8 +153,8 @@
 }
 
 // phaseByName translates release phases for the module.
-var phaseByName = map[string]logic.Phase{api.OnTrial: logic.OnTrial, api.GoingBack: logic.GoingBack,
-	api.Released: logic.Released, api.Withdrawn: logic.Withdrawn}
+var phaseByName = map[string]logic.Phase{api.PhaseOnTrial: logic.OnTrial, api.PhaseGoingBack: logic.GoingBack,
+	api.PhaseReleased: logic.Released, api.PhaseWithdrawn: logic.Withdrawn}
 
 // toReleaseUpdate translates a release event for the module. voteReply marks the reply to a vote.
 func toReleaseUpdate(e api.ReleaseEvent, voteReply bool) logic.ReleaseUpdate {
@@ -172,7 +172,7 @@
 		p.log.Error("news of a release not heeded", zap.Error(err))
 		return false
 	}
-	isBack := func(phase string) bool { return phase == api.GoingBack || phase == api.Withdrawn }
+	isBack := func(phase string) bool { return phase == api.PhaseGoingBack || phase == api.PhaseWithdrawn }
 	p.mu.Lock()
 	previous := p.release
 	overtaken := r.Since < previous.Since && (r.Build < previous.Build || r.Build == previous.Build &&
@@ -224,7 +224,7 @@
 	}
 	for _, l := range p.loops {
 		l.post(func() {
-			l.deliverTally(logic.Tally{Rel: logic.RelID(t.Build), Product: logic.ProductID(product), Many: t.Many, Bad: t.Bad,
+			l.deliverTally(logic.Tally{Rel: logic.RelID(t.Build), Product: logic.ProductID(product), Many: t.Submissions, Bad: t.NotSettled,
 				Mean: logic.Nanos(t.Mean)})
 		})
 	}
@@ -241,7 +241,7 @@
 		return
 	}
 	l.voteInFlight = true
-	timeout := time.Duration(l.p.cfg.Module["release.vote-timeout"].(float64))
+	timeout := time.Duration(l.p.cfg.ModuleSettings["release.vote-timeout"].(float64))
 	l.group.Add(1)
 	go func() {
 		defer l.group.Done()
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -49,8 +49,8 @@
 	Speed    float64 // relative to a normal build; NewMachine replaces 0 with 1
 }
 
-// Kind describes the capacity and failure behavior of a machine.
-type Kind struct {
+// MachineSpec describes the capacity and failure behavior of a machine.
+type MachineSpec struct {
 	Cores int
 	// Slots limits the queued and running txns. Further txns are refused without being processed.
 	Slots int
@@ -72,12 +72,12 @@
 
 // Job is a txn as submitted to a machine.
 type Job struct {
-	ID       uint64
-	Product  int
-	DedupKey uint64 // key that identifies duplicates; 0 means none
-	Memory   Nanos  // time for which DedupKey is remembered
-	Work     Nanos  // run time on a core of speed 1
-	From     int    // index of the sentry that submitted the job
+	ID          uint64
+	Product     int
+	DedupKey    uint64 // key that identifies duplicates; 0 means none
+	DedupWindow Nanos  // time for which DedupKey is remembered
+	Work        Nanos  // run time on a core of speed 1
+	Sentry      int    // index of the sentry that submitted the job
 }
 
 // Admission is a machine's response to a submitted job.
@@ -90,32 +90,32 @@
 	MachineDown           // the machine has failed
 )
 
-// End is how a job ended.
-type End int
+// Result is how a job ended.
+type Result int
 
 // Job results.
 const (
-	Succeeded End = iota
+	Succeeded Result = iota
 	Failed
-	WrongAnswer // reported as a success
-	Dropped     // a duplicate, answered with the result of the first execution
+	WrongAnswer  // reported as a success
+	Deduplicated // a duplicate, answered with the result of the first execution
 )
 
 // CompletedJob is a job with its result and times.
 type CompletedJob struct {
 	Job
-	End      End
+	Result   Result
 	Arrived  Nanos
 	Started  Nanos
 	Finished Nanos
 }
 
-// TookEffect reports whether this machine executed the job instead of answering it as a duplicate.
-func (d CompletedJob) TookEffect() bool { return d.End != Dropped }
+// Executed reports whether this machine executed the job instead of answering it as a duplicate.
+func (d CompletedJob) Executed() bool { return d.Result != Deduplicated }
 
 // MachineFault is a fault injected into one machine, whatever its build. The zero value means no fault.
 type MachineFault struct {
-	Slow           float64 // factor on run times; 0 and 1 mean no slowdown
+	SlowdownFactor float64 // factor on run times; 0 and 1 mean no slowdown
 	NeighbourShare float64 // share of the machine's capacity that another program on it uses
 	FailureRate    float64 // share of txns that fail immediately
 	Hangs          bool    // accepts txns and completes none
@@ -144,7 +144,7 @@
 
 // isDuplicate reports whether a job's dedup key is remembered, and records the key if it is not.
 func (s *SharedState) isDuplicate(now Nanos, j Job) bool {
-	if j.DedupKey == 0 || j.Memory <= 0 {
+	if j.DedupKey == 0 || j.DedupWindow <= 0 {
 		return false
 	}
 	for len(s.insertionOrder) > 0 {
@@ -158,7 +158,7 @@
 	if e, known := s.seen[j.DedupKey]; known && now-e.seenAt < e.window {
 		return true
 	}
-	s.seen[j.DedupKey] = dedupEntry{now, j.Memory}
+	s.seen[j.DedupKey] = dedupEntry{now, j.DedupWindow}
 	s.insertionOrder = append(s.insertionOrder, j.DedupKey)
 	return false
 }
@@ -179,7 +179,7 @@
 
 // Machine is one worker process. The clock passed to its methods must never go back.
 type Machine struct {
-	Kind    Kind
+	Spec    MachineSpec
 	Build   Build
 	Started Nanos // 0 means long ago, so that the machine is warm
 	Fault   MachineFault
@@ -198,20 +198,20 @@
 }
 
 // NewMachine starts a machine. seed initializes its random source.
-func NewMachine(spec Kind, build Build, started Nanos, shared *SharedState, seed int64) *Machine {
+func NewMachine(spec MachineSpec, build Build, started Nanos, shared *SharedState, seed int64) *Machine {
 	if build.Speed == 0 {
 		build.Speed = 1
 	}
-	return &Machine{Kind: spec, Build: build, Started: started, shared: shared, rng: rand.New(rand.NewSource(seed)),
+	return &Machine{Spec: spec, Build: build, Started: started, shared: shared, rng: rand.New(rand.NewSource(seed)),
 		busyUpdatedAt: started}
 }
 
 // CapacityShare returns the share of its full capacity that the machine has at now.
 func (m *Machine) CapacityShare(now Nanos) float64 {
-	if m.Started == 0 || m.Kind.WarmUp <= 0 || now-m.Started >= m.Kind.WarmUp {
+	if m.Started == 0 || m.Spec.WarmUp <= 0 || now-m.Started >= m.Spec.WarmUp {
 		return 1
 	}
-	return m.Kind.ColdStartCapacity + (1-m.Kind.ColdStartCapacity)*float64(now-m.Started)/float64(m.Kind.WarmUp)
+	return m.Spec.ColdStartCapacity + (1-m.Spec.ColdStartCapacity)*float64(now-m.Started)/float64(m.Spec.WarmUp)
 }
 
 // IsDown reports whether the machine has failed from overload.
@@ -229,7 +229,7 @@
 	if m.down {
 		return MachineDown
 	}
-	if m.JobCount() >= m.Kind.Slots {
+	if m.JobCount() >= m.Spec.Slots {
 		return Refused
 	}
 	m.queue = append(m.queue, pendingJob{CompletedJob: CompletedJob{Job: j, Arrived: now}})
@@ -240,22 +240,22 @@
 // checkOverload records the work submitted to a machine that warms up. The machine fails once the work within
 // OverloadWindow exceeds OverloadMultiple times its capacity by more than two average jobs, a margin for random bursts.
 func (m *Machine) checkOverload(now Nanos, j Job) {
-	if m.CapacityShare(now) >= 1 || m.Kind.OverloadMultiple <= 0 {
+	if m.CapacityShare(now) >= 1 || m.Spec.OverloadMultiple <= 0 {
 		m.recentArrivals = m.recentArrivals[:0]
 		return
 	}
-	m.recentArrivals = append(m.recentArrivals, arrival{now, j.Work, j.From})
+	m.recentArrivals = append(m.recentArrivals, arrival{now, j.Work, j.Sentry})
 	recent, firstKept := Nanos(0), 0
 	for i, a := range m.recentArrivals {
-		if now-a.arrivedAt > m.Kind.OverloadWindow {
+		if now-a.arrivedAt > m.Spec.OverloadWindow {
 			firstKept = i + 1
 		} else {
 			recent += a.work
 		}
 	}
 	m.recentArrivals = append(m.recentArrivals[:0], m.recentArrivals[firstKept:]...)
-	capacity := float64(m.Kind.Cores) * m.Kind.Speed * m.CapacityShare(now) * float64(m.Kind.OverloadWindow)
-	if float64(recent) > m.Kind.OverloadMultiple*capacity+2*float64(recent)/float64(len(m.recentArrivals)) {
+	capacity := float64(m.Spec.Cores) * m.Spec.Speed * m.CapacityShare(now) * float64(m.Spec.OverloadWindow)
+	if float64(recent) > m.Spec.OverloadMultiple*capacity+2*float64(recent)/float64(len(m.recentArrivals)) {
 		m.down = true
 	}
 }
@@ -271,13 +271,13 @@
 
 // startQueued starts queued jobs on free cores.
 func (m *Machine) startQueued(now Nanos) {
-	for len(m.running) < m.Kind.Cores && len(m.queue) > 0 {
+	for len(m.running) < m.Spec.Cores && len(m.queue) > 0 {
 		job := m.queue[0]
 		m.queue = m.queue[1:]
 		m.updateBusyShare(now)
 		job.Started = now
 		duration, result := m.execute(now, job.Job)
-		job.End, job.endsAt = result, now+duration
+		job.Result, job.endsAt = result, now+duration
 		if m.Fault.Hangs {
 			job.endsAt = math.MaxInt64
 		}
@@ -286,14 +286,14 @@
 }
 
 // execute returns the run time of a job and its result.
-func (m *Machine) execute(now Nanos, j Job) (Nanos, End) {
+func (m *Machine) execute(now Nanos, j Job) (Nanos, Result) {
 	if m.shared.isDuplicate(now, j) {
-		return Millisecond, Dropped
+		return Millisecond, Deduplicated
 	}
 	if m.Fault.FailureRate > 0 && m.rng.Float64() < m.Fault.FailureRate {
 		return Millisecond, Failed
 	}
-	slowdown, failureRate, wrongRate := 1.0, m.Kind.BaseErrorRate, 0.0
+	slowdown, failureRate, wrongRate := 1.0, m.Spec.BaseErrorRate, 0.0
 	b := m.Build
 	switch b.Flaw {
 	case Errors:
@@ -316,10 +316,10 @@
 	case WrongAnswers:
 		wrongRate = b.Strength
 	}
-	if m.Fault.Slow > 1 {
-		slowdown *= m.Fault.Slow
+	if m.Fault.SlowdownFactor > 1 {
+		slowdown *= m.Fault.SlowdownFactor
 	}
-	speed := m.Kind.Speed * b.Speed * m.CapacityShare(now) * (1 - m.Fault.NeighbourShare) / max(1, m.shared.SlowdownFactor)
+	speed := m.Spec.Speed * b.Speed * m.CapacityShare(now) * (1 - m.Fault.NeighbourShare) / max(1, m.shared.SlowdownFactor)
 	duration := Nanos(float64(j.Work) * slowdown / max(speed, 0.001))
 	switch draw := m.rng.Float64(); {
 	case draw < failureRate:
@@ -365,7 +365,7 @@
 // Cancel removes a job whose connection was closed, if StopsOnCancel is set. It reports whether the job was removed, and
 // whether it had started.
 func (m *Machine) Cancel(now Nanos, id uint64) (started, found bool) {
-	if !m.Kind.StopsOnCancel {
+	if !m.Spec.StopsOnCancel {
 		return false, false
 	}
 	for i := range m.queue {
@@ -393,7 +393,7 @@
 	}
 	m.busyUpdatedAt = now
 	decay := math.Exp(-dt)
-	m.busyShare = m.busyShare*decay + (1-decay)*float64(len(m.running))/float64(m.Kind.Cores)
+	m.busyShare = m.busyShare*decay + (1-decay)*float64(len(m.running))/float64(m.Spec.Cores)
 }
 
 // LoadReport is the load that a machine reports.
@@ -405,10 +405,10 @@
 
 // Load returns the machine's latest load report. The report is renewed every ReportInterval, and Util has random noise.
 func (m *Machine) Load(now Nanos) LoadReport {
-	if now-m.lastReportAt >= m.Kind.ReportInterval && !m.Fault.ReportsStale {
+	if now-m.lastReportAt >= m.Spec.ReportInterval && !m.Fault.ReportsStale {
 		m.lastReportAt = now
 		m.updateBusyShare(now)
-		noise := 1 + m.Kind.ReportNoise*m.rng.NormFloat64()
+		noise := 1 + m.Spec.ReportNoise*m.rng.NormFloat64()
 		m.lastReport = LoadReport{Util: max(0, m.busyShare*noise), Queue: float64(len(m.queue)), Busy: float64(m.JobCount())}
 	}
 	if m.Fault.ReportsIdle {
--- a/fleet/machine_test.go
+++ b/fleet/machine_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-var spec = Kind{Cores: 2, Slots: 8, Speed: 1, ColdStartCapacity: 0.25, WarmUp: 4 * Second, OverloadMultiple: 2, OverloadWindow: Second,
+var spec = MachineSpec{Cores: 2, Slots: 8, Speed: 1, ColdStartCapacity: 0.25, WarmUp: 4 * Second, OverloadMultiple: 2, OverloadWindow: Second,
 	StopsOnCancel: true, ReportInterval: Second}
 
 // submitJobs submits n jobs, rate per second. It returns the number of jobs by result, the number that were not accepted,
 // and the mean latency of the successful jobs.
-func submitJobs(m *Machine, start Nanos, n int, rate float64, product int) (results map[End]int, refused int, mean Nanos) {
-	results = map[End]int{}
+func submitJobs(m *Machine, start Nanos, n int, rate float64, product int) (results map[Result]int, refused int, mean Nanos) {
+	results = map[Result]int{}
 	sum, succeeded := Nanos(0), 0
 	count := func(jobs []CompletedJob) {
 		for _, d := range jobs {
-			results[d.End]++
-			if d.End == Succeeded {
+			results[d.Result]++
+			if d.Result == Succeeded {
 				sum += d.Finished - d.Arrived
 				succeeded++
 			}
@@ -101,14 +101,14 @@
 func TestDuplicatesWithinDedupWindow(t *testing.T) {
 	shared := NewSharedState()
 	a, b := NewMachine(spec, Build{}, 0, shared, 1), NewMachine(spec, Build{}, 0, shared, 2)
-	job := Job{ID: 1, DedupKey: 7, Memory: Second, Work: 10 * Millisecond}
+	job := Job{ID: 1, DedupKey: 7, DedupWindow: Second, Work: 10 * Millisecond}
 	for _, c := range []struct {
 		m           *Machine
 		submittedAt Nanos
-		want        End
-	}{{a, 0, Succeeded}, {b, 500 * Millisecond, Dropped}, {a, 900 * Millisecond, Dropped}, {b, 1500 * Millisecond, Succeeded}} {
+		want        Result
+	}{{a, 0, Succeeded}, {b, 500 * Millisecond, Deduplicated}, {a, 900 * Millisecond, Deduplicated}, {b, 1500 * Millisecond, Succeeded}} {
 		c.m.Submit(c.submittedAt, job)
-		if got := c.m.Advance(c.submittedAt + 100*Millisecond); len(got) != 1 || got[0].End != c.want {
+		if got := c.m.Advance(c.submittedAt + 100*Millisecond); len(got) != 1 || got[0].Result != c.want {
 			t.Errorf("at %d ms: %+v, want result %d", c.submittedAt/Millisecond, got, c.want)
 		}
 	}
@@ -140,7 +140,7 @@
 		fault    MachineFault
 		slowdown float64 // of the whole fleet
 		runTime  Nanos   // in milliseconds
-	}{{"slow", MachineFault{Slow: 5}, 1, 50}, {"neighbour", MachineFault{NeighbourShare: 0.5}, 1, 20}, {"fleet-wide slowdown", MachineFault{}, 3, 30}} {
+	}{{"slow", MachineFault{SlowdownFactor: 5}, 1, 50}, {"neighbour", MachineFault{NeighbourShare: 0.5}, 1, 20}, {"fleet-wide slowdown", MachineFault{}, 3, 30}} {
 		shared := NewSharedState()
 		shared.SlowdownFactor = c.slowdown
 		m := NewMachine(spec, Build{}, 0, shared, 1)
--- a/lab/bench.go
+++ b/lab/bench.go
@@ -187,15 +187,15 @@
 
 // BenchPlan holds the parameters of a bench.
 type BenchPlan struct {
-	Self     string        // path of this program
-	Out      string        // directory of the edges' settings and traces
-	Rounds   int           // measurements of each subject
-	Span     time.Duration // of each measurement
-	Conns    int           // connections of the load
-	Rate     float64       // txns a second of the open-loop measurement
-	Sizes    []int         // of answers, in bytes
-	Loops    []int         // event loops of a subject
-	Subjects []string
+	Executable  string        // path of this program
+	Out         string        // directory of the edges' settings and traces
+	Rounds      int           // measurements of each subject
+	Duration    time.Duration // of each measurement
+	Conns       int           // connections of the load
+	Rate        float64       // txns a second of the open-loop measurement
+	AnswerSizes []int         // of answers, in bytes
+	Loops       []int         // event loops of a subject
+	Subjects    []string
 }
 
 // BenchRow holds the results of one subject: medians over the rounds, except where noted.
@@ -226,7 +226,7 @@
 	samples := map[key][]sample{}
 	var keys []key
 	for round := 0; round < plan.Rounds; round++ {
-		for _, size := range plan.Sizes {
+		for _, size := range plan.AnswerSizes {
 			worker, stop, err := plan.startWorker(size)
 			if err != nil {
 				return nil, err
@@ -303,7 +303,7 @@
 
 // startProcess starts this program with the given arguments and waits until it listens.
 func (plan BenchPlan) startProcess(env []string, address string, args ...string) (stop func(), pid int, err error) {
-	cmd := exec.Command(plan.Self, args...)
+	cmd := exec.Command(plan.Executable, args...)
 	cmd.Env = append(os.Environ(), env...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
@@ -347,11 +347,11 @@
 		defer stop()
 		time.Sleep(listReadTime)
 	}
-	if _, err = plan.generateLoad(address, size, plan.Span/3, 0); err != nil { // warm-up
+	if _, err = plan.generateLoad(address, size, plan.Duration/3, 0); err != nil { // warm-up
 		return
 	}
 	cpuBefore, startTime := cpuTime(pid), time.Now()
-	latencies, err := plan.generateLoad(address, size, plan.Span, 0)
+	latencies, err := plan.generateLoad(address, size, plan.Duration, 0)
 	if err != nil {
 		return
 	}
@@ -359,7 +359,7 @@
 	if used := cpuTime(pid) - cpuBefore; used > 0 {
 		perCore = float64(latencies.TotalCount()) / used.Seconds()
 	}
-	h, err = plan.generateLoad(address, size, plan.Span, plan.Rate)
+	h, err = plan.generateLoad(address, size, plan.Duration, plan.Rate)
 	return
 }
 
@@ -485,7 +485,7 @@
 }
 
 // WriteBenchTable writes rows as a Markdown table, with ratios to the reverse proxy, the bare forwarder and the edge.
-func BenchTable(w io.Writer, rows []BenchRow) {
+func WriteBenchTable(w io.Writer, rows []BenchRow) {
 	find := func(subject string, r BenchRow) *BenchRow {
 		for i := range rows {
 			if rows[i].Subject == subject && rows[i].Loops == r.Loops && rows[i].AnswerBytes == r.AnswerBytes {
--- a/lab/checker.go
+++ b/lab/checker.go
@@ -246,7 +246,7 @@
 					continue
 				}
 				statesByWorker[update.Worker] = append(statesByWorker[update.Worker],
-					workerState{update.At, update.State != api.Up, update.Started})
+					workerState{update.At, update.State != api.WorkerUp, update.WorkerStartedAt})
 			}
 			for _, submission := range c.rec.Submissions {
 				txn := c.txnsByID[submission.Txn]
@@ -280,7 +280,7 @@
 		for edge, work := range failure.WorkByEdge {
 			totalWork += work
 			for _, update := range c.workerUpdates[edge] {
-				if update.Worker == failure.Worker && update.Started == failure.WorkerStartedAt && update.At <= failure.At {
+				if update.Worker == failure.Worker && update.WorkerStartedAt == failure.WorkerStartedAt && update.At <= failure.At {
 					informedWork += work
 					break
 				}
@@ -348,7 +348,7 @@
 			guarded := len(updates) > 0
 			for _, update := range updates {
 				release := update.Release
-				if build < release.Build || build == release.Build && release.Phase == api.Released {
+				if build < release.Build || build == release.Build && release.Phase == api.PhaseReleased {
 					onTrial = false
 				}
 				updateCap, stage := release.Cap, release.Stage
@@ -439,7 +439,7 @@
 				for _, update := range c.releasesBetween(txn.Edge, incarnation, answer.AnsweredAt-c.tolerances.exposure,
 					submission.ReceivedAt+c.tolerances.exposure) {
 					release := update.Release
-					if release.Build != answer.Build || release.Phase != api.OnTrial && release.Phase != api.Released {
+					if release.Build != answer.Build || release.Phase != api.PhaseOnTrial && release.Phase != api.PhaseReleased {
 						bound = false
 					}
 				}
--- a/lab/checker_test.go
+++ b/lab/checker_test.go
@@ -31,7 +31,7 @@
 	}
 	rec := &Record{Incarnations: []Incarnation{{Edge: 0, Number: 0, StartedAt: 0}}}
 	rec.Updates = []EdgeUpdate{{FullList: true}, {Worker: "old1", State: "up"}, {Worker: "old2", State: "up"},
-		{Worker: "new", State: "up", Started: 1}, {Release: &ReleaseState{2, 0, "on-trial", 0.1}}}
+		{Worker: "new", State: "up", WorkerStartedAt: 1}, {Release: &ReleaseState{2, 0, "on-trial", 0.1}}}
 	for i := 0; i < 200; i++ {
 		sentAt := time.Duration(i) * 50 * ms
 		txn := &TxnRecord{ID: uint64(i + 1), FirstTryID: uint64(i + 1), Product: i % 3, Key: uint64(i % 7), SentAt: sentAt,
@@ -165,7 +165,7 @@
 		}},
 		{"submission to a worker that is up again", func(r *Record) {
 			r.Updates = append(r.Updates, EdgeUpdate{At: 4 * time.Second, Worker: "old2", State: "gone"},
-				EdgeUpdate{At: 6 * time.Second, Worker: "old2", State: "up", Started: 9})
+				EdgeUpdate{At: 6 * time.Second, Worker: "old2", State: "up", WorkerStartedAt: 9})
 			r.Submissions[199].Worker = "old2"
 		}},
 		{"key sent to the old build after the new one went back", func(r *Record) {
--- a/lab/compare.go
+++ b/lab/compare.go
@@ -10,28 +10,28 @@
 )
 
 // ComparisonRun is the run of a day with one kind of edge in a comparison.
-type Contender struct {
-	Kind string // dunegrade, or one of ComparisonEdges
-	Day  *Day
-	Out  string                              // directory for the report and the edges' files
-	Edge func(settingsPath string) *exec.Cmd // returns the command that runs one edge
+type ComparisonRun struct {
+	Kind        string // dunegrade, or one of ComparisonEdges
+	Day         *Day
+	Out         string                              // directory for the report and the edges' files
+	EdgeCommand func(settingsPath string) *exec.Cmd // returns the command that runs one edge
 }
 
 // RunComparison performs all runs at the same time, each with its own fleet, so that a busy machine affects all of them
 // alike. It writes their reports and returns their figures in the order of runs.
-func SideBySide(ctx context.Context, runs []Contender) ([]*Figures, error) {
+func RunComparison(ctx context.Context, runs []ComparisonRun) ([]*Figures, error) {
 	figures, errs := make([]*Figures, len(runs)), make([]error, len(runs))
 	var group sync.WaitGroup
 	for i, spec := range runs {
 		group.Go(func() {
-			r := &Runner{Day: spec.Day, Out: filepath.Join(spec.Out, "edges"), Edge: spec.Edge}
+			r := &Runner{Day: spec.Day, Out: filepath.Join(spec.Out, "edges"), EdgeCommand: spec.EdgeCommand}
 			rec, err := r.Run(ctx)
 			if err != nil {
 				errs[i] = fmt.Errorf("%s, seed %d, %s: %w", spec.Day.Name, spec.Day.Seed, spec.Kind, err)
 				return
 			}
-			figures[i] = Sum(spec.Day, rec, spec.Kind, Check(spec.Day, rec))
-			_, errs[i] = WriteReport(spec.Out, figures[i], rec.Marks)
+			figures[i] = ComputeFigures(spec.Day, rec, spec.Kind, Check(spec.Day, rec))
+			_, errs[i] = WriteReport(spec.Out, figures[i], rec.Events)
 		})
 	}
 	group.Wait()
@@ -44,7 +44,7 @@
 }
 
 // ViolationCount returns the number of violations of all rules.
-func (f *Figures) Breaks() int {
+func (f *Figures) ViolationCount() int {
 	total := 0
 	for _, n := range f.Rules {
 		total += n
@@ -52,8 +52,8 @@
 	return total
 }
 
-// WriteComparisonTable writes the figures of runs as a Markdown table.
-func Markdown(w io.Writer, rows []*Figures) {
+// WriteComparisonTable writes the figures of runs as a WriteComparisonTable table.
+func WriteComparisonTable(w io.Writer, rows []*Figures) {
 	fmt.Fprintln(w, "| day | seed | edge | txns | revenue in time | worst 5 s | harm | bad builds back after | good builds released after | submissions per txn | rules violated |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, f := range rows {
@@ -75,7 +75,7 @@
 			}
 		}
 		rules := "none"
-		if f.Breaks() > 0 {
+		if f.ViolationCount() > 0 {
 			rules = ""
 			for rule, n := range f.Rules {
 				if n > 0 {
--- a/lab/comparison_edge.go
+++ b/lab/comparison_edge.go
@@ -45,7 +45,7 @@
 
 // ServeComparisonEdge runs a comparison edge with an edge's settings file until SIGTERM or SIGINT, and returns the exit
 // status.
-func ServeRival(kind, settingsPath string) int {
+func ServeComparisonEdge(kind, settingsPath string) int {
 	settings, err := config.ReadEdge(settingsPath)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -54,7 +54,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	e := &comparisonEdge{kind: kind, settings: settings, client: api.NewClient(settings.Source.APIURL), workers: map[string]api.Worker{},
-		rng: rand.New(rand.NewSource(settings.Seed + int64(settings.Module["index"].(float64))))}
+		rng: rand.New(rand.NewSource(settings.Seed + int64(settings.ModuleSettings["index"].(float64))))}
 	var group sync.WaitGroup
 	query := func() url.Values { return url.Values{"edge": {settings.Name}} }
 	group.Go(func() { e.watch(ctx, "/v1/workers", query, e.applyWorkers) })
@@ -97,7 +97,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if event.Type == api.Whole {
+	if event.Type == api.EventSnapshot {
 		clear(e.workers)
 	}
 	for _, w := range event.Workers {
@@ -105,7 +105,7 @@
 	}
 	e.upWorkers = e.upWorkers[:0]
 	for _, w := range e.workers {
-		if w.State == api.Up {
+		if w.State == api.WorkerUp {
 			e.upWorkers = append(e.upWorkers, w)
 		}
 	}
@@ -120,7 +120,7 @@
 	if err := json.Unmarshal(line, &event); err != nil {
 		return err
 	}
-	if event.Type != api.Bookmark {
+	if event.Type != api.EventBookmark {
 		e.mu.Lock()
 		if event.Release != e.release {
 			e.release, e.releaseSince = event.Release, time.Now()
@@ -152,8 +152,8 @@
 		e.mu.Lock()
 		rel := e.release
 		e.mu.Unlock()
-		if rel.Phase == api.OnTrial {
-			e.client.Vote(ctx, api.Vote{Edge: e.settings.Name, Sentry: int(e.settings.Module["index"].(float64)), Verdict: api.VoteOn, Build: rel.Build,
+		if rel.Phase == api.PhaseOnTrial {
+			e.client.Vote(ctx, api.Vote{Edge: e.settings.Name, Sentry: int(e.settings.ModuleSettings["index"].(float64)), Verdict: api.VoteOn, Build: rel.Build,
 				Stage: rel.Stage})
 		}
 	}
@@ -165,7 +165,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	window := time.Duration(e.settings.Module["release.window"].(float64))
+	window := time.Duration(e.settings.ModuleSettings["release.window"].(float64))
 	e.recentTxns = append(withinWindow(e.recentTxns, now, window), now)
 	e.recentTrialTxns = withinWindow(e.recentTrialTxns, now, window)
 	for i := 0; i < len(e.upWorkers); i++ {
@@ -175,10 +175,10 @@
 			index = e.rng.Intn(len(e.upWorkers))
 		}
 		w := e.upWorkers[index]
-		if w.Build > e.release.Build || w.Build == e.release.Build && e.release.Phase != api.Released {
+		if w.Build > e.release.Build || w.Build == e.release.Build && e.release.Phase != api.PhaseReleased {
 			exposureCap := e.release.Cap
 			if w.Build > e.release.Build {
-				exposureCap = e.settings.Module["release.caps.0"].(float64)
+				exposureCap = e.settings.ModuleSettings["release.caps.0"].(float64)
 			}
 			if float64(len(e.recentTrialTxns)+1) > exposureCap*float64(len(e.recentTxns)) {
 				continue
--- a/lab/day.go
+++ b/lab/day.go
@@ -78,7 +78,7 @@
 	Loops       int       // event loops of each edge
 	EdgeWeights []float64 // relative traffic of each edge; empty means equal
 	Machines    int
-	MachineKind fleet.Kind
+	MachineKind fleet.MachineSpec
 	MinSpeed    float64 // speeds of machines are uniform between MinSpeed and MaxSpeed
 	MaxSpeed    float64
 	WorkCV      float64       // coefficient of variation of a txn's work
@@ -133,7 +133,7 @@
 
 // ParseDay is like ReadDay, for text that is already in memory. Errors name the given file.
 func ParseDay(file, text string) (*Day, error) {
-	r, err := config.Read(file, text)
+	r, err := config.Parse(file, text)
 	if err != nil {
 		return nil, err
 	}
@@ -161,7 +161,7 @@
 	sentriesForm.RejectUnknown()
 	fleetForm := form.RequireField("fleet")
 	d.Machines = int(fleetForm.Int("machines", 8, 1, 200))
-	d.MachineKind = fleet.Kind{Cores: int(fleetForm.Int("cores", 2, 1, 256)), Slots: int(fleetForm.Int("slots", 32, 1, 100000)),
+	d.MachineKind = fleet.MachineSpec{Cores: int(fleetForm.Int("cores", 2, 1, 256)), Slots: int(fleetForm.Int("slots", 32, 1, 100000)),
 		ColdStartCapacity: fleetForm.Float("cold-from", 0.3, 0.01, 1), WarmUp: fleet.Nanos(fleetForm.Duration("cold", 3*time.Second, 0, time.Hour)),
 		OverloadMultiple: fleetForm.Float("fall-multiple", 3, 0, 1000), OverloadWindow: fleet.Nanos(fleetForm.Duration("fall-after", time.Second, 0, time.Hour)),
 		StopsOnCancel: fleetForm.Bool("cancel-stops", true), BaseErrorRate: fleetForm.Float("base-errors", 0.0005, 0, 1),
--- a/lab/days_test.go
+++ b/lab/days_test.go
@@ -40,11 +40,11 @@
 // It does not compare counts, because the checker of the sockets tolerates the delay between a socket and a record.
 func checkTraces(t *testing.T, day *Day, violations []Violation, dir string, settings map[string]any) {
 	t.Helper()
-	runs, err := trace.Lives([]string{filepath.Join(dir, "state", "trace")})
+	runs, err := trace.FindRuns([]string{filepath.Join(dir, "state", "trace")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := trace.CheckRules(runs, trace.RulesPlan{Cores: float64(day.MachineKind.Cores), Settings: settings}, nil)
+	r, err := trace.CheckRules(runs, trace.RulesOptions{Cores: float64(day.MachineKind.Cores), Settings: settings}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,9 +99,9 @@
 			}
 			dir := t.TempDir()
 			var correctSettings map[string]any
-			r := &Runner{Day: day, Out: dir, Edge: func(settings string) *exec.Cmd {
+			r := &Runner{Day: day, Out: dir, EdgeCommand: func(settings string) *exec.Cmd {
 				if plan, err := config.ReadEdge(settings); err == nil && correctSettings == nil {
-					correctSettings = plan.Module
+					correctSettings = plan.ModuleSettings
 				}
 				data, err := os.ReadFile(settings)
 				if err == nil {
@@ -175,7 +175,7 @@
 				t.Fatal(err)
 			}
 			dir := t.TempDir()
-			r := &Runner{Day: day, Out: dir, Edge: func(settings string) *exec.Cmd {
+			r := &Runner{Day: day, Out: dir, EdgeCommand: func(settings string) *exec.Cmd {
 				cmd := exec.Command(os.Args[0], settings)
 				cmd.Env = append(os.Environ(), "LAB_EDGE=1")
 				return cmd
@@ -185,21 +185,21 @@
 				t.Fatal(err)
 			}
 			violations := Check(day, rec)
-			figures := Sum(day, rec, "dunegrade", violations)
+			figures := ComputeFigures(day, rec, "dunegrade", violations)
 			if len(violations) > 0 || figures.Revenue < c.minRevenue || figures.Txns < 100 {
 				var text strings.Builder
-				figures.Table(&text)
-				t.Errorf("%s\n%s", text.String(), strings.Join(rec.Marks, "\n"))
+				figures.WriteTable(&text)
+				t.Errorf("%s\n%s", text.String(), strings.Join(rec.Events, "\n"))
 			}
 			if c.mustGoBack && (len(figures.Builds) == 0 || figures.Builds[0].Back == 0) {
 				t.Errorf("the bad build did not go back: %+v", figures.Builds)
 			}
-			if _, err := WriteReport(dir, figures, rec.Marks); err != nil {
+			if _, err := WriteReport(dir, figures, rec.Events); err != nil {
 				t.Error(err)
 			}
 			checkTraces(t, day, violations, dir, nil)
 			// Replaying the edges' traces must give the same decisions, also those of an edge that was killed.
-			runs, err := trace.Lives([]string{filepath.Join(dir, "state", "trace")})
+			runs, err := trace.FindRuns([]string{filepath.Join(dir, "state", "trace")})
 			if err != nil || len(runs) < day.Sentries {
 				t.Errorf("%d runs of edges recorded, want at least %d; error %v", len(runs), day.Sentries, err)
 			}
--- a/lab/embed.go
+++ b/lab/embed.go
@@ -13,16 +13,16 @@
 var embeddedDays embed.FS
 
 // EmbeddedDay returns an embedded day by its name.
-func Embedded(name string) (*Day, error) {
+func EmbeddedDay(name string) (*Day, error) {
 	text, err := embeddedDays.ReadFile("days/" + name + ".sexp")
 	if err != nil {
-		return nil, fmt.Errorf("no embedded day is named %q; available are %s", name, strings.Join(EmbeddedNames(), ", "))
+		return nil, fmt.Errorf("no embedded day is named %q; available are %s", name, strings.Join(EmbeddedDayNames(), ", "))
 	}
 	return ParseDay(name+".sexp", string(text))
 }
 
 // EmbeddedDayNames returns the sorted names of the embedded days.
-func EmbeddedNames() []string {
+func EmbeddedDayNames() []string {
 	entries, _ := embeddedDays.ReadDir("days")
 	var names []string
 	for _, e := range entries {
--- a/lab/figures.go
+++ b/lab/figures.go
@@ -83,7 +83,7 @@
 }
 
 // ComputeFigures computes the figures of a record. edge names the kind of edge that was run.
-func Sum(day *Day, rec *Record, edge string, violations []Violation) *Figures {
+func ComputeFigures(day *Day, rec *Record, edge string, violations []Violation) *Figures {
 	figures := &Figures{Day: day.Name, Seed: day.Seed, Edge: edge, Votes: map[string]int{}, Falls: len(rec.OverloadFailures),
 		Behind: rec.maxSendDelay.Seconds()}
 	figures.Series = make([]Second, int(day.Length/time.Second)+1)
@@ -228,7 +228,7 @@
 }
 
 // WriteTable writes the figures as text for a terminal.
-func (f *Figures) Table(w io.Writer) {
+func (f *Figures) WriteTable(w io.Writer) {
 	fmt.Fprintf(w, "\n%s, seed %d, %s: %d txns, revenue in time %.3f, worst 5 s %.3f, harm %.4f, %.3f submissions a txn\n\n",
 		f.Day, f.Seed, f.Edge, f.Txns, f.Revenue, f.WorstFive, f.Harm, f.Work)
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
--- a/lab/hostile.go
+++ b/lab/hostile.go
@@ -144,7 +144,7 @@
 
 // HostileBench runs each attack for plan.Duration against a new edge that also serves regular clients. It writes a line for
 // each attack to progress.
-func Hostile(ctx context.Context, plan BenchPlan, progress io.Writer) ([]HostileRow, error) {
+func HostileBench(ctx context.Context, plan BenchPlan, progress io.Writer) ([]HostileRow, error) {
 	worker, stopWorker, err := plan.startWorker(64)
 	if err != nil {
 		return nil, err
@@ -164,7 +164,7 @@
 }
 
 // WriteHostileTable writes rows as a Markdown table.
-func HostileTable(w io.Writer, rows []HostileRow) {
+func WriteHostileTable(w io.Writer, rows []HostileRow) {
 	fmt.Fprintln(w, "| attack | clients | regular txns | of them settled | p50 ms | p99 ms | memory before, MiB | maximum, MiB | afterwards, MiB | connections closed by the edge |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, r := range rows {
@@ -218,7 +218,7 @@
 			}
 		}
 	})
-	measureRegularTxns(plan.Span)
+	measureRegularTxns(plan.Duration)
 	row.ClosedByEdge = int(closed.Load())
 	cancel()
 	close(stopSampling)
--- a/lab/importer.go
+++ b/lab/importer.go
@@ -109,7 +109,7 @@
 }
 
 // ImportLimits bounds an imported day, so that one computer can run it.
-type Scales struct {
+type ImportLimits struct {
 	Machines  int     // maximum number of machines
 	Sentries  int     // maximum number of edge processes
 	Rate      float64 // maximum txns a second; bounds the number of machines
@@ -131,7 +131,7 @@
 
 // ImportDay reads a day of the simulation bench from a file and converts it to the text of a day of this package, within
 // the given limits. Comments at the head of the text list everything that could not be converted, as does omitted.
-func Import(path string, limits Scales) (text string, omitted []string, err error) {
+func ImportDay(path string, limits ImportLimits) (text string, omitted []string, err error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return "", nil, fmt.Errorf("import: %w", err)
--- a/lab/load.go
+++ b/lab/load.go
@@ -25,15 +25,15 @@
 // counts from the scheduled time, so that a stall of the target counts for every txn that it delays (no coordinated
 // omission).
 type LoadPlan struct {
-	Targets []string      // URLs, one or two
-	Rates   []float64     // txns a second, one for each step
-	Ramp    bool          // whether the rate changes linearly to the next step's; otherwise it changes at the end of the step
-	Span    time.Duration // of a step
-	Slice   time.Duration // length of a measured slice; two targets alternate by slices
-	Conns   int           // maximum connections to a target
-	Method  string
-	Body    int           // bytes of a request's body
-	Timeout time.Duration // after which a txn has failed
+	Targets       []string      // URLs, one or two
+	Rates         []float64     // txns a second, one for each step
+	Ramp          bool          // whether the rate changes linearly to the next step's; otherwise it changes at the end of the step
+	StepDuration  time.Duration // of a step
+	SliceDuration time.Duration // length of a measured slice; two targets alternate by slices
+	Conns         int           // maximum connections to a target
+	Method        string
+	Body          int           // bytes of a request's body
+	Timeout       time.Duration // after which a txn has failed
 }
 
 // LoadSlice holds the results of one slice of the load on one target.
@@ -44,16 +44,16 @@
 	Sent         int
 	Succeeded    int                     // answered with a status below 400
 	Refused      int                     // answered with 429 or 503
-	Bad          int                     // answered with another status, or not answered
-	Times        *hdrhistogram.Histogram `json:"-"` // microseconds from the scheduled time, of txns that succeeded
+	Failed       int                     // answered with another status, or not answered
+	Latencies    *hdrhistogram.Histogram `json:"-"` // microseconds from the scheduled time, of txns that succeeded
 	ServiceTimes *hdrhistogram.Histogram `json:"-"` // microseconds from sending, of txns that succeeded
 	elapsed      time.Duration           // from the start of the slice until its last txn ended, or the slice's length if longer
 }
 
 // merge adds the counts, latencies and time of another slice.
 func (s *LoadSlice) merge(o *LoadSlice) {
-	s.Sent, s.Succeeded, s.Refused, s.Bad, s.elapsed = s.Sent+o.Sent, s.Succeeded+o.Succeeded, s.Refused+o.Refused, s.Bad+o.Bad, s.elapsed+o.elapsed
-	s.Times.Merge(o.Times)
+	s.Sent, s.Succeeded, s.Refused, s.Failed, s.elapsed = s.Sent+o.Sent, s.Succeeded+o.Succeeded, s.Refused+o.Refused, s.Failed+o.Failed, s.elapsed+o.elapsed
+	s.Latencies.Merge(o.Latencies)
 	s.ServiceTimes.Merge(o.ServiceTimes)
 }
 
@@ -62,15 +62,15 @@
 
 // newLoadSlice returns an empty slice.
 func newLoadSlice(target, step int, rate float64) *LoadSlice {
-	return &LoadSlice{Target: target, Step: step, Rate: rate, Times: hdrhistogram.New(1, maxLoadLatencyMicros, 3), ServiceTimes: hdrhistogram.New(1, maxLoadLatencyMicros, 3)}
+	return &LoadSlice{Target: target, Step: step, Rate: rate, Latencies: hdrhistogram.New(1, maxLoadLatencyMicros, 3), ServiceTimes: hdrhistogram.New(1, maxLoadLatencyMicros, 3)}
 }
 
 // Validate returns an error that describes what is wrong with the plan, if anything.
-func (p *LoadPlan) Check() error {
+func (p *LoadPlan) Validate() error {
 	switch {
 	case len(p.Targets) < 1 || len(p.Targets) > 2:
 		return errors.New("load: want one or two targets")
-	case len(p.Rates) == 0 || p.Span <= 0 || p.Conns < 1 || p.Slice <= 0:
+	case len(p.Rates) == 0 || p.StepDuration <= 0 || p.Conns < 1 || p.SliceDuration <= 0:
 		return errors.New("load: want at least one rate, a positive span and slice, and at least one connection")
 	}
 	for _, r := range p.Rates {
@@ -88,7 +88,7 @@
 		lastRate = p.Rates[step+1]
 	}
 	// The number of txns scheduled until t is the integral of the rate: firstRate·t + (lastRate-firstRate)·t²/(2·span).
-	slope := (lastRate - firstRate) / p.Span.Seconds()
+	slope := (lastRate - firstRate) / p.StepDuration.Seconds()
 	scheduledBy := func(t float64) float64 { return firstRate*t + slope*t*t/2 }
 	scheduledBefore := scheduledBy(sliceStart.Seconds())
 	for n := math.Ceil(scheduledBefore); ; n++ {
@@ -105,8 +105,8 @@
 }
 
 // RunLoad runs a plan and returns the results of its slices. It calls report, if not nil, after each slice.
-func Load(ctx context.Context, p LoadPlan, report func(*LoadSlice)) ([]*LoadSlice, error) {
-	if err := p.Check(); err != nil {
+func RunLoad(ctx context.Context, p LoadPlan, report func(*LoadSlice)) ([]*LoadSlice, error) {
+	if err := p.Validate(); err != nil {
 		return nil, err
 	}
 	clients := make([]*http.Client, len(p.Targets))
@@ -118,8 +118,8 @@
 	var results []*LoadSlice
 	sliceNumber := 0
 	for step := range p.Rates {
-		for sliceStart := time.Duration(0); sliceStart < p.Span; sliceStart += p.Slice {
-			sliceEnd := min(p.Span, sliceStart+p.Slice)
+		for sliceStart := time.Duration(0); sliceStart < p.StepDuration; sliceStart += p.SliceDuration {
+			sliceEnd := min(p.StepDuration, sliceStart+p.SliceDuration)
 			for turn := range p.Targets {
 				if ctx.Err() != nil {
 					return results, ctx.Err()
@@ -165,7 +165,7 @@
 				}
 				sentAt := time.Since(startTime)
 				if sentAt-scheduledAt > p.Timeout { // a real client would have given up
-					result.Sent, result.Bad = result.Sent+1, result.Bad+1
+					result.Sent, result.Failed = result.Sent+1, result.Failed+1
 					continue
 				}
 				status, err := fetch(ctx, c, p.Method, p.Targets[s.Target], body)
@@ -173,14 +173,14 @@
 				result.Sent++
 				switch {
 				case err != nil:
-					result.Bad++
+					result.Failed++
 				case status == 429 || status == 503:
 					result.Refused++
 				case status >= 400:
-					result.Bad++
+					result.Failed++
 				default:
 					result.Succeeded++
-					result.Times.RecordValue(min(maxLoadLatencyMicros, max(1, (now-scheduledAt).Microseconds())))
+					result.Latencies.RecordValue(min(maxLoadLatencyMicros, max(1, (now-scheduledAt).Microseconds())))
 					result.ServiceTimes.RecordValue(min(maxLoadLatencyMicros, max(1, (now-sentAt).Microseconds())))
 				}
 			}
@@ -235,7 +235,7 @@
 }
 
 // SummarizeLoad totals the slices by step and target, and compares the targets if there are two.
-func SumLoad(p LoadPlan, slices []*LoadSlice) (rows []LoadRow, diffs []LoadDifference) {
+func SummarizeLoad(p LoadPlan, slices []*LoadSlice) (rows []LoadRow, diffs []LoadDifference) {
 	for i := range p.Rates {
 		pairs := make([][]*LoadSlice, len(p.Targets))
 		for k := range p.Targets {
@@ -248,8 +248,8 @@
 				}
 			}
 			quantile := func(h *hdrhistogram.Histogram, percent float64) float64 { return float64(h.ValueAtQuantile(percent)) }
-			rows = append(rows, LoadRow{p.Targets[k], sum.Rate / max(1e-9, sum.elapsed.Seconds()), sum.PerSecond(), sum.Succeeded, sum.Refused, sum.Bad,
-				quantile(sum.Times, 50), quantile(sum.Times, 99), quantile(sum.Times, 99.9), quantile(sum.ServiceTimes, 50), quantile(sum.ServiceTimes, 99)})
+			rows = append(rows, LoadRow{p.Targets[k], sum.Rate / max(1e-9, sum.elapsed.Seconds()), sum.PerSecond(), sum.Succeeded, sum.Refused, sum.Failed,
+				quantile(sum.Latencies, 50), quantile(sum.Latencies, 99), quantile(sum.Latencies, 99.9), quantile(sum.ServiceTimes, 50), quantile(sum.ServiceTimes, 99)})
 		}
 		if len(p.Targets) < 2 {
 			continue
@@ -257,8 +257,8 @@
 		for _, figure := range []struct {
 			name  string
 			value func(*LoadSlice) float64
-		}{{"fine a second", (*LoadSlice).PerSecond}, {"p50", func(s *LoadSlice) float64 { return float64(s.Times.ValueAtQuantile(50)) }},
-			{"p99", func(s *LoadSlice) float64 { return float64(s.Times.ValueAtQuantile(99)) }}} {
+		}{{"fine a second", (*LoadSlice).PerSecond}, {"p50", func(s *LoadSlice) float64 { return float64(s.Latencies.ValueAtQuantile(50)) }},
+			{"p99", func(s *LoadSlice) float64 { return float64(s.Latencies.ValueAtQuantile(99)) }}} {
 			var logs []float64
 			for n := range min(len(pairs[0]), len(pairs[1])) {
 				if a, b := figure.value(pairs[0][n]), figure.value(pairs[1][n]); a > 0 && b > 0 {
@@ -277,7 +277,7 @@
 }
 
 // WriteLoadTable writes rows and differences as Markdown tables.
-func LoadTable(w io.Writer, rows []LoadRow, diffs []LoadDifference) {
+func WriteLoadTable(w io.Writer, rows []LoadRow, diffs []LoadDifference) {
 	fmt.Fprintln(w, "| target | offered a second | fine a second | refused | bad | p50 us | p99 us | p99.9 us | p50 from sending | p99 from sending |")
 	fmt.Fprintln(w, "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, r := range rows {
@@ -318,8 +318,8 @@
 		if c.value != nil {
 			addSeries("", c.value)
 		} else {
-			addSeries(", p50", func(s *LoadSlice) float64 { return float64(s.Times.ValueAtQuantile(50)) })
-			addSeries(", p99", func(s *LoadSlice) float64 { return float64(s.Times.ValueAtQuantile(99)) })
+			addSeries(", p50", func(s *LoadSlice) float64 { return float64(s.Latencies.ValueAtQuantile(50)) })
+			addSeries(", p99", func(s *LoadSlice) float64 { return float64(s.Latencies.ValueAtQuantile(99)) })
 		}
 		svg, err := chart.LineChart(c.title, chart.Axes{X: "second of load", Y: c.unit, LogY: c.value == nil}, series)
 		if err != nil {
--- a/lab/load_test.go
+++ b/lab/load_test.go
@@ -29,12 +29,12 @@
 			time.Sleep(400 * time.Millisecond) // the stall
 		}
 	})
-	plan := LoadPlan{Targets: []string{url}, Rates: []float64{200}, Span: time.Second, Slice: time.Second, Conns: 1, Method: "GET", Timeout: 5 * time.Second}
-	slices, err := Load(context.Background(), plan, nil)
+	plan := LoadPlan{Targets: []string{url}, Rates: []float64{200}, StepDuration: time.Second, SliceDuration: time.Second, Conns: 1, Method: "GET", Timeout: 5 * time.Second}
+	slices, err := RunLoad(context.Background(), plan, nil)
 	if err != nil || len(slices) != 1 || slices[0].Sent != 200 || slices[0].Succeeded != 200 {
 		t.Fatalf("got slices %+v, error %v; want one slice with 200 txns sent and succeeded", slices, err)
 	}
-	fromSchedule, fromSending := slices[0].Times.ValueAtQuantile(85), slices[0].ServiceTimes.ValueAtQuantile(85)
+	fromSchedule, fromSending := slices[0].Latencies.ValueAtQuantile(85), slices[0].ServiceTimes.ValueAtQuantile(85)
 	if fromSchedule < 100_000 || fromSending > fromSchedule/2 {
 		t.Errorf("p85 is %d us from the scheduled time and %d us from sending; want at least 100000 and at most half of that", fromSchedule, fromSending)
 	}
@@ -53,13 +53,13 @@
 			w.WriteHeader(500)
 		}
 	})
-	plan := LoadPlan{Targets: []string{quick, slow}, Rates: []float64{100, 200}, Ramp: true, Span: time.Second, Slice: 200 * time.Millisecond, Conns: 16,
+	plan := LoadPlan{Targets: []string{quick, slow}, Rates: []float64{100, 200}, Ramp: true, StepDuration: time.Second, SliceDuration: 200 * time.Millisecond, Conns: 16,
 		Method: "GET", Timeout: time.Second}
-	slices, err := Load(context.Background(), plan, nil)
+	slices, err := RunLoad(context.Background(), plan, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	rows, diffs := SumLoad(plan, slices)
+	rows, diffs := SummarizeLoad(plan, slices)
 	if len(rows) != 4 || rows[1].Refused == 0 || rows[1].Bad == 0 || rows[0].Refused+rows[0].Bad > 0 || rows[0].Rate < 130 || rows[0].Rate > 170 {
 		t.Errorf("unexpected rows %+v", rows)
 	}
@@ -73,7 +73,7 @@
 		t.Errorf("no difference found between the slow and the quick target: %+v", diffs)
 	}
 	var text strings.Builder
-	LoadTable(&text, rows, diffs)
+	WriteLoadTable(&text, rows, diffs)
 	page, err := LoadPage(plan, slices, text.String())
 	if err != nil || strings.Count(page, "<svg") != 2 || !strings.Contains(text.String(), "95% interval") {
 		t.Errorf("incomplete page or table; the page has %d bytes, error %v, table:\n%s", len(page), err, text.String())
@@ -84,13 +84,13 @@
 // txns that are late by more than the timeout must fail unsent. Invalid plans must be refused.
 func TestLoadFailsOverdueTxns(t *testing.T) {
 	url := startTarget(t, func(int64, http.ResponseWriter) { time.Sleep(50 * time.Millisecond) })
-	plan := LoadPlan{Targets: []string{url}, Rates: []float64{500}, Span: 500 * time.Millisecond, Slice: time.Second, Conns: 2, Method: "GET", Timeout: 200 * time.Millisecond}
-	slices, err := Load(context.Background(), plan, nil)
-	if err != nil || slices[0].Sent != 250 || slices[0].Bad < 100 || slices[0].elapsed > 3*time.Second {
+	plan := LoadPlan{Targets: []string{url}, Rates: []float64{500}, StepDuration: 500 * time.Millisecond, SliceDuration: time.Second, Conns: 2, Method: "GET", Timeout: 200 * time.Millisecond}
+	slices, err := RunLoad(context.Background(), plan, nil)
+	if err != nil || slices[0].Sent != 250 || slices[0].Failed < 100 || slices[0].elapsed > 3*time.Second {
 		t.Errorf("got slices %+v, error %v; want 250 txns sent, at least 100 failed, within 3 s", slices, err)
 	}
-	for _, invalid := range []LoadPlan{{}, {Targets: []string{url}, Rates: []float64{-1}, Span: 1, Slice: 1, Conns: 1}, {Targets: []string{url}, Span: 1, Slice: 1, Conns: 1}} {
-		if _, err := Load(context.Background(), invalid, nil); err == nil {
+	for _, invalid := range []LoadPlan{{}, {Targets: []string{url}, Rates: []float64{-1}, StepDuration: 1, SliceDuration: 1, Conns: 1}, {Targets: []string{url}, StepDuration: 1, SliceDuration: 1, Conns: 1}} {
+		if _, err := RunLoad(context.Background(), invalid, nil); err == nil {
 			t.Errorf("no error for the invalid plan %+v", invalid)
 		}
 	}
--- a/lab/platform.go
+++ b/lab/platform.go
@@ -107,7 +107,7 @@
 // newPlatform returns a platform on which build 1 is released. It is not running yet.
 func newPlatform(day *Day, rec *Record, workers *workerFleet, now func() runTime) *platform {
 	p := &platform{day: day, rec: rec, workers: workers, now: now, rng: rand.New(rand.NewSource(day.Seed + 17)), quit: make(chan struct{}),
-		build: 1, previousBuild: 1, builds: map[int]fleet.Build{1: {Number: 1, Flaw: fleet.NoFlaw, Speed: 1}}, phase: api.Released,
+		build: 1, previousBuild: 1, builds: map[int]fleet.Build{1: {Number: 1, Flaw: fleet.NoFlaw, Speed: 1}}, phase: api.PhaseReleased,
 		stage: len(day.StageShares) - 1, latestVotes: map[int]VoteRecord{}, voteTokens: 2 * day.VotesPerSecond, reports: map[string][]api.Report{},
 		latestEntries: map[string]api.Worker{}, wentBackAt: map[int]runTime{}, releasedAt: map[int]runTime{}, offeredAt: map[int]runTime{}}
 	return p
@@ -122,7 +122,7 @@
 			return err
 		}
 		p.replicas = append(p.replicas, replica)
-		p.addWorkerChange(0, replica.oldWorker, api.Up)
+		p.addWorkerChange(0, replica.oldWorker, api.WorkerUp)
 	}
 	p.addReleaseUpdate(0)
 	ln, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
@@ -175,17 +175,17 @@
 // state returns the name that tests use for the state of the release.
 func (p *platform) state() string {
 	switch {
-	case p.phase == api.OnTrial && p.stage == 0 && p.build > p.previousBuild+1:
+	case p.phase == api.PhaseOnTrial && p.stage == 0 && p.build > p.previousBuild+1:
 		return "next build after one withdrawn"
-	case p.phase == api.OnTrial && p.stage == 0:
+	case p.phase == api.PhaseOnTrial && p.stage == 0:
 		return "first stage"
-	case p.phase == api.OnTrial && p.stage == len(p.day.StageShares)-1:
+	case p.phase == api.PhaseOnTrial && p.stage == len(p.day.StageShares)-1:
 		return "last stage"
-	case p.phase == api.OnTrial:
+	case p.phase == api.PhaseOnTrial:
 		return "stage change"
-	case p.phase == api.GoingBack:
+	case p.phase == api.PhaseGoingBack:
 		return "going back"
-	case p.phase == api.Withdrawn:
+	case p.phase == api.PhaseWithdrawn:
 		return "withdrawn"
 	case p.build == 1:
 		return "no trial"
@@ -215,9 +215,9 @@
 	p.runStateHook()
 	exposureCap := 0.0
 	switch p.phase {
-	case api.OnTrial:
+	case api.PhaseOnTrial:
 		exposureCap = p.day.stageCaps()[p.stage]
-	case api.Released:
+	case api.PhaseReleased:
 		exposureCap = 1
 	}
 	visibleAt := p.now() + delay
@@ -232,7 +232,7 @@
 func (p *platform) logEvent(format string, args ...any) {
 	text := fmt.Sprintf("%6.2fs  ", p.now().Seconds()) + fmt.Sprintf(format, args...)
 	p.rec.mu.Lock()
-	p.rec.Marks = append(p.rec.Marks, text)
+	p.rec.Events = append(p.rec.Events, text)
 	p.rec.mu.Unlock()
 }
 
@@ -262,8 +262,8 @@
 // step updates machines and releases. The caller holds the lock.
 func (p *platform) step() {
 	now := p.now()
-	if p.nextOffer < len(p.day.Offers) && now >= p.day.Offers[p.nextOffer].At && p.phase != api.GoingBack && p.runningHooks == 0 {
-		if p.phase == api.OnTrial { // the build on trial goes back before the next one is offered
+	if p.nextOffer < len(p.day.Offers) && now >= p.day.Offers[p.nextOffer].At && p.phase != api.PhaseGoingBack && p.runningHooks == 0 {
+		if p.phase == api.PhaseOnTrial { // the build on trial goes back before the next one is offered
 			p.sendBack("the next build is offered")
 			return
 		}
@@ -277,15 +277,15 @@
 		p.stepReplica(now, replica)
 	}
 	switch p.phase {
-	case api.OnTrial:
+	case api.PhaseOnTrial:
 		p.stepTrial(now, elapsed)
-	case api.GoingBack:
+	case api.PhaseGoingBack:
 		for _, replica := range p.replicas {
 			if replica.newWorker != nil || replica.oldWorker == nil || replica.bootingWorker != nil || p.runningHooks > 0 {
 				return
 			}
 		}
-		p.phase, p.phaseSince = api.Withdrawn, now
+		p.phase, p.phaseSince = api.PhaseWithdrawn, now
 		p.logEvent("build %d withdrawn", p.build)
 		p.addReleaseUpdate(p.day.ReleaseUpdateDelay)
 	}
@@ -294,14 +294,14 @@
 // offerBuild puts the next build on trial. The caller holds the lock.
 func (p *platform) offerBuild(offer Offer) {
 	// The new build replaces the released one. After a withdrawal, the released one is still previousBuild.
-	if p.phase == api.Released {
+	if p.phase == api.PhaseReleased {
 		p.previousBuild = p.build
 	}
 	p.build++
 	p.offeredAt[p.build] = p.now()
 	p.builds[p.build] = fleet.Build{Number: p.build, Flaw: offer.Flaw, Strength: offer.Strength, Product: max(0, p.day.productIndex(offer.Product)),
 		Speed: offer.Speed}
-	p.stage, p.phase, p.phaseSince, p.stageReadyAt = 0, api.OnTrial, p.now(), 0
+	p.stage, p.phase, p.phaseSince, p.stageReadyAt = 0, api.PhaseOnTrial, p.now(), 0
 	clear(p.latestVotes)
 	p.logEvent("build %d offered (%s %g)", p.build, offer.Flaw, offer.Strength)
 	for _, replica := range p.replicas {
@@ -321,7 +321,7 @@
 // drainWorker starts to drain a worker of a replica.
 func (p *platform) drainWorker(replica *replicaState, w *worker) {
 	replica.drainingWorker, replica.stopAt = w, p.now()+p.day.WorkerListDelay+p.day.DrainTime
-	p.addWorkerChange(p.day.WorkerListDelay, w, api.Draining)
+	p.addWorkerChange(p.day.WorkerListDelay, w, api.WorkerDraining)
 }
 
 // stepReplica starts a worker that has booted, stops one that has drained, and replaces workers as the phase requires. The
@@ -329,7 +329,7 @@
 func (p *platform) stepReplica(now runTime, replica *replicaState) {
 	if replica.drainingWorker != nil && now >= replica.stopAt {
 		replica.drainingWorker.stop()
-		p.addWorkerChange(p.day.WorkerListDelay, replica.drainingWorker, api.Gone)
+		p.addWorkerChange(p.day.WorkerListDelay, replica.drainingWorker, api.WorkerGone)
 		replica.drainingWorker = nil
 	}
 	if replica.bootingWorker != nil && now >= replica.bootDoneAt {
@@ -339,8 +339,8 @@
 			p.logEvent("%v", err)
 			return
 		}
-		p.addWorkerChange(p.day.WorkerListDelay, w, api.Up)
-		if w.build.Number == p.build && (p.phase == api.OnTrial || p.phase == api.Released) {
+		p.addWorkerChange(p.day.WorkerListDelay, w, api.WorkerUp)
+		if w.build.Number == p.build && (p.phase == api.PhaseOnTrial || p.phase == api.PhaseReleased) {
 			replica.newWorker = w
 			if p.day.RolloutStyle == "in-place" && replica.oldWorker != nil {
 				p.drainWorker(replica, replica.oldWorker)
@@ -350,17 +350,17 @@
 			replica.oldWorker = w
 		}
 	}
-	if p.phase == api.GoingBack && replica.drainingWorker == nil {
+	if p.phase == api.PhaseGoingBack && replica.drainingWorker == nil {
 		if replica.newWorker != nil &&
 			(replica.oldWorker != nil || replica.bootingWorker != nil || p.day.RolloutStyle == "in-place") {
 			p.drainWorker(replica, replica.newWorker)
 			replica.newWorker = nil
 		}
 	}
-	if p.phase == api.GoingBack && replica.oldWorker == nil && replica.bootingWorker == nil {
+	if p.phase == api.PhaseGoingBack && replica.oldWorker == nil && replica.bootingWorker == nil {
 		p.bootWorker(replica, p.builds[p.previousBuild])
 	}
-	if p.phase == api.Released && p.day.RolloutStyle == "beside" &&
+	if p.phase == api.PhaseReleased && p.day.RolloutStyle == "beside" &&
 		replica.newWorker != nil && replica.oldWorker != nil && replica.drainingWorker == nil {
 		p.drainWorker(replica, replica.oldWorker)
 		replica.oldWorker = nil
@@ -427,7 +427,7 @@
 	case stageDone:
 		if p.stage++; p.stage == len(p.day.StageShares) {
 			p.stage--
-			p.phase = api.Released
+			p.phase = api.PhaseReleased
 			p.releasedAt[p.build] = now
 			p.logEvent("build %d released", p.build)
 		} else {
@@ -440,10 +440,10 @@
 
 // sendBack makes the newest build go back. The caller holds the lock.
 func (p *platform) sendBack(reason string) {
-	if p.phase == api.GoingBack || p.phase == api.Withdrawn {
+	if p.phase == api.PhaseGoingBack || p.phase == api.PhaseWithdrawn {
 		return
 	}
-	p.phase, p.phaseSince = api.GoingBack, p.now()
+	p.phase, p.phaseSince = api.PhaseGoingBack, p.now()
 	if _, known := p.wentBackAt[p.build]; !known {
 		p.wentBackAt[p.build] = p.now()
 	}
@@ -479,8 +479,8 @@
 		record.Counted = p.rng.Intn(2) == 0 // the vote may count although it is not answered
 	case p.voteTokens < 1:
 		status = http.StatusTooManyRequests
-	case vote.Build != p.build || p.build == p.previousBuild || p.phase == api.GoingBack || p.phase == api.Withdrawn ||
-		vote.Verdict == api.VoteOn && (vote.Stage != p.stage || p.phase != api.OnTrial || p.day.VoteRule == "clocked"),
+	case vote.Build != p.build || p.build == p.previousBuild || p.phase == api.PhaseGoingBack || p.phase == api.PhaseWithdrawn ||
+		vote.Verdict == api.VoteOn && (vote.Stage != p.stage || p.phase != api.PhaseOnTrial || p.day.VoteRule == "clocked"),
 		vote.Verdict == api.VoteHold && p.day.VoteRule != "clocked":
 		status = http.StatusConflict
 	default:
@@ -489,7 +489,7 @@
 	}
 	if record.Counted {
 		p.latestVotes[vote.Sentry] = record
-		if vote.Verdict == api.VoteBack && p.phase == api.Released && !stalled && p.runningHooks == 0 {
+		if vote.Verdict == api.VoteBack && p.phase == api.PhaseReleased && !stalled && p.runningHooks == 0 {
 			p.sendBack("voted back after its release")
 		}
 	}
@@ -517,7 +517,7 @@
 // currentRelease returns the newest release update that edges can see by now. The caller holds the lock.
 func (p *platform) currentRelease() api.ReleaseEvent {
 	now := p.now()
-	event := api.ReleaseEvent{Type: api.Whole, Now: int64(now)}
+	event := api.ReleaseEvent{Type: api.EventSnapshot, Now: int64(now)}
 	for i, update := range p.releaseUpdates {
 		if update.at+p.extraUpdateDelay <= now || i == 0 {
 			event.Release, event.Revision = update.release, uint64(i+1)
@@ -564,7 +564,7 @@
 		stalled, corruptLine := p.stalled, p.corruptLine
 		p.mu.Unlock()
 		if len(lines) == 0 && !stalled && p.now()-lastSentAt > bookmarkInterval {
-			lines = append(lines, map[string]string{"type": api.Bookmark})
+			lines = append(lines, map[string]string{"type": api.EventBookmark})
 		}
 		for _, line := range lines {
 			if corruptLine != nil {
@@ -598,7 +598,7 @@
 	p.stream(w, r, func() (lines []any) {
 		now := p.now()
 		if revision == 0 || revision > uint64(len(p.workerChanges)) {
-			event := api.WorkersEvent{Type: api.Whole, Now: int64(now)}
+			event := api.WorkersEvent{Type: api.EventSnapshot, Now: int64(now)}
 			indexByID := map[string]int{}
 			for i, change := range p.workerChanges {
 				if change.at > now {
@@ -614,7 +614,7 @@
 			}
 			present := event.Workers[:0]
 			for _, entry := range event.Workers {
-				if entry.State != api.Gone {
+				if entry.State != api.WorkerGone {
 					present = append(present, entry)
 				}
 			}
@@ -623,7 +623,7 @@
 			return []any{event}
 		}
 		for revision < uint64(len(p.workerChanges)) && p.workerChanges[revision].at <= now {
-			lines = append(lines, api.WorkersEvent{Type: api.Change, Revision: revision + 1, Now: int64(now),
+			lines = append(lines, api.WorkersEvent{Type: api.EventChange, Revision: revision + 1, Now: int64(now),
 				Workers: []api.Worker{p.workerChanges[revision].worker}})
 			revision++
 		}
@@ -634,11 +634,11 @@
 			return
 		}
 		now := p.now()
-		if event.Type == api.Whole {
+		if event.Type == api.EventSnapshot {
 			p.rec.addUpdate(EdgeUpdate{Edge: edge, At: now, FullList: true})
 		}
 		for _, entry := range event.Workers {
-			p.rec.addUpdate(EdgeUpdate{Edge: edge, At: now, Worker: entry.ID, State: entry.State, Started: runTime(entry.StartedAt),
+			p.rec.addUpdate(EdgeUpdate{Edge: edge, At: now, Worker: entry.ID, State: entry.State, WorkerStartedAt: runTime(entry.StartedAt),
 				Build: entry.Build})
 		}
 	})
@@ -679,7 +679,7 @@
 func (p *platform) reportWrongAnswer(edge int, product, worker string, age time.Duration) {
 	p.mu.Lock()
 	name := fmt.Sprintf("edge-%d", edge)
-	p.reports[name] = append(p.reports[name], api.Report{Type: api.Change, Sentry: edge * p.day.Loops, Product: product, Worker: worker,
+	p.reports[name] = append(p.reports[name], api.Report{Type: api.EventChange, Sentry: edge * p.day.Loops, Product: product, Worker: worker,
 		Age: int64(age)})
 	p.mu.Unlock()
 }
@@ -718,7 +718,7 @@
 			if counts == nil || counts.answers == 0 {
 				continue
 			}
-			event := api.Tally{Type: api.Change, Build: build, Product: p.day.Products[i].Name, Many: counts.answers, Bad: counts.failures}
+			event := api.Tally{Type: api.EventChange, Build: build, Product: p.day.Products[i].Name, Submissions: counts.answers, NotSettled: counts.failures}
 			if counts.answers > counts.failures {
 				event.Mean = int64(counts.totalTime) / int64(counts.answers-counts.failures)
 			}
--- a/lab/record.go
+++ b/lab/record.go
@@ -52,14 +52,14 @@
 // EdgeUpdate is one update that the platform sent to an edge: the start of a full worker list, an entry of a list, or a
 // release state.
 type EdgeUpdate struct {
-	Edge     int
-	At       runTime // when the update was written to the connection
-	FullList bool    // whether a full worker list follows; workers not on it are gone
-	Worker   string
-	State    string
-	Started  runTime
-	Build    int
-	Release  *ReleaseState // nil: the update is on workers
+	Edge            int
+	At              runTime // when the update was written to the connection
+	FullList        bool    // whether a full worker list follows; workers not on it are gone
+	Worker          string
+	State           string
+	WorkerStartedAt runTime
+	Build           int
+	Release         *ReleaseState // nil: the update is on workers
 }
 
 // ReleaseState is the state of the newest build's release that an edge was sent.
@@ -106,7 +106,7 @@
 	Incarnations     []Incarnation
 	OverloadFailures []OverloadFailure
 	Votes            []VoteRecord
-	Marks            []string // lines of the run's log, for the report
+	Events           []string // lines of the run's log, for the report
 	builds           []BuildFigures
 	maxSendDelay     time.Duration // maximum delay between a txn's scheduled time and its sending
 }
--- a/lab/report.go
+++ b/lab/report.go
@@ -48,7 +48,7 @@
 		return "", fmt.Errorf("report: %w", err)
 	}
 	var text strings.Builder
-	figures.Table(&text)
+	figures.WriteTable(&text)
 	fmt.Fprintf(&text, "\nwhat happened\n%s\n", strings.Join(events, "\n"))
 	for _, violation := range figures.Violations {
 		fmt.Fprintf(&text, "\n%s\n", violation)
--- a/lab/run.go
+++ b/lab/run.go
@@ -20,10 +20,10 @@
 
 // Runner runs a day against edges in separate processes, which it starts with the given command.
 type Runner struct {
-	Day  *Day
-	Out  string                              // directory for the edges' settings, state and logs
-	Edge func(settingsPath string) *exec.Cmd // returns the command that runs one edge
-	Live func(Snapshot)                      // called once a second; may be nil
+	Day         *Day
+	Out         string                              // directory for the edges' settings, state and logs
+	EdgeCommand func(settingsPath string) *exec.Cmd // returns the command that runs one edge
+	OnProgress  func(Snapshot)                      // called once a second; may be nil
 
 	// beforeEdges, if not nil, is called after the platform has started to serve and before the first edge starts.
 	beforeEdges func(r *run)
@@ -33,19 +33,19 @@
 
 // Snapshot is the state of a run at one moment, with the counts and events since the previous snapshot.
 type Snapshot struct {
-	At      time.Duration // since the start of the day
-	Length  time.Duration
-	Phase   string
-	Build   int
-	Stage   int
-	Asked   int // txns that ended since the previous snapshot; the next five fields divide them by result
-	InTime  int
-	Late    int
-	Decline int
-	Voided  int
-	Lost    int
-	Trial   int      // submissions to the newest build
-	Marks   []string // events of the run
+	At                  time.Duration // since the start of the day
+	Length              time.Duration
+	Phase               string
+	Build               int
+	Stage               int
+	Asked               int // txns that ended since the previous snapshot; the next five fields divide them by result
+	InTime              int
+	Late                int
+	Declined            int
+	Voided              int
+	Lost                int
+	NewBuildSubmissions int      // submissions to the newest build
+	Events              []string // events of the run
 }
 
 // edgeProcess is the process of one edge.
@@ -118,7 +118,7 @@
 		r.platform.mu.Unlock()
 	}
 	r.group.Go(r.scheduleFaults)
-	if runner.Live != nil {
+	if runner.OnProgress != nil {
 		r.group.Go(r.reportProgress)
 	}
 	done := make(chan struct{})
@@ -224,7 +224,7 @@
 
 // startEdge starts an edge's process and records its incarnation.
 func (r *run) startEdge(p *edgeProcess) error {
-	p.cmd = r.Edge(p.settingsPath)
+	p.cmd = r.EdgeCommand(p.settingsPath)
 	p.cmd.Stderr, p.cmd.Stdout = p.logFile, p.logFile
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the edge must not outlive the lab
 	if err := p.cmd.Start(); err != nil {
@@ -387,7 +387,7 @@
 			w.setSilent(false)
 		}
 	case "slow":
-		withMachineFault(func(m *fleet.MachineFault) { m.Slow = fault.Magnitude }, func(m *fleet.MachineFault) { m.Slow = 0 })
+		withMachineFault(func(m *fleet.MachineFault) { m.SlowdownFactor = fault.Magnitude }, func(m *fleet.MachineFault) { m.SlowdownFactor = 0 })
 	case "fast-errors":
 		withMachineFault(func(m *fleet.MachineFault) { m.FailureRate = fault.Magnitude }, func(m *fleet.MachineFault) { m.FailureRate = 0 })
 	case "neighbour":
@@ -517,7 +517,7 @@
 			case txn.Status == 200:
 				snapshot.Late++
 			case txn.Outcome == "declined":
-				snapshot.Decline++
+				snapshot.Declined++
 			case txn.Outcome == "voided":
 				snapshot.Voided++
 			default:
@@ -527,13 +527,13 @@
 		txnCount = len(r.rec.Txns)
 		for _, submission := range r.rec.Submissions[submissionCount:] {
 			if submission.Build == snapshot.Build {
-				snapshot.Trial++
+				snapshot.NewBuildSubmissions++
 			}
 		}
 		submissionCount = len(r.rec.Submissions)
-		snapshot.Marks = append(snapshot.Marks, r.rec.Marks[eventCount:]...)
-		eventCount = len(r.rec.Marks)
+		snapshot.Events = append(snapshot.Events, r.rec.Events[eventCount:]...)
+		eventCount = len(r.rec.Events)
 		r.rec.mu.Unlock()
-		r.Live(snapshot)
+		r.OnProgress(snapshot)
 	}
 }
--- a/lab/sockets_test.go
+++ b/lab/sockets_test.go
@@ -45,7 +45,7 @@
 				for i := range bad.Workers {
 					bad.Workers[i].Address, bad.Workers[i].Build = "nowhere", 70000
 				}
-				if e.Type == api.Whole { // the valid event of the same revision follows
+				if e.Type == api.EventSnapshot { // the valid event of the same revision follows
 					writeLine(w, bad)
 				}
 			}
@@ -92,7 +92,7 @@
 		refused := true
 		for _, invalid := range []string{string(text[:len(text)*2/3]), strings.Replace(string(text), "(window ", "(window x", 1)} {
 			os.WriteFile(p.settingsPath, []byte(invalid), 0o644)
-			output, err := r.Edge(p.settingsPath).CombinedOutput()
+			output, err := r.EdgeCommand(p.settingsPath).CombinedOutput()
 			var exit *exec.ExitError
 			refused = refused && errors.As(err, &exit) && exit.ExitCode() == 2 && strings.Contains(string(output), "edge-1.sexp:")
 		}
@@ -125,7 +125,7 @@
 		// A repeated line makes the edge save its list even if nothing else changes in this state.
 		for _, s := range r.platform.replicas {
 			if w := cmp.Or(s.oldWorker, s.newWorker); w != nil {
-				r.platform.addWorkerChange(0, w, api.Up)
+				r.platform.addWorkerChange(0, w, api.WorkerUp)
 				break
 			}
 		}
@@ -236,7 +236,7 @@
 	}
 	for _, id := range ids {
 		w := last[id]
-		if w.State == api.Gone {
+		if w.State == api.WorkerGone {
 			continue
 		}
 		started := ""
@@ -245,7 +245,7 @@
 		}
 		fmt.Fprintf(&text, "(worker %s (address %q) (zone lab) (kind std) (state %s) (build %d)%s)\n", id, w.Address, w.State, w.Build, started)
 		for i := range p.day.Sentries {
-			p.rec.addUpdate(EdgeUpdate{Edge: i, At: now, Worker: id, State: w.State, Started: runTime(w.StartedAt), Build: w.Build})
+			p.rec.addUpdate(EdgeUpdate{Edge: i, At: now, Worker: id, State: w.State, WorkerStartedAt: runTime(w.StartedAt), Build: w.Build})
 		}
 	}
 	fmt.Fprintf(&text, "(release (build %d) (stage %d) (phase %s) (cap %g))\n", event.Release.Build, event.Release.Stage, event.Release.Phase, event.Release.Cap)
@@ -314,7 +314,7 @@
 					t.Fatal(err)
 				}
 				injected := map[string]bool{} // no lock: states follow one another
-				r := &Runner{Day: day, Out: dir, Edge: func(settings string) *exec.Cmd {
+				r := &Runner{Day: day, Out: dir, EdgeCommand: func(settings string) *exec.Cmd {
 					if data, err := os.ReadFile(settings); fault.usesListFile && err == nil {
 						os.WriteFile(settings, apiSource.ReplaceAll(data, []byte(fileSource)), 0o644)
 					}
@@ -357,7 +357,7 @@
 				}
 				for _, s := range states {
 					if !injected[s] {
-						t.Errorf("fault not injected in state %q, only in %v\n%s", s, injected, strings.Join(rec.Marks, "\n"))
+						t.Errorf("fault not injected in state %q, only in %v\n%s", s, injected, strings.Join(rec.Events, "\n"))
 					}
 				}
 				for _, v := range Check(day, rec) {
@@ -374,7 +374,7 @@
 				if !strings.Contains(logs, fault.logText) {
 					t.Errorf("no edge logged %q", fault.logText)
 				}
-				if f := Sum(day, rec, "dunegrade", nil); f.Revenue < 0.3 || f.Txns < 100 {
+				if f := ComputeFigures(day, rec, "dunegrade", nil); f.Revenue < 0.3 || f.Txns < 100 {
 					t.Errorf("revenue %.2f of %d txns; want at least 0.3 of at least 100", f.Revenue, f.Txns)
 				}
 			})
--- a/lab/stages_test.go
+++ b/lab/stages_test.go
@@ -92,9 +92,9 @@
 // restartWorker stops a worker and starts it again, so that the worker list changes while a fault affects it.
 func (d *virtualDay) restartWorker() {
 	w := d.replicas[7]
-	d.schedule(300*ms, func() { w.stopProcess(api.Gone) })
+	d.schedule(300*ms, func() { w.stopProcess(api.WorkerGone) })
 	d.schedule(1300*ms, func() {
-		if d.replicas[7] == w && w.state == api.Gone {
+		if d.replicas[7] == w && w.state == api.WorkerGone {
 			w.restart(w.build)
 		}
 	})
@@ -194,9 +194,9 @@
 	{"worker crashes", func(d *virtualDay) {
 		for _, w := range d.faultyWorkers() {
 			w.stopProcess("")
-			d.schedule(500*ms, func() { w.setState(api.Gone) })
+			d.schedule(500*ms, func() { w.setState(api.WorkerGone) })
 			d.schedule(faultDuration, func() {
-				if w.state == api.Gone && slices.Contains(d.replicas, w) {
+				if w.state == api.WorkerGone && slices.Contains(d.replicas, w) {
 					w.restart(w.build)
 				}
 			})
@@ -206,7 +206,7 @@
 		d.setFault(func(w *virtualWorker, on bool) {
 			d.faultCounts["worker hung"]++
 			if !on && w.running { // an operator restarts the worker
-				w.stopProcess(api.Gone)
+				w.stopProcess(api.WorkerGone)
 				if slices.Contains(d.replicas, w) {
 					d.schedule(200*ms, func() { w.restart(w.build) })
 				}
@@ -218,7 +218,7 @@
 	{"worker slow", func(d *virtualDay) {
 		d.setFault(func(w *virtualWorker, on bool) {
 			d.faultCounts["worker slowed"]++
-			w.machine.Fault.Slow = map[bool]float64{true: 8}[on]
+			w.machine.Fault.SlowdownFactor = map[bool]float64{true: 8}[on]
 		})
 	}, "worker slowed", ""},
 	{"worker fails", func(d *virtualDay) {
@@ -226,7 +226,7 @@
 	}, "error response", ""},
 	{"worker reports to be idle", func(d *virtualDay) {
 		d.setFault(func(w *virtualWorker, on bool) {
-			w.machine.Fault.ReportsIdle, w.machine.Fault.Slow = on, map[bool]float64{true: 4}[on]
+			w.machine.Fault.ReportsIdle, w.machine.Fault.SlowdownFactor = on, map[bool]float64{true: 4}[on]
 		})
 	}, "idle report", ""},
 	{"answers malformed", func(d *virtualDay) {
@@ -236,7 +236,7 @@
 		for _, w := range d.faultyWorkers() {
 			w.stopProcess("")
 			d.schedule(400*ms, func() {
-				if w.state != api.Gone && slices.Contains(d.replicas, w) {
+				if w.state != api.WorkerGone && slices.Contains(d.replicas, w) {
 					d.faultCounts["worker replaced"]++
 					w.restart(w.build)
 				}
@@ -248,7 +248,7 @@
 		other := 3 - w.build
 		w.stopProcess("")
 		d.schedule(400*ms, func() {
-			if w.state != api.Gone && slices.Contains(d.replicas, w) {
+			if w.state != api.WorkerGone && slices.Contains(d.replicas, w) {
 				d.faultCounts["worker of another build"]++
 				w.restart(other)
 			}
@@ -256,12 +256,12 @@
 	}, "worker of another build", ""},
 	{"worker drained by hand", func(d *virtualDay) {
 		for _, w := range d.faultyWorkers()[1:] {
-			if w.state == api.Up {
+			if w.state == api.WorkerUp {
 				d.faultCounts["worker drained"]++
-				w.setState(api.Draining)
+				w.setState(api.WorkerDraining)
 				d.schedule(faultDuration, func() {
-					if w.state == api.Draining && w.running {
-						w.setState(api.Up)
+					if w.state == api.WorkerDraining && w.running {
+						w.setState(api.WorkerUp)
 					}
 				})
 			}
@@ -418,14 +418,14 @@
 		}},
 		{"submission to a draining worker", 3, func(d *virtualDay) {
 			w := d.replicas[4]
-			w.setState(api.Draining)
+			w.setState(api.WorkerDraining)
 			for k := runTime(0); k < 300*ms; k += ms {
 				d.schedule(time.Second+k, func() { submit(d, 0, false, w, 1) })
 			}
 		}},
 		{"cold worker overloaded", 4, func(d *virtualDay) {
 			w := d.replicas[4]
-			w.stopProcess(api.Gone)
+			w.stopProcess(api.WorkerGone)
 			w.restart(w.build)
 			d.schedule(500*ms, func() {
 				for i := 0; i < 300; i++ {
--- a/lab/virtual_test.go
+++ b/lab/virtual_test.go
@@ -145,7 +145,7 @@
 	if err != nil {
 		panic(err)
 	}
-	d.settings = edgeConfig.Module
+	d.settings = edgeConfig.ModuleSettings
 	d.settings["index"] = 0.0
 	d.release = logic.ReleaseUpdate{Rel: 1, Phase: logic.Released, Cap: 1, Stage: len(day.StageShares) - 1}
 	d.previousRelease = d.release
@@ -469,11 +469,11 @@
 }
 
 // phaseNames maps the module's phases to those of the platform's API.
-var phaseNames = map[logic.Phase]string{logic.OnTrial: api.OnTrial, logic.GoingBack: api.GoingBack, logic.Released: api.Released,
-	logic.Withdrawn: api.Withdrawn}
+var phaseNames = map[logic.Phase]string{logic.OnTrial: api.PhaseOnTrial, logic.GoingBack: api.PhaseGoingBack, logic.Released: api.PhaseReleased,
+	logic.Withdrawn: api.PhaseWithdrawn}
 
 // moduleStates maps the worker states of the platform's API to the module's.
-var moduleStates = map[string]logic.State{api.Up: logic.Up, api.Draining: logic.Draining, api.Gone: logic.Gone}
+var moduleStates = map[string]logic.State{api.WorkerUp: logic.Up, api.WorkerDraining: logic.Draining, api.WorkerGone: logic.Gone}
 
 // moduleWorker converts an entry of the worker list to the module's type.
 func (s *virtualSentry) moduleWorker(entry api.Worker) logic.Worker {
@@ -488,7 +488,7 @@
 // recordWorkerUpdate records that the sentry was sent an entry of the worker list.
 func (s *virtualSentry) recordWorkerUpdate(entry api.Worker) {
 	s.day.rec.Updates = append(s.day.rec.Updates, EdgeUpdate{Edge: s.index, At: s.day.now, Worker: entry.ID, State: entry.State,
-		Started: runTime(entry.StartedAt), Build: entry.Build})
+		WorkerStartedAt: runTime(entry.StartedAt), Build: entry.Build})
 }
 
 // updateWholeList sends the sentry a full worker list.
@@ -535,10 +535,10 @@
 // startProcess starts a process under the worker's ID.
 func (w *virtualWorker) startProcess(build int, startedAt runTime) {
 	d := w.day
-	w.build, w.startedAt, w.state, w.running = build, startedAt, api.Up, true
+	w.build, w.startedAt, w.state, w.running = build, startedAt, api.WorkerUp, true
 	w.machine = fleet.NewMachine(d.day.MachineKind, fleet.Build{Number: build, Flaw: fleet.NoFlaw}, fleet.Nanos(startedAt), d.sharedState,
 		d.rng.Int63())
-	w.machine.Kind.Speed = d.day.MinSpeed + (d.day.MaxSpeed-d.day.MinSpeed)*d.rng.Float64()
+	w.machine.Spec.Speed = d.day.MinSpeed + (d.day.MaxSpeed-d.day.MinSpeed)*d.rng.Float64()
 	if d.now > 0 {
 		d.announceWorker(w)
 	}
@@ -608,7 +608,7 @@
 func (d *virtualDay) workerList(skip func(*virtualWorker) bool) []api.Worker {
 	var entries []api.Worker
 	for _, id := range d.listOrder {
-		if w := d.workers[id]; w.state != api.Gone && (skip == nil || !skip(w)) {
+		if w := d.workers[id]; w.state != api.WorkerGone && (skip == nil || !skip(w)) {
 			entries = append(entries, w.listEntry())
 		}
 	}
@@ -634,9 +634,9 @@
 	d.lastID++
 	submission.job = uint64(d.lastID)
 	job := fleet.Job{ID: submission.job, Product: txnRecord.Product,
-		Work: fleet.Nanos(float64(productSpec.MeanWork) * (0.5 + d.rng.Float64())), From: submission.sentry.index}
+		Work: fleet.Nanos(float64(productSpec.MeanWork) * (0.5 + d.rng.Float64())), Sentry: submission.sentry.index}
 	if productSpec.Effect == "referenced" {
-		job.DedupKey, job.Memory = txnRecord.FirstTryID, fleet.Nanos(productSpec.DedupMemory)
+		job.DedupKey, job.DedupWindow = txnRecord.FirstTryID, fleet.Nanos(productSpec.DedupMemory)
 	}
 	switch w.machine.Submit(fleet.Nanos(d.now), job) {
 	case fleet.Refused:
@@ -650,7 +650,7 @@
 		d.rec.OverloadFailures = append(d.rec.OverloadFailures, OverloadFailure{Worker: id, WorkerStartedAt: w.startedAt, At: d.now,
 			WorkByEdge: workByEdge})
 		w.jobs[submission.job] = submission
-		w.stopProcess(api.Gone)
+		w.stopProcess(api.WorkerGone)
 	default:
 		w.jobs[submission.job] = submission
 		w.scheduleCompletion()
@@ -674,11 +674,11 @@
 				continue
 			}
 			delete(w.jobs, done.ID)
-			submission.record.TookEffect, submission.record.Duplicate, submission.record.FinishedAt = done.TookEffect(),
-				done.End == fleet.Dropped, d.now
+			submission.record.TookEffect, submission.record.Duplicate, submission.record.FinishedAt = done.Executed(),
+				done.Result == fleet.Deduplicated, d.now
 			ending := logic.OK
 			submission.record.Result = "ok"
-			if done.End == fleet.Failed || w.garbageRate > 0 && d.rng.Float64() < w.garbageRate {
+			if done.Result == fleet.Failed || w.garbageRate > 0 && d.rng.Float64() < w.garbageRate {
 				ending, submission.record.Result = logic.ErrorResponse, "failed"
 				d.faultCounts["error response"]++
 			}
@@ -735,7 +735,7 @@
 // replaceWorker boots a worker with a build for a replica, and drains the previous one.
 func (d *virtualDay) replaceWorker(replica, build int) {
 	previous := d.replicas[replica]
-	if previous.build == build && previous.state != api.Gone {
+	if previous.build == build && previous.state != api.WorkerGone {
 		return
 	}
 	d.schedule(d.day.BootTime, func() {
@@ -743,11 +743,11 @@
 			return
 		}
 		d.replicas[replica] = d.bootWorker(replica, build, d.now)
-		if previous.state == api.Up {
-			previous.setState(api.Draining)
+		if previous.state == api.WorkerUp {
+			previous.setState(api.WorkerDraining)
 			d.schedule(d.day.DrainTime, func() {
-				if previous.state == api.Draining {
-					previous.stopProcess(api.Gone)
+				if previous.state == api.WorkerDraining {
+					previous.stopProcess(api.WorkerGone)
 				}
 			})
 		}
--- a/lab/workers.go
+++ b/lab/workers.go
@@ -323,8 +323,8 @@
 		record.Result, record.TookEffect = "bad", false
 		reply = formatResponse(500, "", nil, record, w, false, j.isHead)
 	default:
-		admission = w.machine.Submit(fleet.Nanos(now), fleet.Job{ID: id, Product: product, DedupKey: dedupKey, Memory: fleet.Nanos(productSpec.DedupMemory),
-			Work: fleet.Nanos(work), From: int(headerUint(r, "Lab-Edge"))})
+		admission = w.machine.Submit(fleet.Nanos(now), fleet.Job{ID: id, Product: product, DedupKey: dedupKey, DedupWindow: fleet.Nanos(productSpec.DedupMemory),
+			Work: fleet.Nanos(work), Sentry: int(headerUint(r, "Lab-Edge"))})
 	}
 	switch admission {
 	case fleet.Refused:
@@ -409,14 +409,14 @@
 	}
 	delete(w.jobs, done.ID)
 	record := j.submission
-	record.FinishedAt, record.TookEffect, record.Duplicate = w.fleet.now(), done.TookEffect(), done.End == fleet.Dropped
+	record.FinishedAt, record.TookEffect, record.Duplicate = w.fleet.now(), done.Executed(), done.Result == fleet.Deduplicated
 	status, wrongAnswer := 200, false
-	switch done.End {
+	switch done.Result {
 	case fleet.Failed:
 		record.Result, status = "failed", 500
 	case fleet.WrongAnswer:
 		record.Result, wrongAnswer = "wrong", true
-	case fleet.Dropped:
+	case fleet.Deduplicated:
 		record.Result = "dropped"
 	default:
 		record.Result = "ok"
--- a/trace/anonymise.go
+++ b/trace/anonymise.go
@@ -121,7 +121,7 @@
 // Anonymise writes a run without data that could identify a person. It drops texts, or replaces them by keyed hashes, and
 // replaces keys and the trace ids that clients sent by keyed hashes. Times, numbers and decisions stay. It drops unknown
 // fields and records.
-func Anonymise(run *Life, s Secret, w io.Writer, onDamage func(path string, d Damage)) error {
+func Anonymise(run *Run, s Secret, w io.Writer, onDamage func(path string, d Damage)) error {
 	in := run.Headers[0]
 	if run.origin != 0 {
 		return fmt.Errorf("trace: %s is a merged file; anonymise its source files and merge the results", run.Paths[0])
--- a/trace/anonymise_test.go
+++ b/trace/anonymise_test.go
@@ -106,18 +106,18 @@
 		numbers = append(numbers, fmt.Sprintf("%08d", 40000000+rng.Intn(59999999)))
 	}
 	dir := t.TempDir()
-	path := filepath.Join(dir, "in"+Suffix)
+	path := filepath.Join(dir, "in"+SegmentSuffix)
 	if err := os.WriteFile(path, fileWithNumbers(t, numbers), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	in, keysIn := unpackedFile(t, path)
-	runs, err := Lives([]string{path})
+	runs, err := FindRuns([]string{path})
 	if err != nil {
 		t.Fatal(err)
 	}
 	onDamage := func(path string, d Damage) { t.Errorf("%s: %v", path, d) }
 	anonymise := func(name string, s Secret) (all []byte, keys []uint64) {
-		out := filepath.Join(dir, name+Suffix)
+		out := filepath.Join(dir, name+SegmentSuffix)
 		file, err := os.Create(out)
 		if err != nil {
 			t.Fatal(err)
--- a/trace/clock.go
+++ b/trace/clock.go
@@ -184,7 +184,7 @@
 }
 
 // collectEvidence reads all records of the runs once and collects the events that relate their clocks.
-func collectEvidence(runs []*Life, onDamage func(string, Damage)) (*clockEvidence, error) {
+func collectEvidence(runs []*Run, onDamage func(string, Damage)) (*clockEvidence, error) {
 	s := &clockEvidence{start: make([]int64, len(runs)), end: make([]int64, len(runs)), received: map[uint64][]recordRef{}, sent: map[uint64][]recordRef{},
 		attempts: map[[2]uint64][]attempt{}}
 	for i, l := range runs {
@@ -308,7 +308,7 @@
 // Duda, Harrus, Haddad and Bernard, "Estimating global time in distributed systems", ICDCS 1987. The estimate is a point
 // inside the region, and the region's extent is the uncertainty. Runs that share no event with the first run are related
 // to it through other runs, along the path of least uncertainty.
-func Clocks(runs []*Life, onDamage func(path string, d Damage)) ([]Clock, error) {
+func EstimateClocks(runs []*Run, onDamage func(path string, d Damage)) ([]Clock, error) {
 	s, err := collectEvidence(runs, onDamage)
 	if err != nil {
 		return nil, err
--- a/trace/cost_test.go
+++ b/trace/cost_test.go
@@ -19,7 +19,7 @@
 
 func benchmarkTxn(b *testing.B, tailDir string) {
 	dir := b.TempDir()
-	rec, err := NewTailed(Disk(dir), tailDir, Keep{SegmentBytes: 64 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30},
+	rec, err := NewRecorderWithTail(OSDirectory(dir), tailDir, Retention{SegmentBytes: 64 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30},
 		&tracepb.Header{Edge: "e", Life: 7, Products: []string{"ask"}}, testSettings, zap.NewNop())
 	if err != nil {
 		b.Fatal(err)
@@ -33,7 +33,7 @@
 		now += 22000
 		txn.ID = logic.TxnID(uint64(i>>6)<<slotBits | uint64(i&63))
 		txn.Expiry = now + 3*logic.Second
-		txn.Key = logic.KeyID(uint64(i) * mixer)
+		txn.Key = logic.KeyID(uint64(i) * serialMultiplier)
 		for rec.freeBuffers() <= reservedBuffers {
 			time.Sleep(10 * time.Microsecond)
 		}
@@ -44,7 +44,7 @@
 		rec.Outcome(now, &outcome, 200)
 	}
 	rec.Close(now)
-	segments, err := Disk(dir).List()
+	segments, err := OSDirectory(dir).List()
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 // go test ./trace -run none -bench GiB
 func BenchmarkFollowInAGiB(b *testing.B) {
 	dir := b.TempDir()
-	rec, err := NewRecorder(Disk(dir), Keep{SegmentBytes: 4 << 30, SegmentAge: time.Hour, TotalBytes: 16 << 30},
+	rec, err := NewRecorder(OSDirectory(dir), Retention{SegmentBytes: 4 << 30, SegmentAge: time.Hour, TotalBytes: 16 << 30},
 		&tracepb.Header{Edge: "e", Life: 7, Products: []string{"ask"}}, testSettings, zap.NewNop())
 	if err != nil {
 		b.Fatal(err)
@@ -75,7 +75,7 @@
 	key := func(i uint64) logic.KeyID { return logic.KeyID(xxhash.Sum64(uint64Bytes(i)) | 1) }
 	for size := int64(0); size < 1<<30; n++ {
 		if n%100000 == 0 {
-			segments, err := Disk(dir).List()
+			segments, err := OSDirectory(dir).List()
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -83,7 +83,7 @@
 				size = seg.Size
 			}
 		}
-		now += 22000 + logic.Nanos(n*mixer>>50)
+		now += 22000 + logic.Nanos(n*serialMultiplier>>50)
 		txn := logic.Txn{ID: logic.TxnID(uint64(n>>6)<<slotBits | n&63), Expiry: now + 3*logic.Second, Cost: 2e7, Key: key(n + 1)}
 		for rec.freeBuffers() <= reservedBuffers {
 			time.Sleep(10 * time.Microsecond)
@@ -91,7 +91,7 @@
 		rec.Take(now, &txn, n+1, 0, 0)
 		rec.Submit(now, txn.ID, benchWorkers[n%10], 0)
 		rec.Event(now, tracepb.Kind_REMIND, 0, 0, n&63<<32|n>>6, 2046971000)
-		outcome := logic.Outcome{Txn: txn.ID, Elapsed: logic.Nanos(1e6 + n*mixer>>44), Final: true}
+		outcome := logic.Outcome{Txn: txn.ID, Elapsed: logic.Nanos(1e6 + n*serialMultiplier>>44), Final: true}
 		rec.Outcome(now, &outcome, 200)
 	}
 	rec.Close(now)
@@ -99,7 +99,7 @@
 	for _, by := range []string{"name", "key"} {
 		b.Run(by, func(b *testing.B) {
 			for i := 0; i < b.N; i++ {
-				runs, err := Lives([]string{dir})
+				runs, err := FindRuns([]string{dir})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/trace/cut.go
+++ b/trace/cut.go
@@ -31,7 +31,7 @@
 
 // Cut writes all records of the matching txns of a run to one file, together with the platform's updates. It returns the
 // number of txns. The file is marked as partial, because the other txns are missing.
-func Cut(l *Life, f Filter, w io.Writer, onDamage func(path string, d Damage)) (int, error) {
+func Cut(l *Run, f Filter, w io.Writer, onDamage func(path string, d Damage)) (int, error) {
 	if l.origin != 0 {
 		return 0, fmt.Errorf("trace: %s is a merged file; cut its source files and merge the results", l.Paths[0])
 	}
@@ -69,7 +69,7 @@
 }
 
 // mayMatch reports, from the block's index entry, whether a block can hold the TAKE of a matching txn or a worker list.
-func (f *Filter) mayMatch(l *Life, q Query, file *File, i int) bool {
+func (f *Filter) mayMatch(l *Run, q Query, file *File, i int) bool {
 	b := file.Blocks[i].Block
 	if b.Kinds == 0 || b.Kinds&(1<<tracepb.Kind_LIST) != 0 {
 		return true // either an older version wrote the entry without record kinds, or the block has the workers' builds
@@ -90,7 +90,7 @@
 }
 
 // matchingSerials returns the serials of the txns that match the filter.
-func (l *Life) matchingSerials(f Filter, onDamage func(string, Damage)) (map[uint64]bool, error) {
+func (l *Run) matchingSerials(f Filter, onDamage func(string, Damage)) (map[uint64]bool, error) {
 	matching, open, builds := map[uint64]bool{}, map[uint64]*candidateTxn{}, map[string]int64{}
 	wallOffset := l.Headers[0].Wall - l.Headers[0].Start
 	q := Query{}
--- a/trace/follow.go
+++ b/trace/follow.go
@@ -55,15 +55,15 @@
 // A trace id that the edge generates consists of the id of the sentry's run and of the txn's serial, multiplied by an odd
 // constant to spread its bits. It can be computed from the run and the serial and is therefore not recorded.
 const (
-	mixer         = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
-	serialInverse = 0xf1de83e19937733d // multiplicative inverse modulo 2^64
+	serialMultiplier = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
+	serialInverse    = 0xf1de83e19937733d // multiplicative inverse modulo 2^64
 )
 
 // MixSerial returns the lower half of a trace id that the edge generates.
-func MixSerial(serial uint64) uint64 { return serial * mixer }
+func MixSerial(serial uint64) uint64 { return serial * serialMultiplier }
 
 // forRun returns the query for use with a run: a trace id that the edge generated in that run becomes a txn's serial.
-func (q Query) forRun(l *Life) Query {
+func (q Query) forRun(l *Run) Query {
 	if q.TraceID[0] == l.ID && l.ID != 0 {
 		return Query{Sentry: int(l.Sentry), Serial: q.TraceID[1] * serialInverse}
 	}
@@ -109,7 +109,7 @@
 	Steps   []Step
 	End     string        // settled, declined, voided, left, or cut if the trace ends before the txn
 	Unsure  time.Duration `json:",omitempty"` // largest error of Wall relative to other sentries; negative: unbounded
-	run     *Life
+	run     *Run
 	product int    // index in the header's products
 	id      uint64 // the sentry's id of the txn
 	pending int    // number of submissions without an outcome
@@ -142,7 +142,7 @@
 
 // Follow returns the histories of the selected txns. It reads only blocks that may hold them. It skips damaged parts and
 // passes them to onDamage.
-func Follow(runs []*Life, q Query, onDamage func(path string, d Damage)) ([]*TxnHistory, error) {
+func Follow(runs []*Run, q Query, onDamage func(path string, d Damage)) ([]*TxnHistory, error) {
 	var histories []*TxnHistory
 	for _, l := range runs {
 		if q.Sentry >= 0 && uint32(q.Sentry) != l.Sentry {
@@ -158,7 +158,7 @@
 }
 
 // findTxns returns the histories of the run's selected txns.
-func (l *Life) findTxns(q Query, onDamage func(string, Damage)) ([]*TxnHistory, error) {
+func (l *Run) findTxns(q Query, onDamage func(string, Damage)) ([]*TxnHistory, error) {
 	var histories []*TxnHistory
 	open := map[uint64]*TxnHistory{}
 	lastBlock := uint64(0)
--- a/trace/merge.go
+++ b/trace/merge.go
@@ -12,7 +12,7 @@
 )
 
 // MergeResult describes a merge of several runs.
-type Merged struct {
+type MergeResult struct {
 	Clocks  []Clock // by run
 	Records int     // number of merged records
 	Held    int     // number of records delayed because their clock put them before a predecessor
@@ -36,7 +36,7 @@
 
 // orderedRecords returns a run's records in order of time, each with the name of its worker. It has to sort the records
 // of files that hold only a part of the txns, in which a txn's records are written together, after its end.
-func (l *Life) orderedRecords(onDamage func(string, Damage), err *error) iter.Seq2[Record, string] {
+func (l *Run) orderedRecords(onDamage func(string, Damage), err *error) iter.Seq2[Record, string] {
 	ordered := true
 	for _, h := range l.Headers {
 		ordered = ordered && h.Level == LevelWhole
@@ -81,20 +81,20 @@
 
 // merger orders the records of several runs by the reference clock, but no record before one of its predecessors.
 type merger struct {
-	result       Merged
+	result       MergeResult
 	streams      []*runStream
 	predecessors []map[int][]recordRef // by run and record index: the records that must precede that record
 }
 
 // mergeRecords calls fn for each record of the runs in the merged order, with the index of its run and its time by the
 // reference clock. The error of a time is at most its clock's Unsure.
-func mergeRecords(runs []*Life, onDamage func(string, Damage), fn func(run int, at int64, r *Record, worker string) error) (*Merged, error) {
+func mergeRecords(runs []*Run, onDamage func(string, Damage), fn func(run int, at int64, r *Record, worker string) error) (*MergeResult, error) {
 	s, err := collectEvidence(runs, onDamage)
 	if err != nil {
 		return nil, err
 	}
 	clocks, relations := s.estimateClocks()
-	m := &merger{result: Merged{Clocks: clocks}}
+	m := &merger{result: MergeResult{Clocks: clocks}}
 	// collectEvidence has already reported all damage. A nil onDamage stays nil, because it makes damage an error.
 	ignoreDamage := func(string, Damage) {}
 	if onDamage == nil {
@@ -140,7 +140,7 @@
 }
 
 // isWhole reports whether the run's own file holds all of its records in order.
-func (l *Life) isWhole() bool { return l.Headers[0].Level == LevelWhole && l.origin == 0 }
+func (l *Run) isWhole() bool { return l.Headers[0].Level == LevelWhole && l.origin == 0 }
 
 // nextStream returns the index of the stream with the earliest record that has no pending predecessor, or -1 at the end.
 // If every record has one, the relations form a cycle, which is broken by taking the earliest record.
@@ -194,7 +194,7 @@
 
 // Merge writes several runs to one file, ordered by the reference clock. The file is marked as partial and cannot be
 // replayed, because its times are not those at which the decisions were made.
-func Merge(runs []*Life, w io.Writer, onDamage func(path string, d Damage)) (*Merged, error) {
+func Merge(runs []*Run, w io.Writer, onDamage func(path string, d Damage)) (*MergeResult, error) {
 	if len(runs) == 0 {
 		return nil, fmt.Errorf("trace: nothing to merge")
 	}
@@ -235,13 +235,13 @@
 }
 
 // splitMergedFile returns the runs that were merged into a file. Their times are by the reference clock.
-func splitMergedFile(path string, h *tracepb.Header) []*Life {
-	var runs []*Life
+func splitMergedFile(path string, h *tracepb.Header) []*Run {
+	var runs []*Run
 	for i, o := range h.Origins {
 		header := proto.Clone(h).(*tracepb.Header)
 		header.Origins, header.Edge, header.Sentry, header.Life, header.Settings, header.Module = nil, o.Edge, o.Sentry, o.Life, o.Settings, o.Module
 		header.Wall, header.Start, header.OneIn = 0, 0, o.OneIn
-		runs = append(runs, &Life{ID: o.Life, Edge: o.Edge, Sentry: o.Sentry, Paths: []string{path}, Headers: []*tracepb.Header{header}, origin: uint32(i + 1),
+		runs = append(runs, &Run{ID: o.Life, Edge: o.Edge, Sentry: o.Sentry, Paths: []string{path}, Headers: []*tracepb.Header{header}, origin: uint32(i + 1),
 			ClockUncertainty: o.Unsure, sourceLevel: o.Level})
 	}
 	return runs
--- a/trace/merge_test.go
+++ b/trace/merge_test.go
@@ -26,8 +26,8 @@
 	serial  []uint64   // by sentry: serial of the last txn
 }
 
-// began is the start of the recorded runs, nanoseconds since 1970.
-const began = int64(1.8e18)
+// startTime is the start of the recorded runs, nanoseconds since 1970.
+const startTime = int64(1.8e18)
 
 // newSimulation returns a simulation of n sentries. Clocks are off by up to maxOffset
 // nanoseconds and drift by up to maxPPM parts per million.
@@ -48,7 +48,7 @@
 
 // clockTime returns the time that sentry i's clock shows at a true time.
 func (sim *simulation) clockTime(i int, at int64) int64 {
-	return at + int64(sim.offset[i]+sim.drift[i]*float64(at-began))
+	return at + int64(sim.offset[i]+sim.drift[i]*float64(at-startTime))
 }
 
 // simulate generates release and worker updates that reach all sentries, and with a probability of 1 in 10 are late at a
@@ -56,11 +56,11 @@
 func (sim *simulation) simulate(span time.Duration, maxDelay time.Duration, messages bool) {
 	n := len(sim.records)
 	for i := range sim.records {
-		sim.add(i, began, Record{Kind: tracepb.Kind_START, Token: 1})
+		sim.add(i, startTime, Record{Kind: tracepb.Kind_START, Token: 1})
 		body, _ := proto.Marshal(&tracepb.News{Build: 1})
-		sim.add(i, began, Record{Kind: tracepb.Kind_NEWS, Body: body})
+		sim.add(i, startTime, Record{Kind: tracepb.Kind_NEWS, Body: body})
 	}
-	for at, k := began+1e9, 0; at < began+int64(span); at, k = at+2e9+sim.rng.Int63n(2e9), k+1 {
+	for at, k := startTime+1e9, 0; at < startTime+int64(span); at, k = at+2e9+sim.rng.Int63n(2e9), k+1 {
 		news, _ := proto.Marshal(&tracepb.News{Build: 2, Stage: int64(k)})
 		list, _ := proto.Marshal(&tracepb.List{Workers: []*tracepb.List_Worker{{Id: fmt.Sprintf("w%d", k), Build: 1}}})
 		for i := 0; i < n; i++ {
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	for at, k := began+1e9, uint64(1); at < began+int64(span); at, k = at+sim.rng.Int63n(2e8), k+1 {
+	for at, k := startTime+1e9, uint64(1); at < startTime+int64(span); at, k = at+sim.rng.Int63n(2e8), k+1 {
 		i := sim.rng.Intn(n)
 		id := [2]uint64{9, k}
 		take := func(i int, at int64, repeat bool) {
@@ -100,13 +100,13 @@
 }
 
 // writeRuns writes each sentry's records by its own clock. The monotonic clocks start at arbitrary values.
-func (sim *simulation) writeRuns(t *testing.T, dir string) []*Life {
+func (sim *simulation) writeRuns(t *testing.T, dir string) []*Run {
 	var paths []string
 	for i, records := range sim.records {
-		path := filepath.Join(dir, fmt.Sprintf("s%d%s", i, Suffix))
+		path := filepath.Join(dir, fmt.Sprintf("s%d%s", i, SegmentSuffix))
 		var buf bytes.Buffer
 		start := int64(i+1) * 1e13
-		wall := sim.clockTime(i, began)
+		wall := sim.clockTime(i, startTime)
 		fw, err := newFileWriter(&buf, &tracepb.Header{Version: 1, Edge: fmt.Sprintf("edge-%d", i), Sentry: uint32(i), Life: uint64(i + 1), Wall: wall, Start: start,
 			Products: []string{"ask"}})
 		if err != nil {
@@ -126,7 +126,7 @@
 		}
 		paths = append(paths, path)
 	}
-	runs, err := Lives(paths)
+	runs, err := FindRuns(paths)
 	if err != nil || len(runs) != len(sim.records) {
 		t.Fatalf("%d runs, %v", len(runs), err)
 	}
@@ -226,7 +226,7 @@
 				t.Fatal(err)
 			}
 			for i := range sim.records {
-				for _, at := range []int64{began, began + int64(5*time.Minute)} {
+				for _, at := range []int64{startTime, startTime + int64(5*time.Minute)} {
 					clockError := m.Clocks[i].ToReference(sim.clockTime(i, at)) - sim.clockTime(0, at)
 					worst = max(worst, math.Abs(float64(clockError)))
 					if math.Abs(float64(clockError)) > float64(m.Clocks[i].Unsure)+1 {
@@ -250,7 +250,7 @@
 	sim.simulate(time.Minute, 0, true)
 	dir := t.TempDir()
 	runs := sim.writeRuns(t, dir)
-	path := filepath.Join(dir, "merged"+Suffix)
+	path := filepath.Join(dir, "merged"+SegmentSuffix)
 	out, err := os.Create(path)
 	if err != nil {
 		t.Fatal(err)
@@ -260,7 +260,7 @@
 		t.Fatal(err)
 	}
 	out.Close()
-	split, err := Lives([]string{path})
+	split, err := FindRuns([]string{path})
 	if err != nil || len(split) != 3 {
 		t.Fatalf("%d runs, %v", len(split), err)
 	}
@@ -300,8 +300,8 @@
 func TestUnrelatedClockIsUnbounded(t *testing.T) {
 	sim := newSimulation(5, 2, 5e9, 200)
 	sim.simulate(time.Minute, 0, false)
-	sim.records[1] = []Record{{Kind: tracepb.Kind_START, At: began}, {Kind: tracepb.Kind_LOG, At: began + 1e9, Text: "alone"}}
-	clocks, err := Clocks(sim.writeRuns(t, t.TempDir()), nil)
+	sim.records[1] = []Record{{Kind: tracepb.Kind_START, At: startTime}, {Kind: tracepb.Kind_LOG, At: startTime + 1e9, Text: "alone"}}
+	clocks, err := EstimateClocks(sim.writeRuns(t, t.TempDir()), nil)
 	if err != nil || clocks[1].Unsure >= 0 || clocks[0].Unsure != 0 {
 		t.Errorf("%v, %v", clocks, err)
 	}
@@ -311,12 +311,12 @@
 func TestContradictingBoundsAreIgnored(t *testing.T) {
 	sim := newSimulation(5, 2, 5e9, 100)
 	sim.simulate(time.Minute, 0, true)
-	sim.add(0, began+int64(40e9), Record{Kind: tracepb.Kind_TOLD, Number: 1, Body: []byte("from the future")})
-	sim.add(1, began+int64(50e9), Record{Kind: tracepb.Kind_TELL, Number: 0, Body: []byte("from the future")})
+	sim.add(0, startTime+int64(40e9), Record{Kind: tracepb.Kind_TOLD, Number: 1, Body: []byte("from the future")})
+	sim.add(1, startTime+int64(50e9), Record{Kind: tracepb.Kind_TELL, Number: 0, Body: []byte("from the future")})
 	for i := range sim.records {
 		sort.SliceStable(sim.records[i], func(a, b int) bool { return sim.records[i][a].At < sim.records[i][b].At })
 	}
-	clocks, err := Clocks(sim.writeRuns(t, t.TempDir()), nil)
+	clocks, err := EstimateClocks(sim.writeRuns(t, t.TempDir()), nil)
 	if err != nil || clocks[1].Broken != 1 {
 		t.Errorf("%+v, %v", clocks, err)
 	}
--- a/trace/otel.go
+++ b/trace/otel.go
@@ -23,7 +23,7 @@
 // the trace id that its client sent or the edge generated, a child span for each submission, and events for decisions.
 // The output is a sequence of TracesData messages without length prefixes. Because protobuf concatenates repeated fields,
 // it decodes as a single TracesData. ExportSpans returns the number of spans.
-func ExportSpans(runs []*Life, clocks []Clock, w io.Writer, onDamage func(path string, d Damage)) (int, error) {
+func ExportSpans(runs []*Run, clocks []Clock, w io.Writer, onDamage func(path string, d Damage)) (int, error) {
 	out := bufio.NewWriterSize(w, 1<<20)
 	written := 0
 	for i, l := range runs {
@@ -46,7 +46,7 @@
 
 // spanExporter exports the spans of one run.
 type spanExporter struct {
-	run         *Life
+	run         *Run
 	out         *bufio.Writer
 	open        map[uint64]*TxnHistory // txns that are not done, by id
 	builds      map[string]int64       // by worker
@@ -108,7 +108,7 @@
 
 // spanID returns the id of span n of a txn: 0 is the root span, 1 that of submission 0, and so on.
 func (e *spanExporter) spanID(h *TxnHistory, n uint64) []byte {
-	return binary.BigEndian.AppendUint64(nil, ((h.Serial<<4|n)*mixer^e.run.ID)|1)
+	return binary.BigEndian.AppendUint64(nil, ((h.Serial<<4|n)*serialMultiplier^e.run.ID)|1)
 }
 
 // addSpans adds the spans of a txn that is done or, at the end of the run, still open.
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -101,14 +101,14 @@
 
 // NewRecorder starts a recorder and its writer goroutine; Close ends both. settings are the decision module's settings.
 // The header's Wall and Start must hold the current time of the wall clock and of the sentry's clock.
-func NewRecorder(dir Directory, retention Keep, header *tracepb.Header, settings map[string]any, logger *zap.Logger) (*Recorder, error) {
-	return NewTailed(dir, "", retention, header, settings, logger)
+func NewRecorder(dir Directory, retention Retention, header *tracepb.Header, settings map[string]any, logger *zap.Logger) (*Recorder, error) {
+	return NewRecorderWithTail(dir, "", retention, header, settings, logger)
 }
 
 // NewRecorderWithTail is like NewRecorder, but keeps a tail file in tailDir, which should be on a file system in memory;
 // "" disables the tail file. The writer first recovers the blocks that terminated processes recording to the same
 // directory left in their tail files, and writes them to segments.
-func NewTailed(dir Directory, tailDir string, retention Keep, header *tracepb.Header, settings map[string]any, logger *zap.Logger) (*Recorder, error) {
+func NewRecorderWithTail(dir Directory, tailDir string, retention Retention, header *tracepb.Header, settings map[string]any, logger *zap.Logger) (*Recorder, error) {
 	h := proto.Clone(header).(*tracepb.Header)
 	data, err := json.Marshal(settings)
 	if err != nil {
@@ -127,7 +127,7 @@
 	}
 	if tailDir != "" {
 		tailHeader := proto.Clone(h).(*tracepb.Header)
-		if disk, ok := dir.(Disk); ok {
+		if disk, ok := dir.(OSDirectory); ok {
 			if tailHeader.Folder, err = filepath.Abs(string(disk)); err != nil {
 				return nil, err
 			}
@@ -341,7 +341,7 @@
 // FlushStale hands the current block to the writer once it is older than flushAgeNanos, so that a crash loses no more
 // than that. With a tail file, which preserves the block in a crash, the age is tailFlushFactor times as long, because
 // larger blocks compress better. It is called on each tick of the housekeeping timer.
-func (r *Recorder) Flush(now logic.Nanos) {
+func (r *Recorder) FlushStale(now logic.Nanos) {
 	if r.sampler != nil {
 		r.sampler.putOmitted(r, now)
 	}
@@ -381,7 +381,7 @@
 }
 
 // UpdateWorkers records an update of the worker list.
-func (r *Recorder) List(now logic.Nanos, mode logic.ListMode, list []logic.Worker) {
+func (r *Recorder) UpdateWorkers(now logic.Nanos, mode logic.ListMode, list []logic.Worker) {
 	msg := &tracepb.List{}
 	for _, w := range list {
 		ref := r.workers[w.ID]
@@ -399,7 +399,7 @@
 }
 
 // ReleaseUpdate records an update of the state of the newest release.
-func (r *Recorder) News(now logic.Nanos, u logic.ReleaseUpdate) {
+func (r *Recorder) ReleaseUpdate(now logic.Nanos, u logic.ReleaseUpdate) {
 	msg := &tracepb.News{Stage: int64(u.Stage), Answer: u.VoteReply, Build: int64(u.Rel), Cap: u.Cap, Phase: int64(u.Phase), Age: int64(u.Age),
 		Ending: int64(u.Ending)}
 	r.putMessage(now, Record{Kind: tracepb.Kind_NEWS}, msg)
@@ -437,12 +437,12 @@
 }
 
 // PeerMessage records a message from another sentry.
-func (r *Recorder) Told(now logic.Nanos, from int, data []byte) {
+func (r *Recorder) PeerMessage(now logic.Nanos, from int, data []byte) {
 	r.putBytes(now, tracepb.Kind_TOLD, from, data)
 }
 
 // SendToPeer records a message to another sentry.
-func (r *Recorder) Tell(now logic.Nanos, to int, data []byte) {
+func (r *Recorder) SendToPeer(now logic.Nanos, to int, data []byte) {
 	r.putBytes(now, tracepb.Kind_TELL, to, data)
 }
 
@@ -477,7 +477,7 @@
 
 // WritePending writes the pending TAKE record, if any. It is called when the decision module has handled its events, so
 // that a tail file holds all of their records if the process crashes afterwards.
-func (r *Recorder) Settle() {
+func (r *Recorder) WritePending() {
 	if r.pending.active {
 		r.writePending()
 	}
@@ -623,7 +623,7 @@
 }
 
 // TxnDone marks the end of a txn's records. A recorder that samples txns now writes the records or leaves them out.
-func (r *Recorder) Done(now logic.Nanos, t logic.TxnID) {
+func (r *Recorder) TxnDone(now logic.Nanos, t logic.TxnID) {
 	if r.sampler != nil {
 		r.sampler.finish(r, now, t)
 	}
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -17,7 +17,7 @@
 
 // Run is the trace of one run of a sentry, from its start to its end: all of its segments in order. In file names and
 // headers, the id of a run is called its life.
-type Life struct {
+type Run struct {
 	ID               uint64
 	Edge             string
 	Sentry           uint32
@@ -29,7 +29,7 @@
 }
 
 // Level returns the level of detail of the run's trace.
-func (l *Life) Level() uint32 {
+func (l *Run) Level() uint32 {
 	if l.origin != 0 {
 		return l.sourceLevel
 	}
@@ -38,7 +38,7 @@
 
 // FindRuns finds the segments among files and directories and groups them by run. The error lists the files that are not
 // traces; the runs found are returned even then.
-func Lives(paths []string) ([]*Life, error) {
+func FindRuns(paths []string) ([]*Run, error) {
 	var files []string
 	var errs []error
 	for _, p := range paths {
@@ -52,14 +52,14 @@
 			continue
 		}
 		filepath.WalkDir(p, func(path string, _ os.DirEntry, err error) error {
-			if err == nil && filepath.Ext(path) == Suffix {
+			if err == nil && filepath.Ext(path) == SegmentSuffix {
 				files = append(files, path)
 			}
 			return nil
 		})
 	}
-	byID := map[uint64]*Life{}
-	var runs []*Life
+	byID := map[uint64]*Run{}
+	var runs []*Run
 	for _, path := range files {
 		h, err := readHeader(path)
 		if err != nil {
@@ -72,7 +72,7 @@
 		}
 		l := byID[h.Life]
 		if l == nil {
-			l = &Life{ID: h.Life, Edge: h.Edge, Sentry: h.Sentry}
+			l = &Run{ID: h.Life, Edge: h.Edge, Sentry: h.Sentry}
 			byID[h.Life] = l
 			runs = append(runs, l)
 		}
@@ -93,7 +93,7 @@
 
 // appendTail appends the run's tail file, if there is one. It holds the blocks that the process has not written to
 // segments yet or that, if it was killed, it never will.
-func (l *Life) appendTail() {
+func (l *Run) appendTail() {
 	path := tailPath(TailDir, l.ID)
 	f, _, err := readTail(path)
 	if err != nil {
@@ -111,7 +111,7 @@
 var TailDir = DefaultTailDir
 
 // bySegment sorts the files of a run by segment number.
-type bySegment struct{ *Life }
+type bySegment struct{ *Run }
 
 func (s bySegment) Len() int           { return len(s.Paths) }
 func (s bySegment) Less(i, j int) bool { return s.Headers[i].Segment < s.Headers[j].Segment }
@@ -172,12 +172,12 @@
 
 // Each calls fn for each record of the run, in order, until fn returns false. Damage is passed to onDamage, or returned
 // as an error if onDamage is nil.
-func (l *Life) Each(fn func(r *Record, names []string) bool, onDamage func(path string, d Damage)) error {
+func (l *Run) Each(fn func(r *Record, names []string) bool, onDamage func(path string, d Damage)) error {
 	return l.eachSkipping(fn, onDamage, nil)
 }
 
 // eachSkipping is like Each, but skips the blocks for which skip returns true.
-func (l *Life) eachSkipping(fn func(r *Record, names []string) bool, onDamage func(path string, d Damage), skip func(f *File, i int) bool) error {
+func (l *Run) eachSkipping(fn func(r *Record, names []string) bool, onDamage func(path string, d Damage), skip func(f *File, i int) bool) error {
 	lastNumber := uint64(0)
 	for i, path := range l.Paths {
 		if i > 0 && l.Headers[i].Segment != l.Headers[i-1].Segment+1 {
@@ -197,7 +197,7 @@
 
 // eachInFile calls fn for the records of one file, except those in blocks with a number up to lastNumber, and reports
 // whether fn asked for more records.
-func (l *Life) eachInFile(path string, lastNumber *uint64, fn func(r *Record, names []string) bool, onDamage func(path string, d Damage),
+func (l *Run) eachInFile(path string, lastNumber *uint64, fn func(r *Record, names []string) bool, onDamage func(path string, d Damage),
 	skip func(f *File, i int) bool) (more bool, err error) {
 	f, done, err := OpenPath(path)
 	if err != nil {
@@ -239,7 +239,7 @@
 }
 
 // ReplayResult is the result of a replay.
-type Replayed struct {
+type ReplayResult struct {
 	Events, Actions int    // number of events replayed, and of actions that match the recorded ones
 	Txns            int    // number of txns replayed
 	Differs         string // first difference, "" if there is none
@@ -312,14 +312,14 @@
 
 // Replay runs the decision module on the recorded events of a run and compares its actions with the recorded ones, up to
 // the first difference. The error is the reason why the run could not be replayed, or only up to some record.
-func Replay(l *Life) (*Replayed, error) {
+func Replay(l *Run) (*ReplayResult, error) {
 	return replay(l, nil)
 }
 
 // replay is like Replay under the given settings; nil stands for the recorded ones.
-func replay(l *Life, settings map[string]any) (*Replayed, error) {
+func replay(l *Run, settings map[string]any) (*ReplayResult, error) {
 	if l.Headers[0].Level != 0 {
-		return &Replayed{}, ErrSampled
+		return &ReplayResult{}, ErrSampled
 	}
 	if settings == nil {
 		settings = map[string]any{}
@@ -327,7 +327,7 @@
 			return nil, fmt.Errorf("trace: decoding the header's settings: %w", err)
 		}
 	}
-	res := &Replayed{OtherVersion: l.Headers[0].Module != logic.Version()}
+	res := &ReplayResult{OtherVersion: l.Headers[0].Module != logic.Version()}
 	sink := &actionCollector{}
 	next := 0 // index of the first action not yet compared with the trace
 	var sentry *logic.Sentry
@@ -379,7 +379,7 @@
 }
 
 // applyEvent passes a recorded event to the decision module. A START creates the module.
-func (res *Replayed) applyEvent(sentry **logic.Sentry, now logic.Nanos, r *Record, names []string, settings map[string]any, sink *actionCollector) error {
+func (res *ReplayResult) applyEvent(sentry **logic.Sentry, now logic.Nanos, r *Record, names []string, settings map[string]any, sink *actionCollector) error {
 	switch r.Kind {
 	case tracepb.Kind_START:
 		*sentry = logic.New(now, int64(r.Token), settings, sink)
--- a/trace/rules.go
+++ b/trace/rules.go
@@ -33,7 +33,7 @@
 }
 
 // RulesOptions configures CheckRules.
-type RulesPlan struct {
+type RulesOptions struct {
 	Settings map[string]any // settings of the decision module; nil: those recorded with each run
 	Cores    float64        // number of cores of a worker of weight 1, which traces do not record; 0: skip rule 4
 }
@@ -50,7 +50,7 @@
 // CheckRules checks recorded runs against the five rules: each run by its own clock, and in the merged order for rule 4,
 // which concerns all sentries together. It trusts the content and the order of a run's records, and shares no code with
 // the decision module. The lab's checker verifies the same rules independently of traces, at the sockets.
-func CheckRules(runs []*Life, options RulesPlan, onDamage func(path string, d Damage)) (*RulesReport, error) {
+func CheckRules(runs []*Run, options RulesOptions, onDamage func(path string, d Damage)) (*RulesReport, error) {
 	report := &RulesReport{}
 	var checkers []*sentryChecker
 	for _, l := range runs {
@@ -148,7 +148,7 @@
 
 // sentryChecker checks the rules that concern a single sentry.
 type sentryChecker struct {
-	run           *Life
+	run           *Run
 	report        *RulesReport
 	settings      map[string]any
 	products      []checkedProduct
@@ -182,7 +182,7 @@
 }
 
 // newSentryChecker returns a checker of a run, and reports which checks the run's trace does not permit.
-func newSentryChecker(l *Life, options RulesPlan, report *RulesReport) (*sentryChecker, error) {
+func newSentryChecker(l *Run, options RulesOptions, report *RulesReport) (*sentryChecker, error) {
 	s := &sentryChecker{run: l, report: report, settings: options.Settings, open: map[uint64]*checkedTxn{}, workers: map[string]*checkedWorker{},
 		windows: map[int]*exposureWindow{}, answeredBy: map[uint64]int64{}}
 	if s.settings == nil {
@@ -488,7 +488,7 @@
 
 // coldStartChecker checks rule 4: the work that all sentries together send to a worker that has just started.
 type coldStartChecker struct {
-	options RulesPlan
+	options RulesOptions
 	report  *RulesReport
 	workers map[string]*coldWorker // by name
 }
--- a/trace/sampler.go
+++ b/trace/sampler.go
@@ -16,7 +16,7 @@
 // InSample reports whether a sample of one in n keys includes a key. All sentries choose the same keys.
 func InSample(key uint64, n uint32) bool {
 	// The key, though a hash, is mixed once more because its lowest bit is always set.
-	return n <= 1 || (key*mixer)>>32%uint64(n) == 0
+	return n <= 1 || (key*serialMultiplier)>>32%uint64(n) == 0
 }
 
 // heldRecord is a record of a txn in progress in a compact form.
--- a/trace/store.go
+++ b/trace/store.go
@@ -37,10 +37,10 @@
 }
 
 // OSDirectory is a directory in the operating system's file system, given by its path.
-type Disk string
+type OSDirectory string
 
 // Create creates a file, and the directory if it does not exist. It fails if the file exists.
-func (d Disk) Create(name string) (io.WriteCloser, error) {
+func (d OSDirectory) Create(name string) (io.WriteCloser, error) {
 	if err := os.MkdirAll(string(d), 0o755); err != nil {
 		return nil, err
 	}
@@ -48,10 +48,10 @@
 }
 
 // Remove deletes a file.
-func (d Disk) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
+func (d OSDirectory) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
 
 // List returns the directory's segments, the oldest first.
-func (d Disk) List() ([]Segment, error) {
+func (d OSDirectory) List() ([]Segment, error) {
 	entries, err := os.ReadDir(string(d))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -62,7 +62,7 @@
 	var segments []Segment
 	for _, e := range entries {
 		info, err := e.Info()
-		if err == nil && strings.HasSuffix(e.Name(), Suffix) {
+		if err == nil && strings.HasSuffix(e.Name(), SegmentSuffix) {
 			segments = append(segments, Segment{e.Name(), info.Size(), info.ModTime()})
 		}
 	}
@@ -71,7 +71,7 @@
 }
 
 // Replace writes a temporary file and renames it to name.
-func (d Disk) Replace(name string, data []byte) error {
+func (d OSDirectory) Replace(name string, data []byte) error {
 	tmp := filepath.Join(string(d), name+".new")
 	if err := os.WriteFile(tmp, data, 0o644); err != nil {
 		return err
@@ -80,7 +80,7 @@
 }
 
 // SegmentSuffix is the file name suffix of segments.
-const Suffix = ".dgt"
+const SegmentSuffix = ".dgt"
 
 const (
 	manifestName    = "manifest.json"
@@ -88,7 +88,7 @@
 )
 
 // Retention limits the size and age of segments, and the space that they take in total.
-type Keep struct {
+type Retention struct {
 	SegmentBytes int64         // a segment is closed at this size
 	SegmentAge   time.Duration // or at this age
 	TotalBytes   int64         // limit on the size of all segments in the directory; the oldest are deleted first
@@ -97,7 +97,7 @@
 // segmentWriter writes the segments of one run of a sentry. It must be used by one goroutine at a time.
 type segmentWriter struct {
 	dir       Directory
-	retention Keep
+	retention Retention
 	header    *tracepb.Header
 	enc       *encoder
 	file      io.WriteCloser // current segment; nil: none
@@ -123,7 +123,7 @@
 	if err != nil {
 		return err
 	}
-	name := fmt.Sprintf("%s%06d%s", s.namePrefix(), s.segment, Suffix)
+	name := fmt.Sprintf("%s%06d%s", s.namePrefix(), s.segment, SegmentSuffix)
 	s.segment++ // the name is not reused after a failure, because a partial file may exist
 	file, err := s.dir.Create(name)
 	if err != nil {
--- a/trace/summary.go
+++ b/trace/summary.go
@@ -133,7 +133,7 @@
 var verdictTexts = map[uint32]string{0: "none", 1: "on", 2: "hold", 3: "back"}
 
 // Summarise computes statistics over the runs. It skips damaged parts and passes them to onDamage.
-func Summarise(runs []*Life, onDamage func(path string, d Damage)) (*Summary, error) {
+func Summarise(runs []*Run, onDamage func(path string, d Damage)) (*Summary, error) {
 	s := &summariser{buckets: map[int64]*Bucket{}, summary: &Summary{Lives: len(runs), Votes: map[string]int{}},
 		workers: map[string]*SubmissionStats{}, builds: map[string]*SubmissionStats{}}
 	productStats := map[string]*ProductStats{}
@@ -150,7 +150,7 @@
 		s.release.Reset()
 		s.exposure, s.sentry = map[int64]*Exposure{}, l.Sentry
 		var err error
-		if s.rules, err = newSentryChecker(l, RulesPlan{}, &RulesReport{}); err != nil {
+		if s.rules, err = newSentryChecker(l, RulesOptions{}, &RulesReport{}); err != nil {
 			return nil, err
 		}
 		err = l.Each(func(r *Record, names []string) bool {
--- a/trace/tail.go
+++ b/trace/tail.go
@@ -227,7 +227,7 @@
 // recoverTails writes the blocks that terminated processes left in tail files to segments of their runs and removes the
 // tail files. It skips tail files of running processes and of other trace directories. header is that of the new run.
 func recoverTails(dir Directory, tailDir string, header *tracepb.Header) error {
-	disk, isDisk := dir.(Disk)
+	disk, isDisk := dir.(OSDirectory)
 	paths, err := filepath.Glob(filepath.Join(tailDir, "dunegrade-*"+TailSuffix))
 	if err != nil || !isDisk {
 		return err
@@ -263,7 +263,7 @@
 }
 
 // recoverTail writes those blocks of a tail file that are in no segment yet to a new segment, and removes the tail file.
-func recoverTail(dir Disk, path string, f *File) error {
+func recoverTail(dir OSDirectory, path string, f *File) error {
 	segments, err := dir.List()
 	if err != nil {
 		return err
@@ -313,7 +313,7 @@
 		if err := w.close(); err != nil {
 			return err
 		}
-		file, err := dir.Create(fmt.Sprintf("%s%06d%s", run.namePrefix(), nextSegment, Suffix))
+		file, err := dir.Create(fmt.Sprintf("%s%06d%s", run.namePrefix(), nextSegment, SegmentSuffix))
 		if err != nil {
 			return err
 		}
--- a/trace/tail_test.go
+++ b/trace/tail_test.go
@@ -26,7 +26,7 @@
 // TestMain runs the tests or, if TRACE_KILLED is set, the process that TestKilledAtFullSpeed kills.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("TRACE_KILLED"); dir != "" {
-		rec, err := NewTailed(Disk(dir), filepath.Dir(dir), testRetention, &tracepb.Header{Edge: "e", Life: 77, Products: []string{"ask", "pay"}, Wall: began,
+		rec, err := NewRecorderWithTail(OSDirectory(dir), filepath.Dir(dir), testRetention, &tracepb.Header{Edge: "e", Life: 77, Products: []string{"ask", "pay"}, Wall: startTime,
 			Start: 1e12}, testSettings, zap.NewNop())
 		if err != nil {
 			os.Exit(3)
@@ -49,7 +49,7 @@
 			time.Sleep(time.Millisecond) // wait for the writer
 		}
 		rec.Take(now, &txn, i, 0, 0)
-		rec.Settle()
+		rec.WritePending()
 		os.Stdout.Write(binary.LittleEndian.AppendUint64(nil, i))
 	}
 }
@@ -89,12 +89,12 @@
 		TailDir = parent
 		readSerials := func() (serials []uint64) {
 			var paths []string
-			if found, _ := filepath.Glob(filepath.Join(dir, "*"+Suffix)); len(found) == 0 {
+			if found, _ := filepath.Glob(filepath.Join(dir, "*"+SegmentSuffix)); len(found) == 0 {
 				paths, _ = filepath.Glob(filepath.Join(parent, "*"+TailSuffix)) // no segment yet: all records are in the tail file
 			} else {
 				paths = []string{dir}
 			}
-			runs, err := Lives(paths)
+			runs, err := FindRuns(paths)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -118,7 +118,7 @@
 		if uint64(len(before)) < acknowledged || before[len(before)-1] != uint64(len(before)) {
 			t.Errorf("%d txns were recorded, %d were found", acknowledged, len(before))
 		}
-		rec, err := NewTailed(Disk(dir), parent, testRetention, &tracepb.Header{Edge: "e", Life: 78}, testSettings, zap.NewNop())
+		rec, err := NewRecorderWithTail(OSDirectory(dir), parent, testRetention, &tracepb.Header{Edge: "e", Life: 78}, testSettings, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -147,7 +147,7 @@
 			defer goleak.VerifyNone(t)
 			parent := t.TempDir()
 			dir := filepath.Join(parent, "trace")
-			first, err := NewTailed(Disk(dir), parent, testRetention, &tracepb.Header{Edge: tc.edge, Sentry: tc.sentry, Life: 77}, testSettings, zap.NewNop())
+			first, err := NewRecorderWithTail(OSDirectory(dir), parent, testRetention, &tracepb.Header{Edge: tc.edge, Sentry: tc.sentry, Life: 77}, testSettings, zap.NewNop())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -173,7 +173,7 @@
 				t.Fatal(err)
 			}
 			unlockTimer := time.AfterFunc(60*time.Millisecond, func() { locked.Close() })
-			rec, err := NewTailed(Disk(dir), parent, testRetention, &tracepb.Header{Edge: "e", Sentry: 3, Life: 78}, testSettings, zap.NewNop())
+			rec, err := NewRecorderWithTail(OSDirectory(dir), parent, testRetention, &tracepb.Header{Edge: "e", Sentry: 3, Life: 78}, testSettings, zap.NewNop())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -202,20 +202,20 @@
 	header := func(runID uint64) *tracepb.Header {
 		return &tracepb.Header{Edge: "e", Life: runID, Products: []string{"ask", "pay"}}
 	}
-	first, err := NewTailed(Disk(dir), parent, testRetention, header(1), testSettings, zap.NewNop())
+	first, err := NewRecorderWithTail(OSDirectory(dir), parent, testRetention, header(1), testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	txn := logic.Txn{ID: 1, Key: 5, Expiry: 2e9}
 	first.Start(1e9, 1)
 	first.Take(1e9, &txn, 1, 0, 0)
-	first.Settle()
-	second, err := NewTailed(Disk(dir), parent, testRetention, header(2), testSettings, zap.NewNop())
+	first.WritePending()
+	second, err := NewRecorderWithTail(OSDirectory(dir), parent, testRetention, header(2), testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	second.Close(1e9)
-	runs, err := Lives([]string{tailPath(parent, 1)})
+	runs, err := FindRuns([]string{tailPath(parent, 1)})
 	if err != nil || len(runs) != 1 {
 		t.Fatalf("%d runs in the tail file, %v", len(runs), err)
 	}
@@ -223,7 +223,7 @@
 		t.Errorf("%d txns in the tail file, %v", len(found), err)
 	}
 	first.Close(2e9)
-	if runs, err = Lives([]string{dir}); err != nil || len(runs) != 2 {
+	if runs, err = FindRuns([]string{dir}); err != nil || len(runs) != 2 {
 		t.Errorf("%d runs, %v", len(runs), err)
 	}
 }
@@ -259,7 +259,7 @@
 			if !errors.Is(err, tc.want) || running {
 				t.Errorf("got %v, %v", f, err)
 			}
-			rec, err := NewTailed(Disk(filepath.Join(dir, "trace")), dir, testRetention, &tracepb.Header{Edge: "e", Life: 6}, testSettings, zap.NewNop())
+			rec, err := NewRecorderWithTail(OSDirectory(filepath.Join(dir, "trace")), dir, testRetention, &tracepb.Header{Edge: "e", Life: 6}, testSettings, zap.NewNop())
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/trace/timeline.go
+++ b/trace/timeline.go
@@ -30,7 +30,7 @@
 
 // NewTimeline puts the steps of histories into one order. clocks holds the clock of each run, or is nil to use the runs'
 // own wall clocks, as for a merged file.
-func Join(histories []*TxnHistory, runs []*Life, clocks []Clock) *Timeline {
+func NewTimeline(histories []*TxnHistory, runs []*Run, clocks []Clock) *Timeline {
 	t := &Timeline{Histories: histories}
 	for i, h := range histories {
 		shift, unsure := int64(0), h.Unsure
@@ -49,7 +49,7 @@
 }
 
 // RunsOf returns the runs that recorded the histories, each once.
-func LivesOf(histories []*TxnHistory) (runs []*Life) {
+func RunsOf(histories []*TxnHistory) (runs []*Run) {
 	for _, h := range histories {
 		if !slices.Contains(runs, h.run) {
 			runs = append(runs, h.run)
@@ -59,7 +59,7 @@
 }
 
 // TotalSize returns the total size of the runs' files in bytes.
-func SizeOf(runs []*Life) (sum int64) {
+func TotalSize(runs []*Run) (sum int64) {
 	for _, l := range runs {
 		for _, p := range l.Paths {
 			if info, err := os.Stat(p); err == nil {
@@ -107,7 +107,7 @@
 
 // ExplainLastDecision replays a run up to the last recorded decision on a txn, and returns the state of each worker as
 // the decision module saw it, with the module's reason not to choose the worker. The run must be recorded from its start.
-func Why(h *TxnHistory) ([]logic.WorkerStatus, error) {
+func ExplainLastDecision(h *TxnHistory) ([]logic.WorkerStatus, error) {
 	run := h.run
 	if run.Level() != LevelWhole || run.origin != 0 {
 		return nil, ErrSampled
@@ -127,7 +127,7 @@
 			submissions++
 		}
 	}
-	collector, result := &actionCollector{}, &Replayed{}
+	collector, result := &actionCollector{}, &ReplayResult{}
 	var sentry *logic.Sentry
 	var replayErr error
 	decided := false
--- a/trace/tools_test.go
+++ b/trace/tools_test.go
@@ -24,9 +24,9 @@
 
 // writeRun writes a file with the given records and returns the run that it holds. workers holds the name of each
 // record's worker; "" or a missing name stands for none.
-func writeRun(t *testing.T, header *tracepb.Header, records []Record, workers []string) *Life {
+func writeRun(t *testing.T, header *tracepb.Header, records []Record, workers []string) *Run {
 	t.Helper()
-	path := filepath.Join(t.TempDir(), fmt.Sprintf("s%d%s", header.Sentry, Suffix))
+	path := filepath.Join(t.TempDir(), fmt.Sprintf("s%d%s", header.Sentry, SegmentSuffix))
 	var buf bytes.Buffer
 	header.Version = Version
 	fw, err := newFileWriter(&buf, header)
@@ -48,7 +48,7 @@
 	if err := os.WriteFile(path, buf.Bytes(), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	runs, err := Lives([]string{path})
+	runs, err := FindRuns([]string{path})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 }
 
 func (s *recordScript) add(ms int, worker string, r Record) {
-	r.At = began + int64(ms)*1e6
+	r.At = startTime + int64(ms)*1e6
 	s.records, s.workers = append(s.records, r), append(s.workers, worker)
 }
 
@@ -205,7 +205,7 @@
 			s.outcome(720, 1, 0, logic.OK, 200)
 		}},
 		{"cold worker overloaded", 4, "after its start", func(s *recordScript) {
-			s.list(0, true, &tracepb.List_Worker{Id: "a", Build: 1, Start: began})
+			s.list(0, true, &tracepb.List_Worker{Id: "a", Build: 1, Start: startTime})
 			for i := 0; i < 120; i++ { // 2.4 s of work within 0.3 s, for one core at 0.3 of its speed
 				s.take(100+2*i, uint64(i+1), 0)
 				s.submit(100+2*i, uint64(i+1), "a")
@@ -214,7 +214,7 @@
 			s.add(360, "", Record{Kind: tracepb.Kind_VOID, Txn: 1})
 		}},
 		{"cold worker withstands the load", 0, "", func(s *recordScript) {
-			s.list(0, true, &tracepb.List_Worker{Id: "a", Build: 1, Start: began})
+			s.list(0, true, &tracepb.List_Worker{Id: "a", Build: 1, Start: startTime})
 			for i := 0; i < 120; i++ {
 				s.take(100+2*i, uint64(i+1), 0)
 				s.submit(100+2*i, uint64(i+1), "a")
@@ -242,8 +242,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := &recordScript{t: t}
 			c.fill(s)
-			run := writeRun(t, &tracepb.Header{Sentry: 1, Life: 5, Wall: began, Start: began, Settings: []byte(ruleSettings)}, s.records, s.workers)
-			report, err := CheckRules([]*Life{run}, RulesPlan{Cores: 1}, nil)
+			run := writeRun(t, &tracepb.Header{Sentry: 1, Life: 5, Wall: startTime, Start: startTime, Settings: []byte(ruleSettings)}, s.records, s.workers)
+			report, err := CheckRules([]*Run{run}, RulesOptions{Cores: 1}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -258,7 +258,7 @@
 // The attempts of a client at two sentries must form one timeline in true order, although one clock is 4 s behind.
 func TestTimelineOverTwoSentries(t *testing.T) {
 	header := func(i uint32, wall int64) *tracepb.Header {
-		return &tracepb.Header{Edge: fmt.Sprint("edge-", i), Sentry: i, Life: uint64(i + 1), Wall: wall, Start: began, Products: []string{"ask"}}
+		return &tracepb.Header{Edge: fmt.Sprint("edge-", i), Sentry: i, Life: uint64(i + 1), Wall: wall, Start: startTime, Products: []string{"ask"}}
 	}
 	id := [2]uint64{7, 8}
 	addReleases := func(s *recordScript) {
@@ -275,17 +275,17 @@
 	second.add(2600, "", Record{Kind: tracepb.Kind_TAKE, Txn: 9, Serial: 2, Key: 11, TraceID: id, Patience: 1e9})
 	second.submit(2601, 9, "x")
 	second.outcome(2650, 9, 0, logic.OK, 200)
-	runs := []*Life{writeRun(t, header(0, began), first.records, first.workers),
-		writeRun(t, header(1, began-4e9), second.records, second.workers)} // 4 s behind
+	runs := []*Run{writeRun(t, header(0, startTime), first.records, first.workers),
+		writeRun(t, header(1, startTime-4e9), second.records, second.workers)} // 4 s behind
 	histories, err := Follow(runs, Query{Sentry: -1, TraceID: id}, nil)
-	if err != nil || len(histories) != 2 || len(LivesOf(histories)) != 2 {
+	if err != nil || len(histories) != 2 || len(RunsOf(histories)) != 2 {
 		t.Fatalf("%d histories, %v", len(histories), err)
 	}
-	clocks, err := Clocks(runs, nil)
+	clocks, err := EstimateClocks(runs, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	timeline := Join(histories, runs, clocks)
+	timeline := NewTimeline(histories, runs, clocks)
 	var names []string
 	for _, entry := range timeline.Entries {
 		names = append(names, histories[entry.History].Name())
@@ -293,10 +293,10 @@
 	if got := strings.Join(names, " "); got != "s0-4 s0-4 s1-2 s1-2 s1-2" {
 		t.Errorf("txns in the order %s, clocks %v", got, clocks)
 	}
-	if raw := Join(histories, runs, nil); histories[raw.Entries[0].History].Sentry != 1 {
+	if raw := NewTimeline(histories, runs, nil); histories[raw.Entries[0].History].Sentry != 1 {
 		t.Error("the raw times are already in true order, so the test proves nothing")
 	}
-	timeline = Join(histories, runs, clocks)
+	timeline = NewTimeline(histories, runs, clocks)
 	var text, svg bytes.Buffer
 	timeline.Print(&text)
 	if !strings.Contains(text.String(), "no end recorded") || !strings.Contains(text.String(), "answered with 200") || strings.Contains(text.String(), "?") {
@@ -335,7 +335,7 @@
 func TestExportedSpansAreOpenTelemetry(t *testing.T) {
 	dir := t.TempDir()
 	recordRun(t, dir, testRetention, 3000)
-	runs, err := Lives([]string{dir})
+	runs, err := FindRuns([]string{dir})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -390,14 +390,14 @@
 	}{{"one in 10", LevelSampled, 10}, {"failed txns only", LevelSampled, 1 << 30}, {"decisions", LevelDecisions, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
-			rec, err := NewRecorder(Disk(dir), testRetention, &tracepb.Header{Edge: "e", Life: 7, Level: c.level, OneIn: c.oneIn,
+			rec, err := NewRecorder(OSDirectory(dir), testRetention, &tracepb.Header{Edge: "e", Life: 7, Level: c.level, OneIn: c.oneIn,
 				Products: []string{"ask"}}, testSettings, zap.NewNop())
 			if err != nil {
 				t.Fatal(err)
 			}
-			now := logic.Nanos(began)
+			now := logic.Nanos(startTime)
 			rec.Start(now, 1)
-			rec.News(now, logic.ReleaseUpdate{Rel: 2, Cap: 0.1})
+			rec.ReleaseUpdate(now, logic.ReleaseUpdate{Rel: 2, Cap: 0.1})
 			rng := rand.New(rand.NewSource(1))
 			failed, sampled := 0, 0
 			const n = 5000
@@ -424,11 +424,11 @@
 					}
 					rec.Outcome(endedAt, &logic.Outcome{Txn: txn.ID, Final: true, Elapsed: 30 * logic.Millisecond}, 200)
 				}
-				rec.Done(endedAt, txn.ID)
-				rec.Flush(now)
+				rec.TxnDone(endedAt, txn.ID)
+				rec.FlushStale(now)
 			}
 			rec.Close(now + 40*logic.Millisecond)
-			runs, err := Lives([]string{dir})
+			runs, err := FindRuns([]string{dir})
 			if err != nil || len(runs) != 1 {
 				t.Fatal(err)
 			}
@@ -476,8 +476,8 @@
 			}
 			s.add(i*10+5, "", Record{Kind: tracepb.Kind_OUTCOME, Txn: uint64(i), Over: true, Token: 200, Elapsed: uint64(1e6 + rng.Intn(1e6))})
 		}
-		run := writeRun(t, &tracepb.Header{Wall: began, Start: began, Products: []string{"ask"}, Settings: []byte(ruleSettings)}, s.records, s.workers)
-		summary, err := Summarise([]*Life{run}, nil)
+		run := writeRun(t, &tracepb.Header{Wall: startTime, Start: startTime, Products: []string{"ask"}, Settings: []byte(ruleSettings)}, s.records, s.workers)
+		summary, err := Summarise([]*Run{run}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -503,7 +503,7 @@
 
 // crashingDir simulates a process that crashes after a number of operations: later ones do not reach the disk.
 type crashingDir struct {
-	Disk
+	OSDirectory
 	stepsLeft *int
 }
 
@@ -517,27 +517,27 @@
 	if err := c.step(); err != nil {
 		return nil, err
 	}
-	f, err := c.Disk.Create(name)
+	f, err := c.OSDirectory.Create(name)
 	return crashingFile{f, c}, err
 }
 func (c crashingDir) Remove(name string) error {
 	if err := c.step(); err != nil {
 		return err
 	}
-	return c.Disk.Remove(name)
+	return c.OSDirectory.Remove(name)
 }
 func (c crashingDir) Replace(name string, data []byte) error {
 	if err := c.step(); err != nil {
 		return err
 	}
 	// A crash between the write and the rename leaves the temporary file.
-	if err := os.WriteFile(filepath.Join(string(c.Disk), name+".new"), data[:len(data)/2], 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(string(c.OSDirectory), name+".new"), data[:len(data)/2], 0o644); err != nil {
 		return err
 	}
 	if err := c.step(); err != nil {
 		return err
 	}
-	return c.Disk.Replace(name, data)
+	return c.OSDirectory.Replace(name, data)
 }
 
 type crashingFile struct {
@@ -557,21 +557,21 @@
 // use.
 func TestCrashBetweenAnyTwoWrites(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	retention := Keep{SegmentBytes: 8 << 10, SegmentAge: time.Hour, TotalBytes: 24 << 10}
+	retention := Retention{SegmentBytes: 8 << 10, SegmentAge: time.Hour, TotalBytes: 24 << 10}
 	stride := 1
 	if testing.Short() { // too slow with the race detector
 		stride = 7
 	}
 	for steps := 0; ; steps += stride {
 		dir, stepsLeft := t.TempDir(), steps
-		rec, err := NewRecorder(crashingDir{Disk(dir), &stepsLeft}, retention,
+		rec, err := NewRecorder(crashingDir{OSDirectory(dir), &stepsLeft}, retention,
 			&tracepb.Header{Edge: "e", Life: 7, Products: []string{"ask", "pay"}}, testSettings, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
 		recordTxns(t, rec, 5000, true)
 		survived := stepsLeft >= 0
-		runs, err := Lives([]string{dir})
+		runs, err := FindRuns([]string{dir})
 		if err != nil && !errors.Is(err, ErrNoTrace) { // a file with a partial header is no trace
 			t.Fatalf("after %d steps: %v", steps, err)
 		}
@@ -580,7 +580,7 @@
 				t.Fatalf("after %d steps: %v", steps, err)
 			}
 		}
-		rec, err = NewRecorder(Disk(dir), retention, &tracepb.Header{Edge: "e", Life: 8, Products: []string{"ask", "pay"}}, testSettings, zap.NewNop())
+		rec, err = NewRecorder(OSDirectory(dir), retention, &tracepb.Header{Edge: "e", Life: 8, Products: []string{"ask", "pay"}}, testSettings, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -600,8 +600,8 @@
 // The oldest segments must be deleted to keep the total size bounded. A run whose start was deleted cannot be replayed.
 func TestRetention(t *testing.T) {
 	dir := t.TempDir()
-	recordRun(t, dir, Keep{SegmentBytes: 20 << 10, SegmentAge: time.Hour, TotalBytes: 60 << 10}, 30000)
-	list, err := Disk(dir).List()
+	recordRun(t, dir, Retention{SegmentBytes: 20 << 10, SegmentAge: time.Hour, TotalBytes: 60 << 10}, 30000)
+	list, err := OSDirectory(dir).List()
 	sum := int64(0)
 	for _, s := range list {
 		sum += s.Size
@@ -609,7 +609,7 @@
 	if err != nil || len(list) < 2 || sum > 80<<10 {
 		t.Errorf("%d segments of %d bytes, %v", len(list), sum, err)
 	}
-	runs, err := Lives([]string{dir})
+	runs, err := FindRuns([]string{dir})
 	if err != nil || runs[0].Headers[len(runs[0].Headers)-1].Segment < 3 {
 		t.Errorf("the newest segment is missing: %v", err)
 	}
@@ -621,12 +621,12 @@
 // A cut by product, time or key must find all matching txns, and decompress at most half of the blocks.
 func TestCutSkipsBlocks(t *testing.T) {
 	dir := t.TempDir()
-	rec, err := NewRecorder(Disk(dir), testRetention, &tracepb.Header{Edge: "e", Life: 7, Wall: began, Start: began,
+	rec, err := NewRecorder(OSDirectory(dir), testRetention, &tracepb.Header{Edge: "e", Life: 7, Wall: startTime, Start: startTime,
 		Products: []string{"ask", "pay"}}, testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := logic.Nanos(began)
+	now := logic.Nanos(startTime)
 	rec.Start(now, 1)
 	for i := 1; i <= 20000; i++ {
 		now += logic.Millisecond
@@ -642,7 +642,7 @@
 		rec.Outcome(now, &logic.Outcome{Txn: txn.ID, Final: true}, 200)
 	}
 	rec.Close(now)
-	runs, err := Lives([]string{dir})
+	runs, err := FindRuns([]string{dir})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -74,7 +74,7 @@
 func (m *memoryDir) Replace(name string, data []byte) error { return nil }
 
 // testRetention is the retention of recorded runs unless a test sets its own.
-var testRetention = Keep{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}
+var testRetention = Retention{SegmentBytes: 1 << 20, SegmentAge: time.Hour, TotalBytes: 1 << 30}
 
 // testSettings are the decision module's settings in recorded runs.
 var testSettings = map[string]any{"products.count": 2.0, "products.0.effect": "inquiry-like", "products.1.effect": "once-only",
@@ -130,10 +130,10 @@
 	for i := 0; i < 8; i++ {
 		list = append(list, logic.Worker{ID: logic.WorkerID(fmt.Sprintf("w%d", i)), Rel: logic.RelID(1 + i/6), Weight: 1})
 	}
-	rec.List(sink.now, logic.Whole, list)
+	rec.UpdateWorkers(sink.now, logic.Whole, list)
 	sentry.UpdateWorkers(sink.now, logic.Whole, list)
 	update := logic.ReleaseUpdate{Rel: 2, Cap: 0.3, Phase: logic.OnTrial}
-	rec.News(sink.now, update)
+	rec.ReleaseUpdate(sink.now, update)
 	sentry.ReleaseUpdate(sink.now, update)
 	recorded := 0
 	for i := 1; i <= n; i++ {
@@ -147,7 +147,7 @@
 				sentry.TimerFired(sink.now, token)
 			}
 		}
-		rec.Flush(sink.now)
+		rec.FlushStale(sink.now)
 		for pace && rec.freeBuffers() <= reservedBuffers {
 			runtime.Gosched()
 		}
@@ -180,15 +180,15 @@
 }
 
 // recordRun records a run with n txns into a directory on disk and returns the paths of its segments.
-func recordRun(t *testing.T, dir string, retention Keep, n int) []string {
-	rec, err := NewRecorder(Disk(dir), retention, &tracepb.Header{Edge: "e", Sentry: 1, Life: 77, Products: []string{"ask", "pay"}}, testSettings, zap.NewNop())
+func recordRun(t *testing.T, dir string, retention Retention, n int) []string {
+	rec, err := NewRecorder(OSDirectory(dir), retention, &tracepb.Header{Edge: "e", Sentry: 1, Life: 77, Products: []string{"ask", "pay"}}, testSettings, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := recordTxns(t, rec, n, true); got != n {
 		t.Fatalf("%d of %d txns recorded", got, n)
 	}
-	paths, _ := filepath.Glob(filepath.Join(dir, "*"+Suffix))
+	paths, _ := filepath.Glob(filepath.Join(dir, "*"+SegmentSuffix))
 	return paths
 }
 
@@ -222,8 +222,8 @@
 func TestReplayMatchesAndDetectsChangedSettings(t *testing.T) {
 	recordRun(t, t.TempDir(), testRetention, 10)
 	dir := t.TempDir()
-	recordRun(t, dir, Keep{SegmentBytes: 64 << 10, SegmentAge: time.Hour, TotalBytes: 1 << 30}, 20000)
-	runs, err := Lives([]string{dir})
+	recordRun(t, dir, Retention{SegmentBytes: 64 << 10, SegmentAge: time.Hour, TotalBytes: 1 << 30}, 20000)
+	runs, err := FindRuns([]string{dir})
 	if err != nil || len(runs) != 1 || len(runs[0].Paths) < 2 {
 		t.Fatalf("%v, %v", runs, err)
 	}
@@ -380,7 +380,7 @@
 func TestFollowFindsTxnsByNameKeyAndTraceID(t *testing.T) {
 	dir := t.TempDir()
 	recordRun(t, dir, testRetention, 3000)
-	runs, err := Lives([]string{dir})
+	runs, err := FindRuns([]string{dir})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -404,7 +404,7 @@
 func TestSummaryCountsEveryTxnOnce(t *testing.T) {
 	dir := t.TempDir()
 	recordRun(t, dir, testRetention, 3000)
-	runs, err := Lives([]string{dir})
+	runs, err := FindRuns([]string{dir})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -433,8 +433,8 @@
 // A cut must hold exactly the txns that its filter selects, with all their records, and cannot be replayed.
 func TestCutSelectsTxns(t *testing.T) {
 	dir := t.TempDir()
-	recordRun(t, dir, Keep{SegmentBytes: 64 << 10, SegmentAge: time.Hour, TotalBytes: 1 << 30}, 6000)
-	runs, err := Lives([]string{dir})
+	recordRun(t, dir, Retention{SegmentBytes: 64 << 10, SegmentAge: time.Hour, TotalBytes: 1 << 30}, 6000)
+	runs, err := FindRuns([]string{dir})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -461,7 +461,7 @@
 		{"nothing", Filter{Product: "none"}, func(s *Summary, n int) bool { return n == 0 }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			out := filepath.Join(t.TempDir(), "cut"+Suffix)
+			out := filepath.Join(t.TempDir(), "cut"+SegmentSuffix)
 			file, err := os.Create(out)
 			if err != nil {
 				t.Fatal(err)
@@ -471,7 +471,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			cutRuns, err := Lives([]string{out})
+			cutRuns, err := FindRuns([]string{out})
 			if err != nil || len(cutRuns) != 1 {
 				t.Fatal(cutRuns, err)
 			}
--- a/trace/whatif.go
+++ b/trace/whatif.go
@@ -35,14 +35,14 @@
 // WhatIf runs the decision module on the recorded events of a run under other settings. The events stay as recorded,
 // because the outcome of a submission that was never made is unknown. The result is therefore meaningful for limits and
 // rules, and becomes less so as the decisions diverge.
-func WhatIf(l *Life, settings map[string]any) (*WhatIfResult, error) {
+func WhatIf(l *Run, settings map[string]any) (*WhatIfResult, error) {
 	if l.Headers[0].Level != 0 {
 		return nil, ErrSampled
 	}
 	res := &WhatIfResult{Sums: map[string][2]int{}}
 	decide := func(settings map[string]any) (map[uint64]txnDecision, map[string]int, error) {
 		decisions, counts, serials := map[uint64]txnDecision{}, map[string]int{}, map[uint64]uint64{}
-		sink, replayed := &actionCollector{}, &Replayed{}
+		sink, replayed := &actionCollector{}, &ReplayResult{}
 		var sentry *logic.Sentry
 		var replayErr error
 		err := l.Each(func(r *Record, names []string) bool {
