--- a/edge/drain_test.go
+++ b/edge/drain_test.go
@@ -59,13 +59,14 @@
 	<-firstHeadSent
 	time.Sleep(20 * time.Millisecond) // lets the edge read the head
 	r.stop()
-	// Wait until the listener is closed.
-	for until := time.Now().Add(2 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		other, err := net.Dial("tcp", r.address)
-		if err != nil {
-			break
+	// Wait until the loop drains, which it does once the listener is closed.
+	for until, draining := time.Now().Add(2*time.Second), false; !draining; time.Sleep(time.Millisecond) {
+		if time.Now().After(until) {
+			t.Fatal("the loop does not drain")
 		}
-		other.Close()
+		state := make(chan bool)
+		r.p.loops[0].post(func() { state <- r.p.loops[0].draining })
+		draining = <-state
 	}
 	close(drainStarted)
 	in := bufio.NewReader(c)
